--- a/measure/store_candidates.cpp
+++ b/measure/store_candidates.cpp
@@ -36,7 +36,8 @@
 }
 
 void must(bool fine, const char* what) {
-    if (fine) return;
+    if (fine)
+        return;
     std::fprintf(stderr, "%s failed\n", what);
     std::exit(1);
 }
@@ -77,20 +78,25 @@
         sqlite3_stmt* s = nullptr;
         sqlite3_prepare_v2(db_, "SELECT key, value FROM rows ORDER BY key", -1, &s, nullptr);
         std::size_t bytes = 0;
-        while (sqlite3_step(s) == SQLITE_ROW) bytes += static_cast<std::size_t>(sqlite3_column_bytes(s, 1));
+        while (sqlite3_step(s) == SQLITE_ROW)
+            bytes += static_cast<std::size_t>(sqlite3_column_bytes(s, 1));
         sqlite3_finalize(s);
         return bytes;
     }
 
 private:
-    void exec(const char* sql) { must(sqlite3_exec(db_, sql, nullptr, nullptr, nullptr) == SQLITE_OK, sql); }
+    void exec(const char* sql) {
+        must(sqlite3_exec(db_, sql, nullptr, nullptr, nullptr) == SQLITE_OK, sql);
+    }
     sqlite3* db_ = nullptr;
     sqlite3_stmt* put_ = nullptr;
 };
 
 class Lmdb final : public Store {
 public:
-    ~Lmdb() override { mdb_env_close(env_); }
+    ~Lmdb() override {
+        mdb_env_close(env_);
+    }
     void open(const std::string& folder) override {
         must(mdb_env_create(&env_) == 0, "mdb_env_create");
         mdb_env_set_mapsize(env_, std::size_t{1} << 36);
@@ -114,7 +120,8 @@
         mdb_cursor_open(txn, dbi_, &cursor);
         MDB_val key{}, value{};
         std::size_t bytes = 0;
-        while (mdb_cursor_get(cursor, &key, &value, MDB_NEXT) == 0) bytes += value.mv_size;
+        while (mdb_cursor_get(cursor, &key, &value, MDB_NEXT) == 0)
+            bytes += value.mv_size;
         mdb_cursor_close(cursor);
         mdb_txn_abort(txn);
         return bytes;
@@ -141,7 +148,8 @@
     }
     void write(const std::vector<Row>& rows) override {
         rocksdb::WriteBatch batch;
-        for (const Row& r : rows) batch.Put(key_of(r.key), r.value);
+        for (const Row& r : rows)
+            batch.Put(key_of(r.key), r.value);
         rocksdb::WriteOptions o;
         o.sync = true;
         must(db_->Write(o, &batch).ok(), "rocksdb write");
@@ -149,7 +157,8 @@
     std::size_t scan() override {
         std::unique_ptr<rocksdb::Iterator> i(db_->NewIterator({}));
         std::size_t bytes = 0;
-        for (i->SeekToFirst(); i->Valid(); i->Next()) bytes += i->value().size();
+        for (i->SeekToFirst(); i->Valid(); i->Next())
+            bytes += i->value().size();
         return bytes;
     }
 
@@ -166,7 +175,8 @@
 std::uintmax_t size_of(const std::string& folder) {
     std::uintmax_t sum = 0;
     for (const auto& e : std::filesystem::recursive_directory_iterator(folder))
-        if (e.is_regular_file()) sum += e.file_size();
+        if (e.is_regular_file())
+            sum += e.file_size();
     return sum;
 }
 
@@ -188,7 +198,9 @@
                 next > 20'000 && random.chance(0.1) ? next - random.below(20'000) : ++next;
             rows.push_back({key, random.hex(kValue)});
         }
-        std::sort(rows.begin(), rows.end(), [](const Row& x, const Row& y) { return x.key < y.key; });
+        std::sort(rows.begin(), rows.end(), [](const Row& x, const Row& y) {
+            return x.key < y.key;
+        });
         const double from = now(CLOCK_MONOTONIC), cpu_from = now(CLOCK_PROCESS_CPUTIME_ID);
         store->write(rows);
         commits.push_back((now(CLOCK_MONOTONIC) - from) * 1000);
--- a/src/base/buffer.hpp
+++ b/src/base/buffer.hpp
@@ -12,7 +12,8 @@
 class Buffer {
 public:
     void append(std::string_view bytes) {
-        if (start_ > 0 && start_ >= held_.size() / 2) compact();
+        if (start_ > 0 && start_ >= held_.size() / 2)
+            compact();
         held_.append(bytes);
     }
     void append(std::string&& bytes) {
@@ -26,12 +27,14 @@
     void take(std::size_t n) {
         assert(n <= size());
         start_ += n;
-        if (start_ == held_.size()) clear();
+        if (start_ == held_.size())
+            clear();
     }
     void erase(std::size_t at, std::size_t n) {  // from the middle; views are no good any more
         assert(at + n <= size());
         held_.erase(start_ + at, n);
-        if (start_ == held_.size()) clear();
+        if (start_ == held_.size())
+            clear();
     }
     void replace(std::size_t at, std::size_t n, std::string_view bytes) {  // in the middle; likewise
         assert(at + n <= size());
@@ -40,11 +43,18 @@
     void clear() {
         held_.clear();
         start_ = 0;
-        if (held_.capacity() > kKeep) held_.shrink_to_fit();
+        if (held_.capacity() > kKeep)
+            held_.shrink_to_fit();
+    }
+    std::string_view view() const {
+        return std::string_view(held_).substr(start_);
+    }
+    std::size_t size() const {
+        return held_.size() - start_;
+    }
+    bool empty() const {
+        return size() == 0;
     }
-    std::string_view view() const { return std::string_view(held_).substr(start_); }
-    std::size_t size() const { return held_.size() - start_; }
-    bool empty() const { return size() == 0; }
 
 private:
     static constexpr std::size_t kKeep = 4096;
--- a/src/base/bytes.hpp
+++ b/src/base/bytes.hpp
@@ -9,7 +9,8 @@
 
 inline std::uint32_t big_endian(std::string_view bytes) {  // at most four
     std::uint32_t value = 0;
-    for (const char c : bytes) value = value << 8 | static_cast<unsigned char>(c);
+    for (const char c : bytes)
+        value = value << 8 | static_cast<unsigned char>(c);
     return value;
 }
 
--- a/src/base/durable_file.cpp
+++ b/src/base/durable_file.cpp
@@ -14,19 +14,23 @@
 bool write_whole(int fd, std::string_view content) {
     while (!content.empty()) {
         const ssize_t n = ::write(fd, content.data(), content.size());
-        if (n < 0 && errno == EINTR) continue;
-        if (n <= 0) return false;
+        if (n < 0 && errno == EINTR)
+            continue;
+        if (n <= 0)
+            return false;
         content.remove_prefix(static_cast<std::size_t>(n));
     }
     return true;
 }
 
-// A sync that failed once may succeed the next time without having written: its descriptor is of no further use.
+// A sync that failed once may succeed the next time without having written: its descriptor is of no further
+// use.
 bool sync_and_close(int fd, bool written) {
     const bool synced = written && ::fsync(fd) == 0;
     const int code = errno;
     const bool closed = ::close(fd) == 0 || errno == EINTR;
-    if (!synced) errno = code;
+    if (!synced)
+        errno = code;
     return synced && closed;
 }
 
@@ -46,10 +50,14 @@
         return Error{file + ": " + what + ": " + std::strerror(code), code};
     };
     const int fd = ::open(beside.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644);
-    if (fd < 0) return failed("cannot be created");
-    if (!sync_and_close(fd, write_whole(fd, content))) return failed("cannot be written");
-    if (std::rename(beside.c_str(), file.c_str()) != 0) return failed("cannot be replaced");
-    if (!sync_folder_of(file)) return Error{file + ": its folder cannot be synced: " + std::strerror(errno), errno};
+    if (fd < 0)
+        return failed("cannot be created");
+    if (!sync_and_close(fd, write_whole(fd, content)))
+        return failed("cannot be written");
+    if (std::rename(beside.c_str(), file.c_str()) != 0)
+        return failed("cannot be replaced");
+    if (!sync_folder_of(file))
+        return Error{file + ": its folder cannot be synced: " + std::strerror(errno), errno};
     return true;
 }
 
--- a/src/base/random.hpp
+++ b/src/base/random.hpp
@@ -18,11 +18,21 @@
         z = (z ^ (z >> 27)) * 0x94d049bb133111ebULL;
         return z ^ (z >> 31);
     }
-    double uniform() { return static_cast<double>(next() >> 11) * 0x1p-53; }  // in [0, 1)
-    double uniform(double low, double high) { return low + (high - low) * uniform(); }
-    std::uint64_t below(std::uint64_t n) { return n == 0 ? 0 : next() % n; }
-    bool chance(double p) { return uniform() < p; }
-    double exponential(double mean) { return -mean * std::log1p(-uniform()); }
+    double uniform() {
+        return static_cast<double>(next() >> 11) * 0x1p-53;
+    }  // in [0, 1)
+    double uniform(double low, double high) {
+        return low + (high - low) * uniform();
+    }
+    std::uint64_t below(std::uint64_t n) {
+        return n == 0 ? 0 : next() % n;
+    }
+    bool chance(double p) {
+        return uniform() < p;
+    }
+    double exponential(double mean) {
+        return -mean * std::log1p(-uniform());
+    }
     // By mean and CV (standard deviation over mean).
     double lognormal(double mean, double cv) {
         const double s2 = std::log1p(cv * cv);
@@ -31,7 +41,8 @@
     }
     std::string hex(int digits) {
         std::string text;
-        for (int i = 0; i < digits; ++i) text.push_back("0123456789abcdef"[next() >> 60]);
+        for (int i = 0; i < digits; ++i)
+            text.push_back("0123456789abcdef"[next() >> 60]);
         return text;
     }
 
--- a/src/base/result.hpp
+++ b/src/base/result.hpp
@@ -19,14 +19,30 @@
     Result(T value) : held_(std::in_place_index<0>, std::move(value)) {}
     Result(Error error) : held_(std::in_place_index<1>, std::move(error)) {}
 
-    bool ok() const { return held_.index() == 0; }
-    explicit operator bool() const { return ok(); }
-    T& operator*() { return assert(ok()), *std::get_if<0>(&held_); }
-    const T& operator*() const { return assert(ok()), *std::get_if<0>(&held_); }
-    T* operator->() { return &**this; }
-    const T* operator->() const { return &**this; }
-    const std::string& error() const { return failure().text; }
-    const Error& failure() const { return assert(!ok()), *std::get_if<1>(&held_); }
+    bool ok() const {
+        return held_.index() == 0;
+    }
+    explicit operator bool() const {
+        return ok();
+    }
+    T& operator*() {
+        return assert(ok()), *std::get_if<0>(&held_);
+    }
+    const T& operator*() const {
+        return assert(ok()), *std::get_if<0>(&held_);
+    }
+    T* operator->() {
+        return &**this;
+    }
+    const T* operator->() const {
+        return &**this;
+    }
+    const std::string& error() const {
+        return failure().text;
+    }
+    const Error& failure() const {
+        return assert(!ok()), *std::get_if<1>(&held_);
+    }
 
 private:
     std::variant<T, Error> held_;
--- a/src/base/text.hpp
+++ b/src/base/text.hpp
@@ -11,16 +11,20 @@
 
 namespace gatetiller {
 
-inline char lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c; }
+inline char lower(char c) {
+    return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c;
+}
 
 inline bool same_word(std::string_view a, std::string_view b) {  // without regard to ASCII case
-    return a.size() == b.size() &&
-           std::equal(a.begin(), a.end(), b.begin(), [](char x, char y) { return lower(x) == lower(y); });
+    return a.size() == b.size() && std::equal(a.begin(), a.end(), b.begin(), [](char x, char y) {
+               return lower(x) == lower(y);
+           });
 }
 
 inline std::string_view trimmed(std::string_view text) {
     const auto from = text.find_first_not_of(" \t");
-    if (from == std::string_view::npos) return {};
+    if (from == std::string_view::npos)
+        return {};
     return text.substr(from, text.find_last_not_of(" \t") - from + 1);
 }
 
@@ -29,7 +33,8 @@
     std::vector<std::string_view> parts;
     for (std::size_t at = 0; at <= text.size();) {
         const std::size_t end = std::min(text.find(separator, at), text.size());
-        if (const auto part = trimmed(text.substr(at, end - at)); !part.empty()) parts.push_back(part);
+        if (const auto part = trimmed(text.substr(at, end - at)); !part.empty())
+            parts.push_back(part);
         at = end + 1;
     }
     return parts;
@@ -40,14 +45,16 @@
 std::optional<T> to_number(std::string_view text) {
     T value{};
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-    if (error != std::errc() || end != text.data() + text.size() || text.empty()) return std::nullopt;
+    if (error != std::errc() || end != text.data() + text.size() || text.empty())
+        return std::nullopt;
     return value;
 }
 
 // FNV-1a: the same number for the same text on every machine. `seed` gives another family of them.
 inline std::uint64_t hash_of(std::string_view text, std::uint64_t seed = 0) {
     std::uint64_t hash = 14695981039346656037ULL ^ seed;
-    for (const char c : text) hash = (hash ^ static_cast<unsigned char>(c)) * 1099511628211ULL;
+    for (const char c : text)
+        hash = (hash ^ static_cast<unsigned char>(c)) * 1099511628211ULL;
     return hash;
 }
 
@@ -55,12 +62,17 @@
 inline bool glob_matches(std::string_view pattern, std::string_view text) {
     std::size_t p = 0, t = 0, star = std::string_view::npos, mark = 0;
     while (t < text.size()) {
-        if (p < pattern.size() && pattern[p] == '*') star = p++, mark = t;
-        else if (p < pattern.size() && pattern[p] == text[t]) ++p, ++t;
-        else if (star != std::string_view::npos) p = star + 1, t = ++mark;
-        else return false;
+        if (p < pattern.size() && pattern[p] == '*')
+            star = p++, mark = t;
+        else if (p < pattern.size() && pattern[p] == text[t])
+            ++p, ++t;
+        else if (star != std::string_view::npos)
+            p = star + 1, t = ++mark;
+        else
+            return false;
     }
-    while (p < pattern.size() && pattern[p] == '*') ++p;
+    while (p < pattern.size() && pattern[p] == '*')
+        ++p;
     return p == pattern.size();
 }
 
--- a/src/base/units.hpp
+++ b/src/base/units.hpp
@@ -26,12 +26,15 @@
         return Error{"'" + std::string(text) + "' is not a " + what + ": " + why +
                      "; write a number and one of " + allowed};
     };
-    if (end == std::string_view::npos) return wrong("the unit is missing");
+    if (end == std::string_view::npos)
+        return wrong("the unit is missing");
     const auto value = to_number<double>(t.substr(0, end));
-    if (!value || !std::isfinite(*value)) return wrong("it does not begin with a number");
+    if (!value || !std::isfinite(*value))
+        return wrong("it does not begin with a number");
     for (const Unit& unit : units)
         if (unit.name == trimmed(t.substr(end))) {
-            if (*value * unit.factor > 9e18) return wrong("it is too large");
+            if (*value * unit.factor > 9e18)
+                return wrong("it is too large");
             return *value * unit.factor;
         }
     return wrong("the unit is not known");
@@ -43,7 +46,8 @@
     constexpr units::Unit kUnits[] = {{"us", 1},       {"ms", 1e3},       {"s", 1e6},
                                       {"m", 60 * 1e6}, {"h", 3600 * 1e6}, {"d", 86400 * 1e6}};
     const auto value = units::with_unit(text, kUnits, "time", "us, ms, s, m, h, d");
-    if (!value) return Error{value.error()};
+    if (!value)
+        return Error{value.error()};
     return static_cast<Micros>(std::llround(*value));
 }
 
--- a/src/bench/wire.cpp
+++ b/src/bench/wire.cpp
@@ -35,20 +35,25 @@
             if (equals == std::string_view::npos || equals > end)
                 throw WireError("a part without '=': '" + std::string(rest.substr(0, end)) + "'");
             const std::string_view key = rest.substr(0, equals);
-            if (std::ranges::find(kTextFields, key) != std::end(kTextFields)) end = std::string_view::npos;
+            if (std::ranges::find(kTextFields, key) != std::end(kTextFields))
+                end = std::string_view::npos;
             fields_.emplace_back(key, rest.substr(0, end).substr(equals + 1));
             tab = end == std::string_view::npos ? end : tab + 1 + end;
         }
     }
-    std::string_view name() const { return name_; }
+    std::string_view name() const {
+        return name_;
+    }
     std::optional<std::string_view> find(std::string_view key) const {
         for (const auto& [name, value] : fields_)
-            if (name == key) return value;
+            if (name == key)
+                return value;
         return std::nullopt;
     }
     std::string_view text(std::string_view key) const {
         const auto value = find(key);
-        if (!value) throw WireError(std::string(name_) + " lacks " + std::string(key));
+        if (!value)
+            throw WireError(std::string(name_) + " lacks " + std::string(key));
         return *value;
     }
     template <typename T>
@@ -76,7 +81,8 @@
 template <typename T, std::size_t N>
 T named(const std::pair<std::string_view, T> (&table)[N], std::string_view word, std::string_view field) {
     for (const auto& [name, value] : table)
-        if (name == word) return value;
+        if (name == word)
+            return value;
     throw WireError("unknown word in " + std::string(field) + ": '" + std::string(word) + "'");
 }
 
@@ -96,7 +102,8 @@
                                                             {"lost", ListForm::lost}};
 
 std::optional<Report> parse_report(std::optional<std::string_view> text) {
-    if (!text || text->empty()) return std::nullopt;
+    if (!text || text->empty())
+        return std::nullopt;
     Report report;
     for (std::size_t at = 0; at <= text->size();) {
         const std::size_t comma = std::min(text->find(',', at), text->size());
@@ -118,14 +125,17 @@
 
 std::string decode_base64(std::string_view text) {
     std::string bytes;
-    if (text == "-") return bytes;
-    if (text.empty() || text.size() % 4 != 0) throw WireError("base64 of a wrong length");
+    if (text == "-")
+        return bytes;
+    if (text.empty() || text.size() % 4 != 0)
+        throw WireError("base64 of a wrong length");
     const std::size_t padding = text.ends_with("==") ? 2 : text.ends_with('=') ? 1 : 0;
     std::uint32_t bits = 0;
     for (std::size_t i = 0; i < text.size(); ++i) {
         const bool pad = i >= text.size() - padding;
         const std::size_t digit = pad ? 0 : kDigits.find(text[i]);
-        if (digit == std::string_view::npos) throw WireError("base64 with a character that does not belong");
+        if (digit == std::string_view::npos)
+            throw WireError("base64 with a character that does not belong");
         bits = bits << 6 | static_cast<std::uint32_t>(digit);
         if (i % 4 == 3)
             for (int shift = 16; shift >= 0; shift -= 8)
@@ -136,7 +146,8 @@
 }
 
 std::string encode_base64(std::string_view bytes) {
-    if (bytes.empty()) return "-";
+    if (bytes.empty())
+        return "-";
     std::string text;
     for (std::size_t i = 0; i < bytes.size(); i += 3) {
         std::uint32_t bits = 0;
@@ -151,14 +162,16 @@
 void Host::open_page(std::string_view line) {
     const Fields f(line);
     page_open_ = f.get<std::size_t>("page");
-    if (page_open_ >= pages_.size()) throw WireError("a list's number is out of range");
+    if (page_open_ >= pages_.size())
+        throw WireError("a list's number is out of range");
     entries_due_ = f.get<std::size_t>("hosts");
     pages_[page_open_].clear();
 }
 
 void Host::add_entry(std::string_view line) {
     const Fields f(line);
-    if (f.name() != "entry") throw WireError("a list ends early: '" + std::string(f.name()) + "'");
+    if (f.name() != "entry")
+        throw WireError("a list ends early: '" + std::string(f.name()) + "'");
     pages_[page_open_].push_back({f.get<EngineId>("engine"), named(kStates, f.text("state"), "state"),
                                   std::string(f.find("failure_domain").value_or("")),
                                   std::string(f.find("type").value_or("")), f.get<std::int64_t>("cluster", 0),
@@ -171,15 +184,18 @@
         add_entry(line);
         return false;
     }
-    if (line.empty()) return false;
+    if (line.empty())
+        return false;
     const std::string_view name = line.substr(0, line.find('\t'));
     if (name == "begin_batch") {
-        if (in_batch_) throw WireError("a batch begins inside another");
+        if (in_batch_)
+            throw WireError("a batch begins inside another");
         now_ = Fields(line).get<Micros>("at_time_us");
         in_batch_ = true;
         return false;
     }
-    if (!in_batch_) throw WireError("a line outside a batch: '" + std::string(name) + "'");
+    if (!in_batch_)
+        throw WireError("a line outside a batch: '" + std::string(name) + "'");
     if (name == "commit") {
         in_batch_ = false;
         return true;
@@ -191,21 +207,28 @@
     constexpr std::string_view kEvents[] = {"create", "backends_changed", "demand",    "peer_data", "begun",
                                             "gone",   "completed",        "update_of", "echo",      "halt",
                                             "bell"};
-    if (std::ranges::find(kEvents, name) == std::end(kEvents)) return false;  // later versions may add events
+    if (std::ranges::find(kEvents, name) == std::end(kEvents))
+        return false;  // later versions may add events
     const Fields f(line);
     const int instance = f.get<int>("i");
     if (name == "create") {
         brains_.erase(instance);
         auto settings = platform::parse_settings(f.text("boot_info"));
-        if (!settings) throw WireError(settings.error());
+        if (!settings)
+            throw WireError(settings.error());
         Brain brain(now_, f.get<std::uint64_t>("random_seed"), std::move(*settings));
         emit(instance, brains_.emplace(instance, std::move(brain)).first->second.start());
         return false;
     }
     const auto found = brains_.find(instance);
-    if (found == brains_.end()) throw WireError("an unknown instance: " + std::to_string(instance));
-    const auto id = [&] { return std::string(f.text("corr")); };
-    const auto engine = [&] { return f.get<EngineId>("engine"); };
+    if (found == brains_.end())
+        throw WireError("an unknown instance: " + std::to_string(instance));
+    const auto id = [&] {
+        return std::string(f.text("corr"));
+    };
+    const auto engine = [&] {
+        return f.get<EngineId>("engine");
+    };
     Event event;
     if (name == "halt") {
         brains_.erase(found);
@@ -215,7 +238,8 @@
         ListChange change{named(kForms, f.text("form"), "form"), {}};
         if (change.form != ListForm::lost) {
             const auto page = f.get<std::size_t>("page");
-            if (page >= pages_.size()) throw WireError("a list's number is out of range");
+            if (page >= pages_.size())
+                throw WireError("a list's number is out of range");
             change.engines = pages_[page];
         }
         event = std::move(change);
@@ -226,7 +250,8 @@
         d.tenant = f.find("billing").value_or("");
         d.key = f.find("relation").value_or("");
         d.time_left = f.get<Micros>("grace_us");
-        if (f.find("plan_cost_us")) d.cost = f.get<Micros>("plan_cost_us");
+        if (f.find("plan_cost_us"))
+            d.cost = f.get<Micros>("plan_cost_us");
         d.memory_mb = f.get<double>("mem_mb", 0);
         d.group = static_cast<std::int64_t>(f.get<double>("table_group", 0));
         d.repeat = f.flag("repeat");
@@ -250,7 +275,8 @@
                           parse_report(f.find("feedback"))};
     } else if (name == "update_of") {
         const int topic = f.get<int>("topic");
-        if (topic < 1 || topic > 3) return false;
+        if (topic < 1 || topic > 3)
+            return false;
         event =
             Note{id(), f.get<int>("hop"), engine(), static_cast<NoteTopic>(topic), f.get<double>("value")};
     } else if (name == "echo") {
@@ -265,7 +291,9 @@
 
 void Host::emit(int instance, const std::vector<Action>& actions) {
     const std::string i = "\ti=" + std::to_string(instance);
-    const auto str = [](auto value) { return std::to_string(value); };
+    const auto str = [](auto value) {
+        return std::to_string(value);
+    };
     for (const Action& action : actions) {
         out_ += std::visit(
             Overloaded{[&](const Send& a) {
@@ -279,15 +307,21 @@
                        [&](const Refuse& a) {
                            return "not_now" + i + "\tcorr=" + a.id + "\tcome_back_us=" + str(a.come_back);
                        },
-                       [&](const Fail& a) { return "abort" + i + "\tcorr=" + a.id; },
+                       [&](const Fail& a) {
+                           return "abort" + i + "\tcorr=" + a.id;
+                       },
                        [&](const Cancel& a) {
                            return "stop_attempt" + i + "\tcorr=" + a.id + "\thop=" + str(a.attempt);
                        },
-                       [&](const Probe& a) { return "touch" + i + "\tengine=" + str(a.engine); },
+                       [&](const Probe& a) {
+                           return "touch" + i + "\tengine=" + str(a.engine);
+                       },
                        [&](const Tell& a) {
                            return "memo_to" + i + "\taddressee=*\tbytes=" + encode_base64(a.bytes);
                        },
-                       [&](const Observe&) { return "observe" + i + "\twant=1"; },
+                       [&](const Observe&) {
+                           return "observe" + i + "\twant=1";
+                       },
                        [&](const SetTimer& a) {
                            return "after" + i + "\tsleep_for_us=" + str(a.delay) + "\tname=" + str(a.name);
                        }},
@@ -309,8 +343,10 @@
     try {
         while (std::getline(in, line)) {
             ++count;
-            if (!line.empty() && line.back() == '\r') line.pop_back();
-            if (host.take(line)) out << host.reply() << std::flush;
+            if (!line.empty() && line.back() == '\r')
+                line.pop_back();
+            if (host.take(line))
+                out << host.reply() << std::flush;
         }
     } catch (const std::exception& error) {
         errors << "gatetiller_wirehost: line " << count << ": " << error.what() << '\n';
--- a/src/cli/lab.cpp
+++ b/src/cli/lab.cpp
@@ -17,11 +17,14 @@
 // A day drawn by the operators' bench; what it holds beyond a script is told.
 Result<lab::Script> from_bench(const std::string& name, const std::string& text) {
     const auto json = nlohmann::json::parse(text, nullptr, false);
-    if (json.is_discarded()) return Error{name + ": not JSON"};
+    if (json.is_discarded())
+        return Error{name + ": not JSON"};
     std::vector<std::string> left_out;
     const auto script = lab::script_of_bench_day(json, left_out);
-    if (!script) return Error{name + ": " + script.error()};
-    for (const auto& what : left_out) std::fprintf(stderr, "left out: %s\n", what.c_str());
+    if (!script)
+        return Error{name + ": " + script.error()};
+    for (const auto& what : left_out)
+        std::fprintf(stderr, "left out: %s\n", what.c_str());
     return lab::load_script(name, script->dump(1));
 }
 
@@ -43,12 +46,16 @@
         common.code = 1;
         const auto text = config::whole_file(*script);
         auto loaded = text ? lab::load_script(*script, *text) : Result<lab::Script>(Error{text.error()});
-        if (text && script->ends_with(".json")) loaded = from_bench(*script, *text);
-        if (!loaded) return void(std::fprintf(stderr, "%s\n", loaded.error().c_str()));
-        if (*seed != 0) loaded->seed = *seed;
+        if (text && script->ends_with(".json"))
+            loaded = from_bench(*script, *text);
+        if (!loaded)
+            return void(std::fprintf(stderr, "%s\n", loaded.error().c_str()));
+        if (*seed != 0)
+            loaded->seed = *seed;
         auto result =
             lab::run_day(*loaded, {std::filesystem::read_symlink("/proc/self/exe").string(), *folder});
-        if (!result) return void(std::fprintf(stderr, "%s\n", result.error().c_str()));
+        if (!result)
+            return void(std::fprintf(stderr, "%s\n", result.error().c_str()));
         std::fputs(lab::report_of(*result).c_str(), stdout);
         common.code = result->judgement.violations.empty() && result->settled ? 0 : 1;
     });
@@ -67,8 +74,10 @@
     cost->callback([=, &common] {
         o->program = std::filesystem::read_symlink("/proc/self/exe").string();
         const auto table = lab::measure_cost(*o);
-        if (table) std::fputs(table->c_str(), stdout);
-        else std::fprintf(stderr, "%s\n", table.error().c_str());
+        if (table)
+            std::fputs(table->c_str(), stdout);
+        else
+            std::fprintf(stderr, "%s\n", table.error().c_str());
         common.code = table ? 0 : 1;
     });
 
@@ -95,9 +104,11 @@
         std::string reports[2];
         for (auto& report : reports) {  // twice: the same to the byte
             const auto done = lab::run_virtual_day(*v);
-            if (!done) return void(std::fprintf(stderr, "%s\n", done.error().c_str()));
+            if (!done)
+                return void(std::fprintf(stderr, "%s\n", done.error().c_str()));
             report = done->report;
-            if (&report != reports) break;
+            if (&report != reports)
+                break;
             std::printf(
                 "%zu requests in %.1f virtual seconds, %llu events; fronts killed %zu times, %zu gaps, the "
                 "longest %lld ms\n"
@@ -111,7 +122,8 @@
         }
         std::printf("%s\n", reports[0] == reports[1] ? "the same day twice gave the same report"
                                                      : "THE SAME DAY TWICE GAVE TWO REPORTS");
-        if (reports[0] != reports[1]) common.code = 1;
+        if (reports[0] != reports[1])
+            common.code = 1;
     });
 
     auto* books = lab->add_subcommand("books", "a large month's ledger: writing, restart, report");
@@ -126,8 +138,10 @@
     books->footer("Example: gatetiller lab books --requests 1000000");
     books->callback([=, &common] {
         const auto table = lab::measure_books(*b);
-        if (table) std::fputs(table->c_str(), stdout);
-        else std::fprintf(stderr, "%s\n", table.error().c_str());
+        if (table)
+            std::fputs(table->c_str(), stdout);
+        else
+            std::fprintf(stderr, "%s\n", table.error().c_str());
         common.code = table ? 0 : 1;
     });
 
@@ -138,7 +152,8 @@
     check->callback([=, &common] {
         common.code = 1;
         const auto records = lab::load_records(*paths);
-        if (!records) return void(std::fprintf(stderr, "%s\n", records.error().c_str()));
+        if (!records)
+            return void(std::fprintf(stderr, "%s\n", records.error().c_str()));
         const auto judgement = lab::judge(*records);
         std::fputs(lab::report_of(judgement).c_str(), stdout);
         common.code = judgement.violations.empty() ? 0 : 1;
--- a/src/cli/log_output.cpp
+++ b/src/cli/log_output.cpp
@@ -14,9 +14,11 @@
 
 LogOutput::LogOutput(int descriptor) : given_(descriptor) {
     struct stat info {};
-    if (::fstat(descriptor, &info) != 0 || S_ISREG(info.st_mode)) return;
+    if (::fstat(descriptor, &info) != 0 || S_ISREG(info.st_mode))
+        return;
     kind_ = S_ISSOCK(info.st_mode) ? Kind::socket : Kind::pipe;
-    if (kind_ == Kind::socket) return;
+    if (kind_ == Kind::socket)
+        return;
     // O_NONBLOCK belongs to the description, which other processes may share: so one of our own.
     const std::string path = "/proc/self/fd/" + std::to_string(descriptor);
     own_ = ::open(path.c_str(), O_WRONLY | O_APPEND | O_NONBLOCK | O_NOCTTY | O_CLOEXEC);
@@ -24,7 +26,8 @@
 
 LogOutput::~LogOutput() {
     flush();
-    if (own_ >= 0) ::close(own_);
+    if (own_ >= 0)
+        ::close(own_);
 }
 
 bool LogOutput::may_write() const {
@@ -33,9 +36,12 @@
 }
 
 long LogOutput::write_some(std::string_view bytes) const {
-    if (kind_ == Kind::socket) return ::send(given_, bytes.data(), bytes.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
-    if (own_ >= 0) return ::write(own_, bytes.data(), bytes.size());
-    if (kind_ == Kind::file) return ::write(given_, bytes.data(), bytes.size());
+    if (kind_ == Kind::socket)
+        return ::send(given_, bytes.data(), bytes.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
+    if (own_ >= 0)
+        return ::write(own_, bytes.data(), bytes.size());
+    if (kind_ == Kind::file)
+        return ::write(given_, bytes.data(), bytes.size());
     // A pipe that can't be opened again: where poll says that it is ready, so many bytes don't block.
     if (!may_write()) {
         errno = EAGAIN;
@@ -52,8 +58,10 @@
             written += static_cast<std::size_t>(n);
             continue;
         }
-        if (n < 0 && errno == EINTR) continue;
-        if (n < 0 && errno == EAGAIN) break;
+        if (n < 0 && errno == EINTR)
+            continue;
+        if (n < 0 && errno == EAGAIN)
+            break;
         // Its reader has gone, its disk is full or broken: what is kept may never be written.
         pending_.erase(0, written);
         return lose_pending();
@@ -62,8 +70,10 @@
 }
 
 void LogOutput::keep(std::string_view line) {
-    if (pending_.size() + line.size() > kPendingMost) ++lost_;
-    else pending_.append(line);
+    if (pending_.size() + line.size() > kPendingMost)
+        ++lost_;
+    else
+        pending_.append(line);
 }
 
 void LogOutput::lose_pending() {
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -24,7 +24,9 @@
     app.parse_complete_callback([&] {
         common.format_given = app.count("--log-format") > 0;
         common.level_given = app.count("--log-level") > 0;
-        const auto chosen = [&](const char* name) { return app.got_subcommand(name); };
+        const auto chosen = [&](const char* name) {
+            return app.got_subcommand(name);
+        };
         if (!chosen("node") && !chosen("serve") && !chosen("engine") && !chosen("demo"))
             gatetiller::cli::restore_default_signals();
     });
--- a/src/cli/node.cpp
+++ b/src/cli/node.cpp
@@ -13,18 +13,22 @@
 namespace gatetiller::cli {
 namespace {
 
-constexpr Micros kReadAgain = 100 * kMillisecond;  // a configuration that can't be read; then twice as long each time
+constexpr Micros kReadAgain =
+    100 * kMillisecond;  // a configuration that can't be read; then twice as long each time
 constexpr Micros kReadAgainMost = 2 * kSecondMicros;
 constexpr int kReads = 16;
-constexpr Micros kConfigPatience = 3 * kSecondMicros;  // with a configuration that may be half written, at the start
+constexpr Micros kConfigPatience =
+    3 * kSecondMicros;  // with a configuration that may be half written, at the start
 
-// A new configuration at SIGHUP. Whoever writes it may signal while it is half written: one that can't be read is read
-// again for a while.
+// A new configuration at SIGHUP. Whoever writes it may signal while it is half written: one that can't be
+// read is read again for a while.
 class Reload {
 public:
     Reload(net::PollLoop& loop, std::string file, node::Node& front, std::shared_ptr<spdlog::logger> log)
         : loop_(loop), file_(std::move(file)), front_(front), log_(std::move(log)) {}
-    ~Reload() { loop_.cancel(timer_); }
+    ~Reload() {
+        loop_.cancel(timer_);
+    }
 
     void begin() {
         reads_ = 0;
@@ -61,26 +65,44 @@
     const auto [output, log] = make_logger(common.log_format, common.log_level);
     net::PollLoop loop({.input = 96 * 1024});
     const auto settings = start_through_failures<node::NodeSettings>(
-        loop, *log, [&] { return node::load_config(file); }, kConfigPatience);
+        loop, *log,
+        [&] {
+            return node::load_config(file);
+        },
+        kConfigPatience);
     if (!settings) {
         std::fprintf(stderr, "%s\n", settings.error().c_str());
         return 1;
     }
     node::NodeDeps deps;
-    deps.log = [log = log](const std::string& t) { log->info(t); };
-    if (log->should_log(spdlog::level::debug)) deps.trace = [log = log](const std::string& t) { log->debug(t); };
-    deps.log_lines_lost = [output = output] { return output->lost(); };
+    deps.log = [log = log](const std::string& t) {
+        log->info(t);
+    };
+    if (log->should_log(spdlog::level::debug))
+        deps.trace = [log = log](const std::string& t) {
+            log->debug(t);
+        };
+    deps.log_lines_lost = [output = output] {
+        return output->lost();
+    };
     node::Node front(loop, *settings, deps);
     Reload reload(loop, file, front, log);
     const auto on_signal = [&](int signal) {
-        if (signal == SIGHUP) return reload.begin();
+        if (signal == SIGHUP)
+            return reload.begin();
         log->info(std::string("signal ") + (signal == SIGTERM ? "SIGTERM" : "SIGINT"));
-        front.drain([&] { loop.stop(); });
+        front.drain([&] {
+            loop.stop();
+        });
     };
-    const auto hears = start_through_failures<bool>(
-        loop, *log, [&] { return loop.on_signals({SIGTERM, SIGINT, SIGHUP}, on_signal); });
-    const auto bound = start_through_failures<net::Address>(loop, *log, [&] { return front.start(); });
-    if (loop.stopped()) return 0;  // told to end before it was ready
+    const auto hears = start_through_failures<bool>(loop, *log, [&] {
+        return loop.on_signals({SIGTERM, SIGINT, SIGHUP}, on_signal);
+    });
+    const auto bound = start_through_failures<net::Address>(loop, *log, [&] {
+        return front.start();
+    });
+    if (loop.stopped())
+        return 0;  // told to end before it was ready
     if (!hears || !bound) {
         std::fprintf(stderr, "%s\n", (hears ? bound.error() : hears.error()).c_str());
         return 1;
@@ -88,8 +110,10 @@
     const decide::ReadyFacts facts{front.has_list() && !planted("ready_without_list"),
                                    front.listens() && !planted("ready_without_listener"),
                                    hears.ok() && !planted("ready_without_signals")};
-    if (decide::StartGuard::permit(facts)) say_line(bound->text());
-    else front.count(*decide::StartGuard::forbids(facts), "start");
+    if (decide::StartGuard::permit(facts))
+        say_line(bound->text());
+    else
+        front.count(*decide::StartGuard::forbids(facts), "start");
     loop.run();
     return 0;
 }
@@ -103,7 +127,9 @@
         ->envname("EDGE_CONFIG")
         ->required();
     cmd->footer("Example: EDGE_CONFIG=/run/balancer/config.json gatetiller node");
-    cmd->callback([=, &common] { common.code = run_node(*file, common); });
+    cmd->callback([=, &common] {
+        common.code = run_node(*file, common);
+    });
 }
 
 }  // namespace gatetiller::cli
--- a/src/cli/process.cpp
+++ b/src/cli/process.cpp
@@ -33,7 +33,9 @@
         formatter_->format(message, line);
         output_->write({line.data(), line.size()});
     }
-    void flush_() override { output_->flush(); }
+    void flush_() override {
+        output_->flush();
+    }
 
     std::shared_ptr<LogOutput> output_;
 };
@@ -43,17 +45,23 @@
     std::size_t got = 0;
     while (got < size) {
         const ssize_t n = ::getrandom(bytes + got, size - got, 0);
-        if (n > 0) got += static_cast<std::size_t>(n);
-        else if (n < 0 && errno != EINTR) break;
+        if (n > 0)
+            got += static_cast<std::size_t>(n);
+        else if (n < 0 && errno != EINTR)
+            break;
     }
-    if (got == size) return true;
+    if (got == size)
+        return true;
     const int fd = ::open("/dev/urandom", O_RDONLY | O_CLOEXEC);
     while (fd >= 0 && got < size) {
         const ssize_t n = ::read(fd, bytes + got, size - got);
-        if (n > 0) got += static_cast<std::size_t>(n);
-        else if (n == 0 || errno != EINTR) break;
+        if (n > 0)
+            got += static_cast<std::size_t>(n);
+        else if (n == 0 || errno != EINTR)
+            break;
     }
-    if (fd >= 0) ::close(fd);
+    if (fd >= 0)
+        ::close(fd);
     return got == size;
 }
 
@@ -67,7 +75,8 @@
 void restore_default_signals() {
     sigset_t set;
     sigemptyset(&set);
-    for (const int s : service_signals()) sigaddset(&set, s);
+    for (const int s : service_signals())
+        sigaddset(&set, s);
     pthread_sigmask(SIG_UNBLOCK, &set, nullptr);
 }
 
@@ -90,7 +99,8 @@
 
 std::string entropy() {
     unsigned char bytes[16];
-    if (!fill_random(bytes, sizeof bytes)) std::abort();  // slugs that can be guessed would be worse
+    if (!fill_random(bytes, sizeof bytes))
+        std::abort();  // slugs that can be guessed would be worse
     std::string hex;
     for (const unsigned char b : bytes) {
         hex += "0123456789abcdef"[b >> 4];
@@ -101,7 +111,8 @@
 
 std::uint64_t random_seed() {
     std::uint64_t seed = 0;
-    if (!fill_random(reinterpret_cast<unsigned char*>(&seed), sizeof seed)) std::abort();
+    if (!fill_random(reinterpret_cast<unsigned char*>(&seed), sizeof seed))
+        std::abort();
     return seed;
 }
 
@@ -109,18 +120,24 @@
     : loop_(loop), log_(log), until_(loop.now() + patience) {}
 
 bool StartRetry::wait(const Error& error) {
-    if (!net::passes_at_start(error.code) || loop_.now() >= until_) return false;
-    if (!std::exchange(told_, true)) log_.warn(error.text + ": tried again");
+    if (!net::passes_at_start(error.code) || loop_.now() >= until_)
+        return false;
+    if (!std::exchange(told_, true))
+        log_.warn(error.text + ": tried again");
     bool over = false;
-    const auto timer = loop_.after(kStartAgain, [&over] { over = true; });
-    while (!over && !loop_.stopped()) loop_.turn(kStartAgain);
+    const auto timer = loop_.after(kStartAgain, [&over] {
+        over = true;
+    });
+    while (!over && !loop_.stopped())
+        loop_.turn(kStartAgain);
     loop_.cancel(timer);
     return !loop_.stopped();
 }
 
 std::size_t raise_open_files() {
     rlimit limit{};
-    if (::getrlimit(RLIMIT_NOFILE, &limit) != 0) return 0;
+    if (::getrlimit(RLIMIT_NOFILE, &limit) != 0)
+        return 0;
     limit.rlim_cur = limit.rlim_max;
     ::setrlimit(RLIMIT_NOFILE, &limit);
     return limit.rlim_cur;
--- a/src/cli/process.hpp
+++ b/src/cli/process.hpp
@@ -14,8 +14,8 @@
 
 namespace gatetiller::cli {
 
-// For main, before anything else: a reader of ours that goes away must not end the process, and signals to end or to
-// reload wait for the loop that handles them.
+// For main, before anything else: a reader of ours that goes away must not end the process, and signals to
+// end or to reload wait for the loop that handles them.
 void prepare_process();
 // For sub-commands that serve nobody: SIGTERM, SIGINT and SIGHUP act as usual again.
 void restore_default_signals();
@@ -36,11 +36,11 @@
 
 constexpr Micros kStartPatience = 20 * kSecondMicros;  // a platform waits for 30 s
 
-// Calls `start` until it succeeds or fails for a reason that doesn't pass, for `patience` at most. The loop turns
-// meanwhile; an error where it was stopped.
+// Calls `start` until it succeeds or fails for a reason that doesn't pass, for `patience` at most. The loop
+// turns meanwhile; an error where it was stopped.
 template <typename T>
-Result<T> start_through_failures(net::PollLoop& loop, spdlog::logger& log, const std::function<Result<T>()>& start,
-                                 Micros patience = kStartPatience);
+Result<T> start_through_failures(net::PollLoop& loop, spdlog::logger& log,
+                                 const std::function<Result<T>()>& start, Micros patience = kStartPatience);
 
 // ---- Implementation
 
@@ -58,12 +58,13 @@
 };
 
 template <typename T>
-Result<T> start_through_failures(net::PollLoop& loop, spdlog::logger& log, const std::function<Result<T>()>& start,
-                                 Micros patience) {
+Result<T> start_through_failures(net::PollLoop& loop, spdlog::logger& log,
+                                 const std::function<Result<T>()>& start, Micros patience) {
     StartRetry retry(loop, log, patience);
     for (;;) {
         auto started = start();
-        if (started || !retry.wait(started.failure())) return started;
+        if (started || !retry.wait(started.failure()))
+            return started;
     }
 }
 
--- a/src/cli/query.cpp
+++ b/src/cli/query.cpp
@@ -27,9 +27,11 @@
 }
 
 std::string csv(const std::string& text) {
-    if (text.find_first_of(",\"\n\r") == std::string::npos) return text;
+    if (text.find_first_of(",\"\n\r") == std::string::npos)
+        return text;
     std::string out = "\"";
-    for (const char c : text) out += c == '"' ? "\"\"" : std::string(1, c);
+    for (const char c : text)
+        out += c == '"' ? "\"\"" : std::string(1, c);
     return out + "\"";
 }
 
@@ -41,19 +43,23 @@
         if (!d.columns.empty() && names_.empty())
             for (const auto& column : nlohmann::json::parse(d.columns))
                 names_.push_back(column.value("name", "?"));
-        if (!d.has_rows()) return;
+        if (!d.has_rows())
+            return;
         const auto rows = nlohmann::json::parse(d.data);
-        if (!head_) head(rows);
+        if (!head_)
+            head(rows);
         for (const auto& row : rows) {
             ++count_;
             if (format_ == "json") {
                 nlohmann::ordered_json object;
-                for (std::size_t i = 0; i < row.size() && i < names_.size(); ++i) object[names_[i]] = row[i];
+                for (std::size_t i = 0; i < row.size() && i < names_.size(); ++i)
+                    object[names_[i]] = row[i];
                 std::printf("%s\n", object.dump().c_str());
                 continue;
             }
             for (std::size_t i = 0; i < row.size(); ++i) {
-                if (format_ == "csv") std::printf("%s%s", i ? "," : "", csv(cell(row[i])).c_str());
+                if (format_ == "csv")
+                    std::printf("%s%s", i ? "," : "", csv(cell(row[i])).c_str());
                 else
                     std::printf("%s%-*s", i ? " | " : "",
                                 static_cast<int>(i < widths_.size() ? widths_[i] : 0), cell(row[i]).c_str());
@@ -61,22 +67,29 @@
             std::printf("\n");
         }
     }
-    std::size_t count() const { return count_; }
+    std::size_t count() const {
+        return count_;
+    }
 
 private:
     void head(const nlohmann::json& rows) {
         head_ = true;
-        for (const auto& n : names_) widths_.push_back(n.size());
+        for (const auto& n : names_)
+            widths_.push_back(n.size());
         for (const auto& row : rows)
             for (std::size_t i = 0; i < row.size() && i < widths_.size(); ++i)
                 widths_[i] = std::max(widths_[i], cell(row[i]).size());
-        if (format_ == "json") return;
+        if (format_ == "json")
+            return;
         for (std::size_t i = 0; i < names_.size(); ++i) {
-            if (format_ == "csv") std::printf("%s%s", i ? "," : "", csv(names_[i]).c_str());
-            else std::printf("%s%-*s", i ? " | " : "", static_cast<int>(widths_[i]), names_[i].c_str());
+            if (format_ == "csv")
+                std::printf("%s%s", i ? "," : "", csv(names_[i]).c_str());
+            else
+                std::printf("%s%-*s", i ? " | " : "", static_cast<int>(widths_[i]), names_[i].c_str());
         }
         std::printf("\n");
-        if (format_ != "table") return;
+        if (format_ != "table")
+            return;
         for (std::size_t i = 0; i < widths_.size(); ++i)
             std::printf("%s%s", i ? "-+-" : "", std::string(widths_[i], '-').c_str());
         std::printf("\n");
@@ -91,7 +104,8 @@
 
 int ask(const Ask& q) {
     std::string host = q.server.starts_with("http://") ? q.server.substr(7) : q.server;
-    if (!host.empty() && host.back() == '/') host.pop_back();
+    if (!host.empty() && host.back() == '/')
+        host.pop_back();
     const auto address = net::Address::parse(host);
     if (!address) {
         std::fprintf(stderr, "--server: %s\n", address.error().c_str());
@@ -100,10 +114,14 @@
     http::Headers headers;
     headers.add("X-Trino-User", q.user);
     headers.add("X-Trino-Source", q.source);
-    if (!q.catalog.empty()) headers.add("X-Trino-Catalog", q.catalog);
-    if (!q.schema.empty()) headers.add("X-Trino-Schema", q.schema);
-    for (const auto& tag : q.tags) headers.add("X-Trino-Client-Tags", tag);
-    for (const auto& property : q.session) headers.add("X-Trino-Session", property);
+    if (!q.catalog.empty())
+        headers.add("X-Trino-Catalog", q.catalog);
+    if (!q.schema.empty())
+        headers.add("X-Trino-Schema", q.schema);
+    for (const auto& tag : q.tags)
+        headers.add("X-Trino-Client-Tags", tag);
+    for (const auto& property : q.session)
+        headers.add("X-Trino-Session", property);
 
     net::PollLoop loop;
     http::Client client(loop, *address,
@@ -115,7 +133,8 @@
     std::function<void()> go;
     const auto over = [&](const statement::ClientResult& r) {
         using How = statement::ClientResult::How;
-        if (terminal) std::fprintf(stderr, "\r\033[K");
+        if (terminal)
+            std::fprintf(stderr, "\r\033[K");
         // Turned away before it was taken: the protocol says to come back.
         const bool come_back = r.how == How::turned_away &&
                                (r.status == 429 || r.status == 502 || r.status == 503 || r.status == 504);
@@ -132,7 +151,8 @@
                          r.last.error->message.c_str());
         } else {
             code = 0;
-            if (q.format == "table") std::printf("(%zu rows)\n", printer.count());
+            if (q.format == "table")
+                std::printf("(%zu rows)\n", printer.count());
         }
         loop.stop();
     };
@@ -149,14 +169,21 @@
                           over});
     };
     const auto hears = loop.on_signals({SIGINT, SIGTERM}, [&](int) {
-        if (statement) statement->cancel();
-        loop.after(50 * kMillisecond, [&] { loop.stop(); });  // the DELETE goes out first
+        if (statement)
+            statement->cancel();
+        loop.after(50 * kMillisecond, [&] {
+            loop.stop();
+        });  // the DELETE goes out first
     });
-    if (!hears) std::fprintf(stderr, "%s: it can't be interrupted\n", hears.error().c_str());
+    if (!hears)
+        std::fprintf(stderr, "%s: it can't be interrupted\n", hears.error().c_str());
     loop.after(static_cast<Micros>(q.patience * kSecondMicros), [&] {
         std::fprintf(stderr, "no final answer within %g s: cancelled\n", q.patience);
-        if (statement) statement->cancel();
-        loop.after(50 * kMillisecond, [&] { loop.stop(); });
+        if (statement)
+            statement->cancel();
+        loop.after(50 * kMillisecond, [&] {
+            loop.stop();
+        });
     });
     go();
     loop.run();
--- a/src/cli/report.cpp
+++ b/src/cli/report.cpp
@@ -32,7 +32,8 @@
 Result<bool> open_books(store::Books& books, const Options& o) {
     if (o.books.empty() && o.ledgers.empty())
         return Error{"nothing to report on: give --books, or --ledger and --journal files"};
-    if (auto f = books.open(o.books.empty() ? ":memory:" : o.books)) return Error{f.text};
+    if (auto f = books.open(o.books.empty() ? ":memory:" : o.books))
+        return Error{f.text};
     const auto told = [](const std::string& file, const Result<store::Collected>& c) {
         std::fprintf(stderr,
                      "%s: %lld requests and %lld attempts new or told more of, %lld known; %lld queries new, "
@@ -40,18 +41,22 @@
                      file.c_str(), static_cast<long long>(c->requests), static_cast<long long>(c->attempts),
                      static_cast<long long>(c->known), static_cast<long long>(c->events),
                      static_cast<long long>(c->events_known));
-        for (const auto& t : c->troubles) std::fprintf(stderr, "%s\n", t.c_str());
+        for (const auto& t : c->troubles)
+            std::fprintf(stderr, "%s\n", t.c_str());
     };
     for (const auto& file : o.ledgers) {
         const auto c = books.collect_ledger(file);
-        if (!c) return Error{c.error()};
+        if (!c)
+            return Error{c.error()};
         told(file, c);
     }
     for (const auto& file : o.journals) {
         std::ifstream lines(file);
-        if (!lines) return Error{file + ": cannot be read"};
+        if (!lines)
+            return Error{file + ": cannot be read"};
         const auto c = books.collect_journal(file, lines);
-        if (!c) return Error{c.error()};
+        if (!c)
+            return Error{c.error()};
         told(file, c);
     }
     return true;
@@ -69,15 +74,19 @@
 
 Result<report::Report> report_of(store::Books& books, const Options& o) {
     const auto settlement = settlement_of(o);
-    if (!settlement) return Error{settlement.error()};
+    if (!settlement)
+        return Error{settlement.error()};
     auto calendar = calendar_of(o, settlement->zone);
-    if (!calendar) return Error{calendar.error()};
+    if (!calendar)
+        return Error{calendar.error()};
     report::Ask ask;
     for (const auto& name : o.list) {
         int found = -1;
         for (int i = 0; i < decide::kFindings; ++i)
-            if (name == decide::name_of(static_cast<decide::Finding>(i))) found = i;
-        if (found < 0) return Error{"'" + name + "' is not a finding; see docs/operators/charge-back.md"};
+            if (name == decide::name_of(static_cast<decide::Finding>(i)))
+                found = i;
+        if (found < 0)
+            return Error{"'" + name + "' is not a finding; see docs/operators/charge-back.md"};
         ask.list.push_back(static_cast<decide::Finding>(found));
     }
     return report::make_report(books, *settlement, std::move(*calendar), ask);
@@ -95,11 +104,14 @@
 
 int show(const Options& o) {
     const auto by = report::read_columns(o.by);
-    if (!by) return failed(by.error());
+    if (!by)
+        return failed(by.error());
     store::Books books;
-    if (const auto opened = open_books(books, o); !opened) return failed(opened.error());
+    if (const auto opened = open_books(books, o); !opened)
+        return failed(opened.error());
     const auto r = report_of(books, o);
-    if (!r) return failed(r.error());
+    if (!r)
+        return failed(r.error());
     return put_out(o.format == "csv"    ? report::to_csv(*r, *by)
                    : o.format == "json" ? report::to_json(*r).dump(2) + "\n"
                    : o.format == "html" ? report::to_html(*r, *by)
@@ -109,21 +121,27 @@
 
 int reconcile(const Options& o) {
     store::Books books;
-    if (const auto opened = open_books(books, o); !opened) return failed(opened.error());
+    if (const auto opened = open_books(books, o); !opened)
+        return failed(opened.error());
     const auto r = report_of(books, o);
-    if (!r) return failed(r.error());
+    if (!r)
+        return failed(r.error());
     const int wrote = put_out(report::findings_text(*r), o.out);
     return wrote != 0 || !report::all_explained(*r) ? 1 : 0;
 }
 
 int close(const Options& o) {
-    if (o.books.empty()) return failed("versions are kept with the books: give --books");
+    if (o.books.empty())
+        return failed("versions are kept with the books: give --books");
     store::Books books;
-    if (const auto opened = open_books(books, o); !opened) return failed(opened.error());
+    if (const auto opened = open_books(books, o); !opened)
+        return failed(opened.error());
     const auto r = report_of(books, o);
-    if (!r) return failed(r.error());
+    if (!r)
+        return failed(r.error());
     const auto kept = report::keep_version(books, *r, wall_now());
-    if (!kept) return failed(kept.error());
+    if (!kept)
+        return failed(kept.error());
     std::printf("version %lld%s\n%s", static_cast<long long>(kept->number),
                 kept->fresh ? "" : ", unchanged since it was made", kept->difference.c_str());
     return 0;
@@ -131,14 +149,20 @@
 
 int diff(const Options& o) {
     store::Books books;
-    if (const auto f = books.open(o.books, true)) return failed(f.text);
+    if (const auto f = books.open(o.books, true))
+        return failed(f.text);
     const auto settlement = settlement_of(o);
-    if (!settlement) return failed(settlement.error());
+    if (!settlement)
+        return failed(settlement.error());
     const auto calendar = calendar_of(o, settlement->zone);
-    if (!calendar) return failed(calendar.error());
+    if (!calendar)
+        return failed(calendar.error());
     const auto all = report::versions(books, report::period_of(*calendar));
-    if (!all) return failed(all.error());
-    const auto has = [&](std::int64_t n) { return n >= 1 && n <= static_cast<std::int64_t>(all->size()); };
+    if (!all)
+        return failed(all.error());
+    const auto has = [&](std::int64_t n) {
+        return n >= 1 && n <= static_cast<std::int64_t>(all->size());
+    };
     if (!has(o.before) || !has(o.after))
         return failed("this period has " + std::to_string(all->size()) + " versions, from 1 on");
     const auto json = [&](std::int64_t n) {
@@ -150,7 +174,8 @@
 
 int check_ledger(const std::string& file) {
     store::Ledger ledger;
-    if (const auto f = ledger.open(file, {"", true})) return failed(f.text);
+    if (const auto f = ledger.open(file, {"", true}))
+        return failed(f.text);
     std::int64_t requests = 0, attempts = 0, damaged = 0;
     const auto f = ledger.each(
         [&](const store::Whole& w) {
@@ -161,11 +186,14 @@
             ++damaged;
             std::printf("%s\n", text.c_str());
         });
-    if (f) return failed(f.text);
+    if (f)
+        return failed(f.text);
     std::vector<store::Life> lives;
     std::vector<std::pair<std::string, store::Gap>> gaps;
-    if (const auto failure = ledger.lives(lives)) return failed(failure.text);
-    if (const auto failure = ledger.gaps(gaps)) return failed(failure.text);
+    if (const auto failure = ledger.lives(lives))
+        return failed(failure.text);
+    if (const auto failure = ledger.gaps(gaps))
+        return failed(failure.text);
     std::printf("%lld requests, %lld attempts, %zu lives, %zu gaps, %lld places damaged\n",
                 static_cast<long long>(requests), static_cast<long long>(attempts), lives.size(), gaps.size(),
                 static_cast<long long>(damaged));
@@ -179,7 +207,9 @@
     auto* check = ledger->add_subcommand("check", "read every row and tell what is damaged");
     check->add_option("file", *file, "the ledger")->required();
     check->footer("Example: gatetiller ledger check front-1.ledger");
-    check->callback([=, &common] { common.code = check_ledger(*file); });
+    check->callback([=, &common] {
+        common.code = check_ledger(*file);
+    });
     auto* snapshot = ledger->add_subcommand("snapshot", "a whole copy, while the front goes on writing");
     snapshot->add_option("file", *file, "the ledger")->required();
     snapshot->add_option("copy", *to, "the copy's file")->required();
@@ -187,7 +217,8 @@
     snapshot->callback([=, &common] {
         store::Ledger from;
         store::Failure f = from.open(*file, {"", true});
-        if (!f) f = from.snapshot(*to);
+        if (!f)
+            f = from.snapshot(*to);
         common.code = f ? failed(f.text) : 0;
     });
 }
@@ -226,7 +257,8 @@
     add(
         "collect", "take ledgers and journals into the books",
         [](const Options& options) {
-            if (options.books.empty()) return failed("--books names the file to collect into");
+            if (options.books.empty())
+                return failed("--books names the file to collect into");
             store::Books books;
             const auto opened = open_books(books, options);
             return opened ? 0 : failed(opened.error());
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -25,7 +25,9 @@
 
 // One line for each finished statement: who, what, how long in each phase, and which side ended it.
 std::string line_of(const std::string& format, const front::Finished& f) {
-    const auto ms = [](Micros span) { return static_cast<double>(span) / 1000; };
+    const auto ms = [](Micros span) {
+        return static_cast<double>(span) / 1000;
+    };
     if (format == "json")
         return fmt::format(
             R"("message":"statement","id":{},"trace":{},"user":{},"class":{},"tenant":{},"engine":{},"attempts":{},"ended":"{}","held_ms":{:.3f},"running_ms":{:.3f},"fetching_ms":{:.3f},"total_ms":{:.3f},"cpu_ms":{},"peak_bytes":{},"spilled_bytes":{},"error":{})",
@@ -43,7 +45,8 @@
 }
 
 std::unique_ptr<store::LedgerWriter> ledger_of(const config::FrontSettings& s) {
-    if (s.ledger.file.empty()) return nullptr;
+    if (s.ledger.file.empty())
+        return nullptr;
     store::WriterSettings w;
     w.file = s.ledger.file, w.front = s.name, w.life = entropy().substr(0, 16);
     w.flush_every = s.ledger.flush_every, w.keep = s.ledger.keep,
@@ -58,15 +61,21 @@
     const std::string format = s.log.format;
     return {entropy,
             s.seed.value_or(random_seed()),
-            [log, format](const std::string& t) { log->info(say(format, t)); },
-            [log, format](const front::Finished& f) { log->info(line_of(format, f)); },
+            [log, format](const std::string& t) {
+                log->info(say(format, t));
+            },
+            [log, format](const front::Finished& f) {
+                log->info(line_of(format, f));
+            },
             nullptr,
             ledger};
 }
 
 int run_front(config::FrontSettings settings, const std::string& file, const Common& common) {
-    if (common.format_given) settings.log.format = common.log_format;
-    if (common.level_given) settings.log.level = common.log_level;
+    if (common.format_given)
+        settings.log.format = common.log_format;
+    if (common.level_given)
+        settings.log.level = common.log_level;
     const auto log = make_logger(settings.log.format, settings.log.level).logger;
     const std::string format = settings.log.format;
     const std::size_t files = raise_open_files();
@@ -77,7 +86,8 @@
                                   " and its engines; raise the limit (ulimit -n) or lower the setting"));
     net::PollLoop loop;
     std::ofstream records;
-    if (!settings.records.empty()) records = lab::append_lines(settings.records);
+    if (!settings.records.empty())
+        records = lab::append_lines(settings.records);
     net::TapLoop tapped(loop, [&](const net::TapEvent& e) {
         records << lab::line_of(lab::record_of(settings.name, e)) << std::flush;
     });
@@ -85,26 +95,34 @@
     front::Front front(records.is_open() ? static_cast<net::Loop&>(tapped) : loop, settings,
                        deps_of(settings, log, ledger.get()));
     const auto on_signal = [&](int signal) {
-        if (signal != SIGHUP) return front.drain([&] { loop.stop(); });
+        if (signal != SIGHUP)
+            return front.drain([&] {
+                loop.stop();
+            });
         auto again = config::load_front(file);
-        if (!again) return log->error(say(format, "reload refused, the old settings stay: " + again.error()));
+        if (!again)
+            return log->error(say(format, "reload refused, the old settings stay: " + again.error()));
         front.reload(again->front);
         log->info(say(format, "reloaded engines, roster and routes"));
     };
-    const auto hears = start_through_failures<bool>(
-        loop, *log, [&] { return loop.on_signals({SIGTERM, SIGINT, SIGHUP}, on_signal); });
-    const auto bound =
-        start_through_failures<std::vector<net::Address>>(loop, *log, [&] { return front.start(); });
+    const auto hears = start_through_failures<bool>(loop, *log, [&] {
+        return loop.on_signals({SIGTERM, SIGINT, SIGHUP}, on_signal);
+    });
+    const auto bound = start_through_failures<std::vector<net::Address>>(loop, *log, [&] {
+        return front.start();
+    });
     if (!loop.stopped()) {
         if (!hears || !bound) {
             std::fprintf(stderr, "%s\n", (hears ? bound.error() : hears.error()).c_str());
             return 1;
         }
-        for (const auto& address : *bound) say_line("http://" + address.text());
+        for (const auto& address : *bound)
+            say_line("http://" + address.text());
         loop.run();
     }
     if (ledger)
-        for (const auto& text : ledger->finish(loop.now(), loop.wall())) log->warn(say(format, text));
+        for (const auto& text : ledger->finish(loop.now(), loop.wall()))
+            log->warn(say(format, text));
     return 0;
 }
 
@@ -118,19 +136,25 @@
     }
     net::PollLoop loop;
     std::ofstream journal;
-    if (!settings->journal.empty()) journal = lab::append_lines(settings->journal);
+    if (!settings->journal.empty())
+        journal = lab::append_lines(settings->journal);
     std::ofstream events;
-    if (!settings->events.empty()) events = lab::append_lines(settings->events);
+    if (!settings->events.empty())
+        events = lab::append_lines(settings->events);
     // Flushed line by line: a killed engine's must be whole.
     engine::Service service(
         loop, *settings, entropy,
         [&](const engine::Entry& e) {
-            if (journal.is_open()) journal << lab::line_of(settings->name, e) << std::flush;
+            if (journal.is_open())
+                journal << lab::line_of(settings->name, e) << std::flush;
         },
         [&](const statement::Completed& e) {
-            if (events.is_open()) events << statement::write_completed(e) << "\n" << std::flush;
+            if (events.is_open())
+                events << statement::write_completed(e) << "\n" << std::flush;
         });
-    const auto hears = loop.on_signals({SIGTERM, SIGINT, SIGHUP}, [&](int) { loop.stop(); });
+    const auto hears = loop.on_signals({SIGTERM, SIGINT, SIGHUP}, [&](int) {
+        loop.stop();
+    });
     if (!hears) {
         std::fprintf(stderr, "%s\n", hears.error().c_str());
         return 1;
@@ -189,7 +213,11 @@
     loaded->front.log = {common.log_level, common.log_format};
     const auto log = make_logger(common.log_format, common.log_level).logger;
     front::Front front(loop, loaded->front, deps_of(loaded->front, log));
-    const auto hears = loop.on_signals({SIGTERM, SIGINT, SIGHUP}, [&](int) { front.drain([&] { loop.stop(); }); });
+    const auto hears = loop.on_signals({SIGTERM, SIGINT, SIGHUP}, [&](int) {
+        front.drain([&] {
+            loop.stop();
+        });
+    });
     if (!hears) {
         std::fprintf(stderr, "%s\n", hears.error().c_str());
         return 1;
@@ -204,7 +232,11 @@
                 address.c_str());
     std::fflush(stdout);
     if (seconds > 0)
-        loop.after(static_cast<Micros>(seconds * kSecondMicros), [&] { front.drain([&] { loop.stop(); }); });
+        loop.after(static_cast<Micros>(seconds * kSecondMicros), [&] {
+            front.drain([&] {
+                loop.stop();
+            });
+        });
     loop.run();
     return 0;
 }
@@ -238,7 +270,9 @@
     auto file = std::make_shared<std::string>();
     cmd->add_option("--config", *file, "the engine's configuration (Jsonnet)")->required();
     cmd->footer("Example: gatetiller engine --config examples/engine.jsonnet");
-    cmd->callback([=, &common] { common.code = run_engine(*file); });
+    cmd->callback([=, &common] {
+        common.code = run_engine(*file);
+    });
 }
 
 void add_demo(CLI::App& app, Common& common) {
@@ -248,7 +282,9 @@
     cmd->add_option("--port", *port, "port of the front; 0: the kernel chooses")->check(CLI::Range(0, 65535));
     cmd->add_option("--seconds", *seconds, "end after this; 0: at SIGTERM");
     cmd->footer("Example: gatetiller demo --port 8080");
-    cmd->callback([=, &common] { common.code = run_demo(*port, *seconds, common); });
+    cmd->callback([=, &common] {
+        common.code = run_demo(*port, *seconds, common);
+    });
 }
 
 void add_config(CLI::App& app, Common& common) {
@@ -260,8 +296,10 @@
         sub->add_option("file", *file, "the configuration (Jsonnet)")->required();
         sub->callback([=, &common] {
             auto loaded = config::load_front(*file);
-            if (!loaded) std::fprintf(stderr, "%s\n", loaded.error().c_str());
-            else then(*loaded, *file);
+            if (!loaded)
+                std::fprintf(stderr, "%s\n", loaded.error().c_str());
+            else
+                then(*loaded, *file);
             common.code = loaded ? 0 : 1;
         });
     };
@@ -275,16 +313,19 @@
         common.code = 1;
         const auto a = config::load_front(*first), b = config::load_front(*second);
         for (const auto* loaded : {&a, &b})
-            if (!*loaded) return void(std::fprintf(stderr, "%s\n", loaded->error().c_str()));
+            if (!*loaded)
+                return void(std::fprintf(stderr, "%s\n", loaded->error().c_str()));
         const auto patch =
             nlohmann::json::diff(nlohmann::json::parse(a->json), nlohmann::json::parse(b->json));
         std::printf("%s\n", patch.dump(2).c_str());
         common.code = 0;
     });
-    with_file("show", "print it as JSON",
-              [](const config::Loaded& l, const std::string&) { std::fputs(l.json.c_str(), stdout); });
-    with_file("check", "check it",
-              [](const config::Loaded&, const std::string& f) { std::printf("%s: fine\n", f.c_str()); });
+    with_file("show", "print it as JSON", [](const config::Loaded& l, const std::string&) {
+        std::fputs(l.json.c_str(), stdout);
+    });
+    with_file("check", "check it", [](const config::Loaded&, const std::string& f) {
+        std::printf("%s: fine\n", f.c_str());
+    });
 }
 
 }  // namespace gatetiller::cli
--- a/src/config/reader.hpp
+++ b/src/config/reader.hpp
@@ -26,7 +26,9 @@
 public:
     Mistakes(std::string file, std::string source) : file_(std::move(file)), source_(std::move(source)) {}
     void add(const std::vector<std::string>& path, const std::string& what);
-    bool none() const { return texts_.empty(); }
+    bool none() const {
+        return texts_.empty();
+    }
     std::string text() const;
 
 private:
@@ -55,22 +57,28 @@
     void count(const std::string& key, T& to, double least, double most) {
         double value = static_cast<double>(to);
         number(key, value, least, most);
-        if (value != static_cast<double>(static_cast<long long>(value))) wrong(key, "must be a whole number");
-        else to = static_cast<T>(value);
+        if (value != static_cast<double>(static_cast<long long>(value)))
+            wrong(key, "must be a whole number");
+        else
+            to = static_cast<T>(value);
     }
     template <typename T>
     void word(const std::string& key, T& to, std::initializer_list<std::pair<const char*, T>> allowed) {
         std::string given;
-        if (!has(key)) return note(key);
+        if (!has(key))
+            return note(key);
         text(key, given);
         std::string names;
         for (const auto& [name, value] : allowed) {
-            if (given == name) return void(to = value);
+            if (given == name)
+                return void(to = value);
             names += (names.empty() ? "'" : ", '") + std::string(name) + "'";
         }
         wrong(key, "'" + given + "' is not one of " + names);
     }
-    void raw(const std::string& key) { note(key); }  // read elsewhere
+    void raw(const std::string& key) {
+        note(key);
+    }  // read elsewhere
     // Objects inside: one, or each of a map from names, or each of an array (named "0", "1" ...).
     void object(const std::string& key, const std::function<void(Reader&)>& read);
     void each(const std::string& key, const std::function<void(const std::string&, Reader&)>& read);
@@ -80,7 +88,9 @@
 
 private:
     const nlohmann::json* find(const std::string& key);
-    void note(const std::string& key) { known_.insert(key); }
+    void note(const std::string& key) {
+        known_.insert(key);
+    }
     std::vector<std::string> at(const std::string& key) const;
 
     const nlohmann::json& value_;
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -36,7 +36,8 @@
     const std::string path = (std::filesystem::path(base) / relative).string();
     const auto text = whole_file(path);
     *success = text.ok();
-    if (!text) return jsonnet_copy(vm, text.error());
+    if (!text)
+        return jsonnet_copy(vm, text.error());
     *found = jsonnet_copy(vm, path);
     return jsonnet_copy(vm, *text);
 }
@@ -62,18 +63,25 @@
         r.flag("holds_group", c.holds_group);
         r.flag("yields_to_loads", c.yields_to_loads);
         std::vector<std::string> names;
-        if (r.has("kinds")) r.texts("kinds", names), c.served_on = names;
-        else r.texts("kinds", names);
+        if (r.has("kinds"))
+            r.texts("kinds", names), c.served_on = names;
+        else
+            r.texts("kinds", names);
         names.clear();
-        if (r.has("zones")) r.texts("zones", names), c.azs_open = names;
-        else r.texts("zones", names);
-        if (c.aim <= 0) r.wrong("aim", "must be over 0");
-        if (c.deadline < c.aim) r.wrong("deadline", "must not be shorter than the aim");
+        if (r.has("zones"))
+            r.texts("zones", names), c.azs_open = names;
+        else
+            r.texts("zones", names);
+        if (c.aim <= 0)
+            r.wrong("aim", "must be over 0");
+        if (c.deadline < c.aim)
+            r.wrong("deadline", "must not be shorter than the aim");
         if (c.effect == Effect::by_key && c.window <= 0)
             r.wrong("window", "a class by_key says for how long engines drop a repeat, such as '25s'");
         m.classes.push_back(std::move(c));
     });
-    if (m.classes.empty()) top.wrong("classes", "at least one class is needed");
+    if (m.classes.empty())
+        top.wrong("classes", "at least one class is needed");
 }
 
 void read_facts(Reader& r, Settings& m) {
@@ -124,8 +132,10 @@
     r.text("address", address);
     if (!address.empty()) {
         auto parsed = net::Address::parse(address);
-        if (parsed) e.address = *parsed;
-        else r.wrong("address", parsed.error());
+        if (parsed)
+            e.address = *parsed;
+        else
+            r.wrong("address", parsed.error());
     }
     r.text("zone", e.zone);
     r.text("kind", e.kind);
@@ -140,8 +150,10 @@
 void read_address(Reader& r, const std::string& key, const std::string& text,
                   std::optional<net::Address>& to) {
     auto parsed = net::Address::parse(text);
-    if (parsed) to = *parsed;
-    else r.wrong(key, parsed.error());
+    if (parsed)
+        to = *parsed;
+    else
+        r.wrong(key, parsed.error());
 }
 
 void read_roster(Reader& r, RosterSettings& to) {
@@ -151,8 +163,10 @@
     r.span("watch_every", to.watch_every);
     std::string url;
     r.text("url", url);
-    if (url.empty()) return;
-    if (!url.starts_with("http://")) return r.wrong("url", "must begin with http://");
+    if (url.empty())
+        return;
+    if (!url.starts_with("http://"))
+        return r.wrong("url", "must begin with http://");
     const std::size_t slash = std::min(url.find('/', 7), url.size());
     to.path = slash == url.size() ? "/" : url.substr(slash);
     read_address(r, "url", url.substr(7, slash - 7), to.http);
@@ -174,22 +188,28 @@
         match.texts("tags", route.tags);
     });
     std::vector<std::string> classes, tenants;
-    for (const auto& c : m.classes) classes.push_back(c.name);
-    for (const auto& t : m.tenants) tenants.push_back(t.name);
+    for (const auto& c : m.classes)
+        classes.push_back(c.name);
+    for (const auto& t : m.tenants)
+        tenants.push_back(t.name);
     const auto known = [&](const char* key, const std::string& name, const std::vector<std::string>& names) {
-        if (name.empty() || std::find(names.begin(), names.end(), name) != names.end()) return;
+        if (name.empty() || std::find(names.begin(), names.end(), name) != names.end())
+            return;
         std::string all;
-        for (const auto& n : names) all += (all.empty() ? "" : ", ") + n;
+        for (const auto& n : names)
+            all += (all.empty() ? "" : ", ") + n;
         r.wrong(key, "'" + name + "' is not defined; defined are: " + all);
     };
     known("class", route.cls, classes);
     known("tenant", route.tenant, tenants);
     const auto source = [&](const char* key, const std::string& from,
                             std::initializer_list<const char*> allowed) {
-        if (from.empty() || (from.starts_with("tag:") && from.size() > 4)) return;
+        if (from.empty() || (from.starts_with("tag:") && from.size() > 4))
+            return;
         std::string all;
         for (const char* a : allowed) {
-            if (from == a) return;
+            if (from == a)
+                return;
             all += std::string("'") + a + "', ";
         }
         r.wrong(key, "'" + from + "' is not one of " + all + "'tag:PREFIX'");
@@ -233,7 +253,8 @@
     r.span("stay", b.quota.stay);
     r.number("back_at", b.quota.back_at, 0.1, 1);
     r.text("over", b.over);
-    if (b.quota.window < kSecondMicros) r.wrong("window", "must be at least 1s");
+    if (b.quota.window < kSecondMicros)
+        r.wrong("window", "must be at least 1s");
     bool soft = false;
     r.each("teams", [&](const std::string& name, Reader& t) {
         decide::Budget budget{name};
@@ -253,8 +274,9 @@
         b.budgets.push_back(budget);
         b.rules.push_back(std::move(rule));
     });
-    const bool known =
-        std::any_of(m.tenants.begin(), m.tenants.end(), [&](const auto& t) { return t.name == b.over; });
+    const bool known = std::any_of(m.tenants.begin(), m.tenants.end(), [&](const auto& t) {
+        return t.name == b.over;
+    });
     if (soft && !known)
         r.wrong("over", "names the tenant, one of 'tenants', that statements over a soft budget count as");
 }
@@ -268,7 +290,8 @@
     for (const auto& text : listen) {
         std::optional<net::Address> a;
         read_address(top, "listen", text, a);
-        if (a) f.listen.push_back(*a);
+        if (a)
+            f.listen.push_back(*a);
     }
     if (top.has("listen") && f.listen.empty())
         top.wrong("listen", "at least one address is needed, such as ['127.0.0.1:8080']");
@@ -298,26 +321,45 @@
         r.megabytes("memory", k.memory_mb);
         m.kinds.push_back(k);
     });
-    top.object("facts", [&](Reader& r) { read_facts(r, m); });
-    top.object("rules", [&](Reader& r) { read_rules(r, m); });
-    top.object("worth", [&](Reader& r) { read_worth(r, m); });
+    top.object("facts", [&](Reader& r) {
+        read_facts(r, m);
+    });
+    top.object("rules", [&](Reader& r) {
+        read_rules(r, m);
+    });
+    top.object("worth", [&](Reader& r) {
+        read_worth(r, m);
+    });
     top.span("retry_hint", m.max_retry_after);
     m.retry_hints = m.max_retry_after > 0;
     m.may_probe = m.reports == ReportSource::probe;
-    top.each("engines", [&](const std::string& name, Reader& r) { read_engine(name, r, f.engines); });
+    top.each("engines", [&](const std::string& name, Reader& r) {
+        read_engine(name, r, f.engines);
+    });
     for (const auto& e : f.engines)
-        if (std::none_of(m.kinds.begin(), m.kinds.end(), [&](const auto& k) { return k.name == e.kind; }))
+        if (std::none_of(m.kinds.begin(), m.kinds.end(), [&](const auto& k) {
+                return k.name == e.kind;
+            }))
             top.wrong("engines",
                       "engine '" + e.name + "' is of kind '" + e.kind + "', which 'kinds' does not define");
-    top.object("roster", [&](Reader& r) { read_roster(r, f.roster); });
+    top.object("roster", [&](Reader& r) {
+        read_roster(r, f.roster);
+    });
     m.ask_discovery = f.roster.http.has_value();
-    if (m.ask_discovery && m.ask_within <= 0) m.ask_within = 10 * f.roster.every;
+    if (m.ask_discovery && m.ask_within <= 0)
+        m.ask_within = 10 * f.roster.every;
     if (f.engines.empty() && f.roster.file.empty() && !f.roster.http)
         top.wrong("engines", "no engine and no roster: name engines, or roster.file or roster.url");
-    top.each("routes", [&](const std::string&, Reader& r) { read_route(r, m, f.routes); });
-    top.object("limits", [&](Reader& r) { read_limits(r, f); });
+    top.each("routes", [&](const std::string&, Reader& r) {
+        read_route(r, m, f.routes);
+    });
+    top.object("limits", [&](Reader& r) {
+        read_limits(r, f);
+    });
     f.server.limits.body = f.holding.statement_bytes;
-    top.object("times", [&](Reader& r) { read_times(r, f); });
+    top.object("times", [&](Reader& r) {
+        read_times(r, f);
+    });
     top.flag("trust_forwarded", f.statements.trust_forwarded);
     top.flag("remote_drain", f.statements.remote_drain);
     top.text("environment", f.statements.environment);
@@ -331,7 +373,9 @@
         if (f.ledger.flush_every < kMillisecond || f.ledger.flush_every > 10 * kSecondMicros)
             r.wrong("flush", "must be between 1ms and 10s: it is what a killed front may lose");
     });
-    top.object("budgets", [&](Reader& r) { read_budgets(r, m, f.budgets); });
+    top.object("budgets", [&](Reader& r) {
+        read_budgets(r, m, f.budgets);
+    });
     f.budgets.quota.fronts = m.siblings;
     top.object("log", [&](Reader& r) {
         r.word<std::string>(
@@ -352,7 +396,8 @@
 Result<std::string> whole_file(const std::string& file) {
     std::ifstream in(file, std::ios::binary);
     std::ostringstream text;
-    if (in) text << in.rdbuf();
+    if (in)
+        text << in.rdbuf();
     if (!in || in.bad()) {
         const int code = errno;
         return Error{file + ": cannot be read: " + std::strerror(code), code};
@@ -369,19 +414,22 @@
     std::string text = out;
     jsonnet_realloc(vm, out, 0);
     jsonnet_destroy(vm);
-    if (error != 0) return Error{text};
+    if (error != 0)
+        return Error{text};
     return text;
 }
 
 Result<Loaded> load_front(const std::string& file) {
     const auto source = whole_file(file);
-    if (!source) return Error{source.error()};
+    if (!source)
+        return Error{source.error()};
     return load_front_text(file, *source);
 }
 
 Result<Loaded> load_front_text(const std::string& name, const std::string& source) {
     auto text = evaluate(name, source);
-    if (!text) return Error{text.error()};
+    if (!text)
+        return Error{text.error()};
     Mistakes mistakes(name, source);
     const Json json = Json::parse(*text);
     Loaded loaded;
@@ -395,10 +443,13 @@
                 Brain probe(
                     0, 1,
                     loaded.front.module);  // the module's own checks of settings that contradict themselves
-            } catch (const std::invalid_argument& e) { mistakes.add({}, e.what()); }
+            } catch (const std::invalid_argument& e) {
+                mistakes.add({}, e.what());
+            }
         }
     }
-    if (!mistakes.none()) return Error{mistakes.text()};
+    if (!mistakes.none())
+        return Error{mistakes.text()};
     return loaded;
 }
 
@@ -406,12 +457,16 @@
     Mistakes mistakes(origin, text);
     std::vector<EngineSettings> engines;
     const Json json = Json::parse(text, nullptr, false);
-    if (json.is_discarded()) return Error{origin + ": not JSON"};
+    if (json.is_discarded())
+        return Error{origin + ": not JSON"};
     Reader top(json, {}, mistakes);
     top.required({"engines"});
-    top.each("engines", [&](const std::string& name, Reader& r) { read_engine(name, r, engines); });
+    top.each("engines", [&](const std::string& name, Reader& r) {
+        read_engine(name, r, engines);
+    });
     top.close();
-    if (!mistakes.none()) return Error{mistakes.text()};
+    if (!mistakes.none())
+        return Error{mistakes.text()};
     return engines;
 }
 
--- a/src/core/driver.cpp
+++ b/src/core/driver.cpp
@@ -8,14 +8,18 @@
     : loop_(loop), brain_(loop.now(), seed, std::move(settings)), carry_out_(std::move(carry_out)) {}
 
 Driver::~Driver() {
-    for (const auto& [key, timer] : bells_) loop_.cancel(timer);
+    for (const auto& [key, timer] : bells_)
+        loop_.cancel(timer);
 }
 
-void Driver::start() { take(brain_.start()); }
+void Driver::start() {
+    take(brain_.start());
+}
 
 void Driver::post(Event event) {
     events_.push_back(std::move(event));
-    if (std::exchange(posting_, true)) return;
+    if (std::exchange(posting_, true))
+        return;
     while (!events_.empty()) {
         const Event next = std::move(events_.front());
         events_.pop_front();
--- a/src/core/driver.hpp
+++ b/src/core/driver.hpp
@@ -25,7 +25,9 @@
     // Events that come up while actions are carried out wait for their turn, so that the module sees them in
     // order.
     void post(Event event);
-    double alpha() const { return brain_.alpha(); }
+    double alpha() const {
+        return brain_.alpha();
+    }
 
 private:
     void take(const std::vector<Action>& actions);
--- a/src/decide/attempt_end.hpp
+++ b/src/decide/attempt_end.hpp
@@ -12,7 +12,15 @@
 
 struct AttemptEnd {
     // lacked_here: not sent either, for want of something at this machine; the engine is not to blame.
-    enum class How { answered, not_sent, connect_late, lacked_here, turned_away, lost, late };
+    enum class How {
+        answered,
+        not_sent,
+        connect_late,
+        lacked_here,
+        turned_away,
+        lost,
+        late
+    };
     How how = How::answered;
     int status = 0;          // turned away: the status in place of a document
     bool has_error = false;  // answered: the document holds an error
--- a/src/decide/attempt_guard.hpp
+++ b/src/decide/attempt_guard.hpp
@@ -1,6 +1,6 @@
-// The one guard of sending and repeating: whether an attempt may begin, from facts that the front holds itself and
-// not from what the module that chose it believes. An engine connection sends only what carries a permit, and only
-// this guard gives permits.
+// The one guard of sending and repeating: whether an attempt may begin, from facts that the front holds
+// itself and not from what the module that chose it believes. An engine connection sends only what carries a
+// permit, and only this guard gives permits.
 #pragma once
 
 #include <optional>
@@ -12,10 +12,10 @@
 
 // An engine as the lists have it at the moment of the attempt.
 struct TargetFacts {
-    bool listed = false;     // by any list since it was last gone
+    bool listed = false;      // by any list since it was last gone
     Micros draining_for = 0;  // since this front was told that it drains or is gone; 0: it does not
     bool cold = false;
-    double cold_sent = 0;     // attempts that this front alone sent to it in the window of the settings
+    double cold_sent = 0;  // attempts that this front alone sent to it in the window of the settings
     std::string kind, zone;
     std::int64_t cell = 0;
 };
@@ -29,18 +29,18 @@
 
 struct AttemptFactsNow {
     bool final_given = false, client_left = false, attempt_out = false;
-    Micros left = 0;  // of the client's time
+    Micros left = 0;   // of the client's time
     int attempts = 0;  // before this one
     std::optional<EarlierRun> may_have_run;
     TargetFacts target;
 };
 
-// Of the slow start's budget: how many requests of mean work a cold engine may get within the window, from all
-// fronts together, where `n` fit its share of capacity.
+// Of the slow start's budget: how many requests of mean work a cold engine may get within the window, from
+// all fronts together, where `n` fit its share of capacity.
 double cold_budget(double n);
 
-// How many requests of mean work (`mean_work` on one thread) the settings allow a cold engine of so many cores within
-// the window; nothing where no work is known.
+// How many requests of mean work (`mean_work` on one thread) the settings allow a cold engine of so many
+// cores within the window; nothing where no work is known.
 std::optional<double> cold_share_requests(const Settings& settings, double cores, Micros mean_work);
 
 class AttemptPermit {
--- a/src/decide/charge.cpp
+++ b/src/decide/charge.cpp
@@ -8,7 +8,8 @@
 
 template <typename T, std::size_t N>
 void add(std::array<T, N>& to, const std::array<T, N>& from) {
-    for (std::size_t i = 0; i < N; ++i) to[i] += from[i];
+    for (std::size_t i = 0; i < N; ++i)
+        to[i] += from[i];
 }
 
 }  // namespace
@@ -26,7 +27,9 @@
     return *this;
 }
 
-Micros Line::all_work() const { return std::accumulate(work.begin(), work.end(), Micros{0}); }
+Micros Line::all_work() const {
+    return std::accumulate(work.begin(), work.end(), Micros{0});
+}
 
 void Charges::add_work(Line& line, const std::string& kind, Micros taken, const Settled& s, Micros span,
                        std::int64_t grant_bytes) {
@@ -40,8 +43,10 @@
     Usage u{s.work, Exact{grant_bytes} * span, Exact{s.peak_bytes} * span, s.spilled_bytes};
     line.granted_byte_micros += u.granted_byte_micros, line.used_byte_micros += u.used_byte_micros;
     line.spilled[wasted] += s.spilled_bytes;
-    if (const Rates* rates = prices_.at(taken, kind)) line.amount[wasted] += amount_of(u, *rates);
-    else line.unpriced += 1;
+    if (const Rates* rates = prices_.at(taken, kind))
+        line.amount[wasted] += amount_of(u, *rates);
+    else
+        line.unpriced += 1;
 }
 
 void Charges::add(LineKey key, const RequestRow& r, bool repeat, const std::vector<AttemptRow>& attempts,
@@ -57,7 +62,8 @@
         line.further += i > 0;
         line.row_bytes += a.row_bytes;
     }
-    if (attempts.empty()) key.kind = "-";
+    if (attempts.empty())
+        key.kind = "-";
     Line& line = lines_[key];
     ++line.requests[static_cast<std::size_t>(r.state)];
     line.errors += r.error;
--- a/src/decide/charge.hpp
+++ b/src/decide/charge.hpp
@@ -51,8 +51,12 @@
     // A logged query that no ledger has.
     void add_alone(LineKey key, const LoggedQuery& logged, const Settled& settled);
 
-    const std::map<LineKey, Line>& lines() const { return lines_; }
-    const std::array<FindingTotal, kFindings>& findings() const { return findings_; }
+    const std::map<LineKey, Line>& lines() const {
+        return lines_;
+    }
+    const std::array<FindingTotal, kFindings>& findings() const {
+        return findings_;
+    }
 
 private:
     void add_work(Line& line, const std::string& kind, Micros taken, const Settled& s, Micros span,
--- a/src/decide/client_numbers.hpp
+++ b/src/decide/client_numbers.hpp
@@ -12,12 +12,20 @@
 class ClientNumbers {
 public:
     static constexpr std::size_t kOpenMost = 32;
-    enum class Verdict { taken, not_climbing, too_many };
+    enum class Verdict {
+        taken,
+        not_climbing,
+        too_many
+    };
     Verdict take(std::int32_t number);
     // Answered, or taken back: no answer is owed under it any more. False where none was.
-    bool end(std::int32_t number) { return open_.erase(number) > 0; }
+    bool end(std::int32_t number) {
+        return open_.erase(number) > 0;
+    }
     std::set<std::int32_t> end_all();  // those that were open
-    std::size_t open() const { return open_.size(); }
+    std::size_t open() const {
+        return open_.size();
+    }
 
 private:
     std::set<std::int32_t> open_;
--- a/src/decide/client_request.cpp
+++ b/src/decide/client_request.cpp
@@ -22,17 +22,20 @@
 bool text_only(std::string_view text) {
     for (std::size_t at = 0; at < text.size();) {
         const auto c = static_cast<unsigned char>(text[at]);
-        if (c == 0) return false;
+        if (c == 0)
+            return false;
         const std::size_t more = c < 0x80                ? 0
                                  : c >= 0xc2 && c < 0xe0 ? 1
                                  : c >= 0xe0 && c < 0xf0 ? 2
                                  : c >= 0xf0 && c < 0xf5 ? 3
                                                          : 9;
-        if (more == 9 || text.size() - at <= more) return false;
+        if (more == 9 || text.size() - at <= more)
+            return false;
         std::uint32_t code = more == 0 ? c : c & (0x3fu >> more);
         for (std::size_t i = 1; i <= more; ++i) {
             const auto next = static_cast<unsigned char>(text[at + i]);
-            if ((next & 0xc0) != 0x80) return false;
+            if ((next & 0xc0) != 0x80)
+                return false;
             code = code << 6 | (next & 0x3f);
         }
         if ((more == 2 && (code < 0x800 || (code >= 0xd800 && code < 0xe000))) ||
@@ -54,19 +57,26 @@
     const auto wrong = [&](const char* name, const char* right) {
         std::string shown(field(name).value_or("missing").substr(0, 40));
         for (char& c : shown)
-            if (c < ' ' || c > '~') c = '?';
+            if (c < ' ' || c > '~')
+                c = '?';
         return Error{std::string(name) + ": " + right + ", not '" + shown + "'"};
     };
     ClientRequest r;
     r.id = field("trace").value_or("");
-    if (!hex(r.id, kIdDigits)) return wrong("trace", "16 hex digits");
+    if (!hex(r.id, kIdDigits))
+        return wrong("trace", "16 hex digits");
     const auto route = field("route").value_or("");
-    const auto cls = std::find_if(settings.classes.begin(), settings.classes.end(),
-                                  [&](const ClassSettings& c) { return c.name == route; });
-    if (cls == settings.classes.end()) return wrong("route", "a class of the settings");
+    const auto cls =
+        std::find_if(settings.classes.begin(), settings.classes.end(), [&](const ClassSettings& c) {
+            return c.name == route;
+        });
+    if (cls == settings.classes.end())
+        return wrong("route", "a class of the settings");
     r.cls = &*cls;
     r.tenant = field("customer").value_or("");
-    const auto is_tenant = [&](const TenantSettings& t) { return t.name == r.tenant; };
+    const auto is_tenant = [&](const TenantSettings& t) {
+        return t.name == r.tenant;
+    };
     if (settings.tenants.empty() ? !r.tenant.empty()
                                  : std::none_of(settings.tenants.begin(), settings.tenants.end(), is_tenant))
         return wrong("customer", "a tenant of the settings");
@@ -78,7 +88,8 @@
         const auto ms = to_number<double>(*cost);
         if (!ms || !std::isfinite(*ms) || *ms < 0 || *ms > kCostMostMs)
             return wrong("weight", "milliseconds of work");
-        if (*ms > 0) r.cost = static_cast<Micros>(*ms * kMillisecond);
+        if (*ms > 0)
+            r.cost = static_cast<Micros>(*ms * kMillisecond);
     }
     if (const auto memory = field("heap_mb")) {
         const auto mb = to_number<double>(*memory);
@@ -91,7 +102,8 @@
         return wrong("nonce", "32 hex digits");
     if (body.empty() || body.size() > kStatementMost)
         return Error{"a statement of 1 to " + std::to_string(kStatementMost) + " bytes is needed"};
-    if (!text_only(body)) return Error{"the statement is not UTF-8 text"};
+    if (!text_only(body))
+        return Error{"the statement is not UTF-8 text"};
     return r;
 }
 
@@ -101,7 +113,8 @@
         if (c == '\t') {
             ++tabs;
         } else if (c == '\n') {
-            if (std::exchange(tabs, 0) != columns - 1) return false;
+            if (std::exchange(tabs, 0) != columns - 1)
+                return false;
         } else if (static_cast<unsigned char>(c) < ' ') {
             return false;
         }
--- a/src/decide/engine_connections.cpp
+++ b/src/decide/engine_connections.cpp
@@ -17,12 +17,15 @@
 LinkChoice connection_for(const std::vector<LinkFacts>& connections, Micros now, const LinkLimits& limits) {
     LinkChoice choice;
     // The fewest requests; of those the one used last, so that the others may idle away.
-    const auto rank = [&](std::size_t i) { return std::pair(connections[i].open, -connections[i].used); };
+    const auto rank = [&](std::size_t i) {
+        return std::pair(connections[i].open, -connections[i].used);
+    };
     for (std::size_t i = 0; i < connections.size(); ++i) {
         const LinkFacts& c = connections[i];
         const bool usable = !c.retired && !c.asked_this && c.asked < kAskedMost && c.open < limits.streams &&
                             !stale(c, now, limits);
-        if (usable && (!choice.use || rank(i) < rank(*choice.use))) choice.use = i;
+        if (usable && (!choice.use || rank(i) < rank(*choice.use)))
+            choice.use = i;
     }
     choice.new_if_room =
         choice.use && connections[*choice.use].open > 0 && connections.size() < limits.connections;
--- a/src/decide/engine_list.hpp
+++ b/src/decide/engine_list.hpp
@@ -1,5 +1,6 @@
-// The list of engines as a front node keeps it: by the name service's ids, in the order of the service's numbers
-// (list_numbering.hpp). What changed is handed to the module; what a good whole list no longer holds is gone.
+// The list of engines as a front node keeps it: by the name service's ids, in the order of the service's
+// numbers (list_numbering.hpp). What changed is handed to the module; what a good whole list no longer holds
+// is gone.
 #pragma once
 
 #include <cstdint>
@@ -27,31 +28,40 @@
 
 class EngineList {
 public:
-    // A whole list with its number, heard at `now` while the wall clock stood at `wall`, asked for at `asked`. Nothing where
-    // it tells nothing new. The first one is told as the copy of the start.
+    // A whole list with its number, heard at `now` while the wall clock stood at `wall`, asked for at
+    // `asked`. Nothing where it tells nothing new. The first one is told as the copy of the start.
     //
-    // A list of an older number, or of the number held with other content, is not taken at once: a service may answer with
-    // an older list now and then. The engines that drain there, or are not there, count as draining until the list held
-    // is heard again. It is taken once the same comes twice under the number held, or once the numbering has started anew; what was
-    // draining or gone until then counts as draining for some time after, as it may be a service that lags behind.
+    // A list of an older number, or of the number held with other content, is not taken at once: a service
+    // may answer with an older list now and then. The engines that drain there, or are not there, count as
+    // draining until the list held is heard again. It is taken once the same comes twice under the number
+    // held, or once the numbering has started anew; what was draining or gone until then counts as draining
+    // for some time after, as it may be a service that lags behind.
     //
-    // The wall clock alone never makes a start old: an engine is no older than the last good list that lacked its start, and
-    // one of the first list counts as new unless it looks hours old. It is older, though, by what the list's latest start is
-    // later.
-    std::optional<ListChange> take(std::uint64_t number, const std::vector<ListedEngine>& list, Micros now, Micros wall,
-                                   Micros asked);
+    // The wall clock alone never makes a start old: an engine is no older than the last good list that lacked
+    // its start, and one of the first list counts as new unless it looks hours old. It is older, though, by
+    // what the list's latest start is later.
+    std::optional<ListChange> take(std::uint64_t number, const std::vector<ListedEngine>& list, Micros now,
+                                   Micros wall, Micros asked);
     // The list of a configuration: taken where its number is newer.
-    std::optional<ListChange> take(std::uint64_t number, const std::vector<ListedEngine>& list, Micros now, Micros wall);
-    // Whether the list of that number is the one held and nothing is in doubt, so that its content need not be read again
-    // where the same answer has come again.
+    std::optional<ListChange> take(std::uint64_t number, const std::vector<ListedEngine>& list, Micros now,
+                                   Micros wall);
+    // Whether the list of that number is the one held and nothing is in doubt, so that its content need not
+    // be read again where the same answer has come again.
     bool confirm(std::uint64_t number, Micros now);
-    std::uint64_t number() const { return numbering_.held(); }
-    Micros heard() const { return heard_; }  // when the list held was last confirmed
-    const std::map<EngineId, ListedEngine>& engines() const { return engines_; }  // those not gone
+    std::uint64_t number() const {
+        return numbering_.held();
+    }
+    Micros heard() const {
+        return heard_;
+    }  // when the list held was last confirmed
+    const std::map<EngineId, ListedEngine>& engines() const {
+        return engines_;
+    }                                      // those not gone
     EngineState state(EngineId id) const;  // off: gone, or never heard of
 
 private:
-    std::optional<ListChange> adopt(std::uint32_t number, const std::vector<ListedEngine>& list, Micros now, Micros wall);
+    std::optional<ListChange> adopt(std::uint32_t number, const std::vector<ListedEngine>& list, Micros now,
+                                    Micros wall);
     std::optional<ListChange> doubt(const std::vector<ListedEngine>& list);
     std::optional<ListChange> settle();
     bool holds(const std::vector<ListedEngine>& list) const;
--- a/src/decide/engine_watch.cpp
+++ b/src/decide/engine_watch.cpp
@@ -17,7 +17,8 @@
 bool EngineWatch::said(Micros now, bool shutting_down, bool starting, std::optional<Micros> uptime) {
     if (uptime) {
         const Micros started = now - *uptime;
-        if (started > came_up_ + kSameStart) came_up_ = std::max<Micros>(started, 1);
+        if (started > came_up_ + kSameStart)
+            came_up_ = std::max<Micros>(started, 1);
     }
     shutting_down_ = shutting_down, starting_ = starting, unheard_ = false;
     return settle();
--- a/src/decide/engine_watch.hpp
+++ b/src/decide/engine_watch.hpp
@@ -25,7 +25,9 @@
     // of, and both together must not push it over.
     bool hold_while_cold(Micros now, Micros until, Micros warm_up);
 
-    const EngineEntry& entry() const { return entry_; }
+    const EngineEntry& entry() const {
+        return entry_;
+    }
 
 private:
     bool settle();
--- a/src/decide/exchange.cpp
+++ b/src/decide/exchange.cpp
@@ -13,31 +13,42 @@
 Outcome outcome_of(ExchangeEnd::How how) {
     using How = ExchangeEnd::How;
     switch (how) {
-        case How::served: return Outcome::done;
-        case How::shed: return Outcome::busy;
-        case How::fault: return Outcome::err;
-        case How::late: return Outcome::skipped;
-        case How::refused: return Outcome::econnrefused;
-        case How::unsent: return Outcome::skipped;
-        case How::lost: break;
+        case How::served:
+            return Outcome::done;
+        case How::shed:
+            return Outcome::busy;
+        case How::fault:
+            return Outcome::err;
+        case How::late:
+            return Outcome::skipped;
+        case How::refused:
+            return Outcome::econnrefused;
+        case How::unsent:
+            return Outcome::skipped;
+        case How::lost:
+            break;
     }
     return Outcome::econnreset;
 }
 
 ExchangeEnd::How proved_by_end(LinkEnd end, Handed handed) {
-    if (end == LinkEnd::never_up) return ExchangeEnd::How::refused;
-    if (end == LinkEnd::lacked_locally) return ExchangeEnd::How::unsent;
+    if (end == LinkEnd::never_up)
+        return ExchangeEnd::How::refused;
+    if (end == LinkEnd::lacked_locally)
+        return ExchangeEnd::How::unsent;
     return handed == Handed::whole ? ExchangeEnd::How::lost : ExchangeEnd::How::unsent;
 }
 
 bool AnswerFields::read(std::string_view text) {
     fields_.clear();
-    if (text == "-") return true;
+    if (text == "-")
+        return true;
     for (std::size_t at = 0; at <= text.size();) {
         const std::size_t end = std::min(text.find(',', at), text.size());
         const auto part = text.substr(at, end - at);
         const std::size_t equals = part.find('=');
-        if (equals == std::string_view::npos || equals == 0 || fields_.size() >= kFieldsMost) return false;
+        if (equals == std::string_view::npos || equals == 0 || fields_.size() >= kFieldsMost)
+            return false;
         fields_.emplace_back(part.substr(0, equals), part.substr(equals + 1));
         at = end + 1;
     }
@@ -46,7 +57,8 @@
 
 std::string_view AnswerFields::find(std::string_view name) const {
     for (const auto& [key, value] : fields_)
-        if (key == name) return value;
+        if (key == name)
+            return value;
     return {};
 }
 
@@ -56,7 +68,8 @@
 }
 
 bool ResultPages::begin(std::size_t pages, std::string_view first) {
-    if (pages == 0 || pages > kPagesMost || !fits(first)) return false;
+    if (pages == 0 || pages > kPagesMost || !fits(first))
+        return false;
     pages_.resize(pages);
     pages_.front() = first;
     missing_ = pages - 1;
@@ -64,8 +77,10 @@
 }
 
 ResultPages::Took ResultPages::take(std::size_t number, std::string_view page) {
-    if (number == 0 || number >= pages_.size() || pages_[number]) return Took::not_asked;
-    if (!fits(page)) return Took::spoilt;
+    if (number == 0 || number >= pages_.size() || pages_[number])
+        return Took::not_asked;
+    if (!fits(page))
+        return Took::spoilt;
     pages_[number] = page;
     --missing_;
     return Took::page;
@@ -74,7 +89,8 @@
 std::string ResultPages::rows() {
     std::string rows;
     rows.reserve(bytes_);
-    for (auto& page : pages_) rows += *page;
+    for (auto& page : pages_)
+        rows += *page;
     pages_.clear();
     return rows;
 }
--- a/src/decide/exchange.hpp
+++ b/src/decide/exchange.hpp
@@ -17,8 +17,9 @@
         fault,    // FAULT: it may have run
         late,     // LATE: it never ran
         refused,  // no connection came about: it never ran
-        unsent,   // not wholly written when its connection ended, taken back unwritten, or kept by this machine
-                  // for want of a descriptor, a port or the like: it never ran, and its engine is not to blame
+        unsent,   // not wholly written when its connection ended, taken back unwritten, or kept by this
+                  // machine for want of a descriptor, a port or the like: it never ran, and its engine is not
+                  // to blame
         lost,     // the connection ended, or was spoilt by whatever came on it: it may have run
     };
     How how = How::lost;
@@ -32,9 +33,17 @@
 
 // What the end of a connection proves of a request that stood on it, by how much of it the kernel had taken:
 // what was not written whole can't have arrived whole, and an engine runs nothing less.
-enum class Handed { nothing, part, whole };
+enum class Handed {
+    nothing,
+    part,
+    whole
+};
 // How the connection ended: it had come up; or never did, because of the peer or of this machine.
-enum class LinkEnd { broken, never_up, lacked_locally };
+enum class LinkEnd {
+    broken,
+    never_up,
+    lacked_locally
+};
 ExchangeEnd::How proved_by_end(LinkEnd end, Handed handed);
 
 // The fields of a message on an engine's connection: "name=value,name=value" or "-". Views of the text read.
@@ -51,13 +60,23 @@
 class ResultPages {
 public:
     static constexpr std::size_t kPageMost = 6'000, kResultMost = 48'000, kPagesMost = 512;
-    bool begun() const { return !pages_.empty(); }
+    bool begun() const {
+        return !pages_.empty();
+    }
     // The first answer's page and the number of all. False where no result can be like that.
     bool begin(std::size_t pages, std::string_view first);
-    enum class Took { page, not_asked, spoilt };
+    enum class Took {
+        page,
+        not_asked,
+        spoilt
+    };
     Took take(std::size_t number, std::string_view page);  // a further page, from 1
-    bool whole() const { return begun() && missing_ == 0; }
-    std::size_t pages() const { return pages_.size(); }
+    bool whole() const {
+        return begun() && missing_ == 0;
+    }
+    std::size_t pages() const {
+        return pages_.size();
+    }
     std::string rows();  // of all pages in order; to be taken once
 
 private:
--- a/src/decide/holding.hpp
+++ b/src/decide/holding.hpp
@@ -21,7 +21,12 @@
     Micros come_back = kSecondMicros;     // hint where a statement isn't taken
 };
 
-enum class Admission { taken, front_full, user_full, too_long };
+enum class Admission {
+    taken,
+    front_full,
+    user_full,
+    too_long
+};
 
 class Holding {
 public:
@@ -35,8 +40,12 @@
     bool may_ask_on(std::size_t waiting, std::size_t in_all) const {
         return waiting < limits_.rows_ahead && (waiting == 0 || in_all < limits_.rows_in_all);
     }
-    std::size_t statements() const { return statements_; }
-    const HoldingLimits& limits() const { return limits_; }
+    std::size_t statements() const {
+        return statements_;
+    }
+    const HoldingLimits& limits() const {
+        return limits_;
+    }
 
 private:
     HoldingLimits limits_;
--- a/src/decide/invariants.hpp
+++ b/src/decide/invariants.hpp
@@ -1,6 +1,6 @@
-// What must hold whenever a front acts, by name. Each is asked by one guard at the action itself (attempt_guard.hpp,
-// close_guard.hpp, start_guard.hpp); what a guard refuses is counted here and shown in the status. In a sound front
-// all counts stay at zero, whatever fails around it.
+// What must hold whenever a front acts, by name. Each is asked by one guard at the action itself
+// (attempt_guard.hpp, close_guard.hpp, start_guard.hpp); what a guard refuses is counted here and shown in
+// the status. In a sound front all counts stay at zero, whatever fails around it.
 #pragma once
 
 #include <array>
@@ -41,8 +41,12 @@
 // How often each was refused.
 class ViolationCounts {
 public:
-    void count(Invariant invariant) { ++counts_[static_cast<std::size_t>(invariant)]; }
-    std::uint64_t of(Invariant invariant) const { return counts_[static_cast<std::size_t>(invariant)]; }
+    void count(Invariant invariant) {
+        ++counts_[static_cast<std::size_t>(invariant)];
+    }
+    std::uint64_t of(Invariant invariant) const {
+        return counts_[static_cast<std::size_t>(invariant)];
+    }
     std::uint64_t total() const;
     std::string text() const;  // "0", or the total and each that isn't zero: "3(send_past_deadline:3)"
 
--- a/src/decide/ledger_keeper.hpp
+++ b/src/decide/ledger_keeper.hpp
@@ -55,8 +55,12 @@
     bool update(std::size_t waiting, Micros wall);
     // The store has caught up with everything that was admitted before: what was lost until here is over.
     std::optional<Gap> take_gap(std::size_t waiting, StoreTrouble cause);
-    bool losing() const { return gap_.has_value(); }
-    std::int64_t lost() const { return lost_; }  // rows in all
+    bool losing() const {
+        return gap_.has_value();
+    }
+    std::int64_t lost() const {
+        return lost_;
+    }  // rows in all
 
 private:
     void lose(Micros wall, bool request);
@@ -68,7 +72,12 @@
 // On the store's side: what to do next.
 class Keeper {
 public:
-    enum class Do { open, write, wait, set_aside };
+    enum class Do {
+        open,
+        write,
+        wait,
+        set_aside
+    };
     explicit Keeper(KeeperLimits limits) : limits_(limits), pause_(limits.try_again) {}
 
     Do next(Micros now) const;
@@ -79,9 +88,15 @@
     void was_set_aside();  // the damaged file is out of the way
     // Whether rows that failed with this trouble are worth keeping for another try: always, except where the
     // rows themselves can't be written.
-    StoreTrouble trouble() const { return trouble_; }
-    bool well() const { return trouble_ == StoreTrouble::none; }
-    Micros again_at() const { return again_at_; }
+    StoreTrouble trouble() const {
+        return trouble_;
+    }
+    bool well() const {
+        return trouble_ == StoreTrouble::none;
+    }
+    Micros again_at() const {
+        return again_at_;
+    }
 
 private:
     KeeperLimits limits_;
--- a/src/decide/life.hpp
+++ b/src/decide/life.hpp
@@ -26,7 +26,9 @@
 
 class Life {
 public:
-    Phase phase() const { return phase_; }
+    Phase phase() const {
+        return phase_;
+    }
     // Whether it may happen now. What may not is passed over by take(), which says so.
     bool may(Happening h) const;
     bool take(Happening h);
@@ -34,8 +36,12 @@
     bool out() const {
         return out_;
     }  // an attempt is out; may be so after the end, where it can't be called off
-    bool finished() const { return phase_ == Phase::answered || phase_ == Phase::over; }
-    bool freeable() const { return phase_ == Phase::over && !out_; }
+    bool finished() const {
+        return phase_ == Phase::answered || phase_ == Phase::over;
+    }
+    bool freeable() const {
+        return phase_ == Phase::over && !out_;
+    }
 
 private:
     Phase phase_ = Phase::held;
--- a/src/decide/list_numbering.cpp
+++ b/src/decide/list_numbering.cpp
@@ -5,26 +5,35 @@
 namespace gatetiller::decide {
 namespace {
 
-// Single answers with an older list are a common fault of name services; so many in a row, for so long, are not.
+// Single answers with an older list are a common fault of name services; so many in a row, for so long, are
+// not.
 constexpr int kRestartAnswers = 8;
 constexpr Micros kRestartSpan = 2 * kSecondMicros;
 
 // By serial number arithmetic (RFC 1982).
-bool is_newer(std::uint32_t number, std::uint32_t than) { return static_cast<std::int32_t>(number - than) > 0; }
+bool is_newer(std::uint32_t number, std::uint32_t than) {
+    return static_cast<std::int32_t>(number - than) > 0;
+}
 
 }  // namespace
 
-bool ListNumbering::newer(std::uint32_t number) const { return !held_ || is_newer(number, *held_); }
+bool ListNumbering::newer(std::uint32_t number) const {
+    return !held_ || is_newer(number, *held_);
+}
 
 ListVerdict ListNumbering::judge(std::uint32_t number, Micros asked, Micros now) {
-    if (newer(number)) return ListVerdict::newer;
+    if (newer(number))
+        return ListVerdict::newer;
     if (number == *held_) {
         older_answers_ = 0;
         return ListVerdict::held;
     }
-    if (asked < held_since_ || planted("highest_number_for_ever")) return ListVerdict::outdated;
-    if (older_answers_++ == 0) older_since_ = now, newest_older_ = number;
-    if (is_newer(newest_older_, number)) return ListVerdict::older;
+    if (asked < held_since_ || planted("highest_number_for_ever"))
+        return ListVerdict::outdated;
+    if (older_answers_++ == 0)
+        older_since_ = now, newest_older_ = number;
+    if (is_newer(newest_older_, number))
+        return ListVerdict::older;
     newest_older_ = number;
     const bool restarted = older_answers_ >= kRestartAnswers && now - older_since_ >= kRestartSpan;
     return restarted ? ListVerdict::restarted : ListVerdict::older;
--- a/src/decide/money.cpp
+++ b/src/decide/money.cpp
@@ -12,11 +12,14 @@
 
 Exact power_of_ten(int n) {
     Exact p = 1;
-    while (n-- > 0) p *= 10;
+    while (n-- > 0)
+        p *= 10;
     return p;
 }
 
-Exact floor_of(Exact a, Exact unit) { return a / unit - (a % unit < 0 ? 1 : 0); }
+Exact floor_of(Exact a, Exact unit) {
+    return a / unit - (a % unit < 0 ? 1 : 0);
+}
 
 std::string with_point(Exact units, int decimals) {
     const bool minus = units < 0;
@@ -32,11 +35,14 @@
 }  // namespace
 
 std::string whole_text(Exact n) {
-    if (n == 0) return "0";
+    if (n == 0)
+        return "0";
     std::string text;
     const bool minus = n < 0;
-    for (; n != 0; n /= 10) text += static_cast<char>('0' + (minus ? -(n % 10) : n % 10));
-    if (minus) text += '-';
+    for (; n != 0; n /= 10)
+        text += static_cast<char>('0' + (minus ? -(n % 10) : n % 10));
+    if (minus)
+        text += '-';
     std::reverse(text.begin(), text.end());
     return text;
 }
@@ -51,12 +57,15 @@
                            part = point == std::string_view::npos ? "" : text.substr(point + 1);
     if (whole.empty() || (point != std::string_view::npos && part.empty()))
         return wrong("digits are missing");
-    if (part.size() > kPriceDecimals) return wrong("more than nine decimals");
-    if (whole.size() > 9) return wrong("it is too large");
+    if (part.size() > kPriceDecimals)
+        return wrong("more than nine decimals");
+    if (whole.size() > 9)
+        return wrong("it is too large");
     std::string digits(whole);
     digits += part;
     digits.append(kPriceDecimals - part.size(), '0');
-    if (digits.find_first_not_of("0123456789") != std::string::npos) return wrong("not a plain decimal");
+    if (digits.find_first_not_of("0123456789") != std::string::npos)
+        return wrong("not a plain decimal");
     return *to_number<std::int64_t>(digits);
 }
 
@@ -83,13 +92,19 @@
     }
     std::vector<std::size_t> order(parts.size());
     std::iota(order.begin(), order.end(), std::size_t{0});
-    const auto rest = [&](std::size_t i) { return parts[i] - units[i] * unit; };
-    std::stable_sort(order.begin(), order.end(), [&](auto a, auto b) { return rest(a) > rest(b); });
+    const auto rest = [&](std::size_t i) {
+        return parts[i] - units[i] * unit;
+    };
+    std::stable_sort(order.begin(), order.end(), [&](auto a, auto b) {
+        return rest(a) > rest(b);
+    });
     Exact missing = floor_of(total + unit / 2, unit) - given;
     std::vector<Exact> fair = units;
-    for (std::size_t i = 0; missing > 0 && i < order.size(); ++i, --missing) ++fair[order[i]];
+    for (std::size_t i = 0; missing > 0 && i < order.size(); ++i, --missing)
+        ++fair[order[i]];
     std::vector<std::string> texts;
-    for (const Exact n : fair) texts.push_back(with_point(n, decimals));
+    for (const Exact n : fair)
+        texts.push_back(with_point(n, decimals));
     return texts;
 }
 
--- a/src/decide/node_admission.hpp
+++ b/src/decide/node_admission.hpp
@@ -15,7 +15,12 @@
 };
 
 // Each but `taken` is refused at once: nothing of it was sent, so trying again is harmless.
-enum class NodeAdmission { taken, twice, no_room, ending };
+enum class NodeAdmission {
+    taken,
+    twice,
+    no_room,
+    ending
+};
 NodeAdmission admit(const NodeHolding& holding, std::size_t statement_bytes, const NodeBounds& bounds,
                     const RestartTimes& times);
 
--- a/src/decide/node_bounds.cpp
+++ b/src/decide/node_bounds.cpp
@@ -28,17 +28,24 @@
 }
 
 bool overdue(const ClientFacts& c, Micros now, const ClientTimes& t) {
-    if (c.closing) return now - c.closing_since >= t.last_words;
-    if (c.open > 0 || c.unsent || c.unread) return false;
-    if (c.half_since > 0) return now - c.half_since >= t.half_request;
+    if (c.closing)
+        return now - c.closing_since >= t.last_words;
+    if (c.open > 0 || c.unsent || c.unread)
+        return false;
+    if (c.half_since > 0)
+        return now - c.half_since >= t.half_request;
     return !c.served && now - c.connected >= t.first_request;
 }
 
 std::optional<Micros> may_leave_at(const ClientFacts& c, const ClientTimes& t) {
-    if (c.open > 0) return std::nullopt;
-    if (c.closing) return c.closing_since;
-    if (c.unsent || c.unread) return std::nullopt;
-    if (c.half_since > 0) return c.half_since + t.half_request;
+    if (c.open > 0)
+        return std::nullopt;
+    if (c.closing)
+        return c.closing_since;
+    if (c.unsent || c.unread)
+        return std::nullopt;
+    if (c.half_since > 0)
+        return c.half_since + t.half_request;
     return c.served ? c.last_active + t.to_ask_again : c.connected + t.to_speak;
 }
 
@@ -49,7 +56,8 @@
     };
     for (std::size_t i = 0; i < clients.size(); ++i) {
         const auto at = may_leave_at(clients[i], t);
-        if (at && (!best || rank(clients[i], *at) < rank(clients[best->who], best->at))) best = Leaver{i, *at};
+        if (at && (!best || rank(clients[i], *at) < rank(clients[best->who], best->at)))
+            best = Leaver{i, *at};
     }
     return best;
 }
--- a/src/decide/node_bounds.hpp
+++ b/src/decide/node_bounds.hpp
@@ -53,6 +53,7 @@
     std::size_t who = 0;
     Micros at = 0;
 };
-std::optional<Leaver> makes_room(const std::vector<ClientFacts>& clients, Micros now, const ClientTimes& times);
+std::optional<Leaver> makes_room(const std::vector<ClientFacts>& clients, Micros now,
+                                 const ClientTimes& times);
 
 }  // namespace gatetiller::decide
--- a/src/decide/pattern.hpp
+++ b/src/decide/pattern.hpp
@@ -15,8 +15,9 @@
 template <typename Patterns, typename Tags>
 bool patterns_fit(const Patterns& patterns, const Tags& tags) {
     return std::all_of(patterns.begin(), patterns.end(), [&](const auto& wanted) {
-        return std::any_of(tags.begin(), tags.end(),
-                           [&](std::string_view tag) { return glob_matches(wanted, tag); });
+        return std::any_of(tags.begin(), tags.end(), [&](std::string_view tag) {
+            return glob_matches(wanted, tag);
+        });
     });
 }
 
--- a/src/decide/planned_restart.cpp
+++ b/src/decide/planned_restart.cpp
@@ -14,7 +14,8 @@
 
 RestartTimes restart_times(const Settings& settings) {
     Micros longest = 0;
-    for (const auto& c : settings.classes) longest = std::max(longest, c.deadline);
+    for (const auto& c : settings.classes)
+        longest = std::max(longest, c.deadline);
     RestartTimes t;
     t.leaves = std::min(longest, kCountedMost) + kKilledPast - kSpare;
     t.last_answers = std::max(t.takes_new, t.leaves - kToRead);
--- a/src/decide/quota.cpp
+++ b/src/decide/quota.cpp
@@ -19,11 +19,14 @@
 }
 
 Quota::Team* Quota::find(const std::string& team) {
-    const auto found =
-        std::find_if(teams_.begin(), teams_.end(), [&](const Team& t) { return t.budget.team == team; });
+    const auto found = std::find_if(teams_.begin(), teams_.end(), [&](const Team& t) {
+        return t.budget.team == team;
+    });
     return found == teams_.end() ? nullptr : &*found;
 }
-const Quota::Team* Quota::find(const std::string& team) const { return const_cast<Quota*>(this)->find(team); }
+const Quota::Team* Quota::find(const std::string& team) const {
+    return const_cast<Quota*>(this)->find(team);
+}
 
 void Quota::turn(Team& t, Micros now) const {
     const std::int64_t slot = slot_of(now);
@@ -37,15 +40,19 @@
     t.newest = std::max(t.newest, slot);
 }
 
-void Quota::used(const std::string& team, Micros now, Micros work) { restore(team, now, 0, work); }
+void Quota::used(const std::string& team, Micros now, Micros work) {
+    restore(team, now, 0, work);
+}
 
 void Quota::restore(const std::string& team, Micros now, Micros ago, Micros work) {
     Team* t = find(team);
-    if (!t || work <= 0 || ago < 0) return;
+    if (!t || work <= 0 || ago < 0)
+        return;
     turn(*t, now);
     // Ages are counted in whole slots back from now, as the loop's time may be younger than the window.
     const std::int64_t back = ago / slot_;
-    if (back >= kSlots) return;
+    if (back >= kSlots)
+        return;
     t->slots[static_cast<std::size_t>(((t->newest - back) % kSlots + kSlots) % kSlots)] += work;
     t->sum += work;
 }
@@ -53,19 +60,23 @@
 QuotaState Quota::wanted(const Team& t) const {
     // A state that is held is left only once use has fallen clearly below its budget.
     const auto over = [&](Micros budget, bool held) {
-        if (budget <= 0) return false;
+        if (budget <= 0)
+            return false;
         const double at =
             held ? settings_.back_at * static_cast<double>(budget) : static_cast<double>(budget);
         return static_cast<double>(t.sum) >= at;
     };
-    if (over(t.budget.hard, t.state == QuotaState::hard)) return QuotaState::hard;
-    if (over(t.budget.soft, t.state != QuotaState::within)) return QuotaState::soft;
+    if (over(t.budget.hard, t.state == QuotaState::hard))
+        return QuotaState::hard;
+    if (over(t.budget.soft, t.state != QuotaState::within))
+        return QuotaState::soft;
     return QuotaState::within;
 }
 
 QuotaState Quota::state(const std::string& team, Micros now) {
     Team* t = find(team);
-    if (!t) return QuotaState::within;
+    if (!t)
+        return QuotaState::within;
     turn(*t, now);
     const QuotaState next = wanted(*t);
     // Up at once, down only after a while: a team at the brim must not flicker.
@@ -76,7 +87,8 @@
 
 Micros Quota::come_back(const std::string& team, Micros now) const {
     const Team* t = find(team);
-    if (!t || t->budget.hard <= 0) return settings_.stay;
+    if (!t || t->budget.hard <= 0)
+        return settings_.stay;
     const auto open_at = static_cast<Micros>(settings_.back_at * static_cast<double>(t->budget.hard));
     Micros sum = t->sum;
     Micros after = 0;
@@ -89,7 +101,8 @@
 
 Micros Quota::use(const std::string& team, Micros now) const {
     const Team* t = find(team);
-    if (!t) return 0;
+    if (!t)
+        return 0;
     Team copy = *t;
     turn(copy, now);
     return copy.sum;
--- a/src/decide/quota.hpp
+++ b/src/decide/quota.hpp
@@ -23,7 +23,11 @@
 
 namespace gatetiller::decide {
 
-enum class QuotaState : std::uint8_t { within, soft, hard };
+enum class QuotaState : std::uint8_t {
+    within,
+    soft,
+    hard
+};
 const char* name_of(QuotaState state);
 
 struct Budget {
@@ -42,7 +46,9 @@
 public:
     Quota(QuotaSettings settings, std::vector<Budget> budgets);
 
-    bool any() const { return !teams_.empty(); }
+    bool any() const {
+        return !teams_.empty();
+    }
     // Work of an attempt that ended at `now`. Teams without a budget are passed over.
     void used(const std::string& team, Micros now, Micros work);
     // The same of the past, read back from the ledger; `ago` before now.
@@ -65,7 +71,9 @@
     };
     Team* find(const std::string& team);
     const Team* find(const std::string& team) const;
-    std::int64_t slot_of(Micros t) const { return t / slot_; }
+    std::int64_t slot_of(Micros t) const {
+        return t / slot_;
+    }
     void turn(Team& t, Micros now) const;  // lets go of slots that have left the window
     QuotaState wanted(const Team& t) const;
 
--- a/src/decide/routing.cpp
+++ b/src/decide/routing.cpp
@@ -14,20 +14,27 @@
 }
 
 std::string value_of(const std::string& from, const Traits& t) {
-    if (from == "user") return t.user;
-    if (from == "source") return t.source;
-    if (from == "catalog") return t.catalog;
-    if (from == "schema") return t.schema;
-    if (from == "trace_token") return t.trace_token;
+    if (from == "user")
+        return t.user;
+    if (from == "source")
+        return t.source;
+    if (from == "catalog")
+        return t.catalog;
+    if (from == "schema")
+        return t.schema;
+    if (from == "trace_token")
+        return t.trace_token;
     if (from.starts_with("tag:"))
         for (const std::string& tag : t.tags)
-            if (tag.starts_with(from.substr(4))) return tag.substr(from.size() - 4);
+            if (tag.starts_with(from.substr(4)))
+                return tag.substr(from.size() - 4);
     return "";
 }
 
 // All fronts give a group the same number. Never 0, which means none.
 std::int64_t number_of(const std::string& name) {
-    if (name.empty()) return 0;
+    if (name.empty())
+        return 0;
     return static_cast<std::int64_t>(hash_of(name) >> 12 | 1);
 }
 
@@ -37,12 +44,15 @@
     : routes_(std::move(routes)), tenants_(std::move(tenants)) {}
 
 std::optional<Routed> Router::route(const Traits& traits) const {
-    const auto found =
-        std::find_if(routes_.begin(), routes_.end(), [&](const Route& r) { return fits(r, traits); });
-    if (found == routes_.end()) return std::nullopt;
+    const auto found = std::find_if(routes_.begin(), routes_.end(), [&](const Route& r) {
+        return fits(r, traits);
+    });
+    if (found == routes_.end())
+        return std::nullopt;
     Routed to{found->cls, found->tenant, value_of(found->key_from, traits),
               number_of(value_of(found->group_from, traits))};
-    if (to.tenant.empty()) to.tenant = value_of(found->tenant_from, traits);
+    if (to.tenant.empty())
+        to.tenant = value_of(found->tenant_from, traits);
     if (!tenants_.empty() && std::find(tenants_.begin(), tenants_.end(), to.tenant) == tenants_.end())
         to.tenant = tenants_.back();
     return to;
--- a/src/decide/settle.cpp
+++ b/src/decide/settle.cpp
@@ -14,7 +14,9 @@
     return kNames[static_cast<int>(f)];
 }
 
-bool explained(Finding f) { return f < Finding::differs; }
+bool explained(Finding f) {
+    return f < Finding::differs;
+}
 
 Settled settle(const RequestRow& r, const AttemptRow& a, const std::vector<LoggedQuery>& logged) {
     Settled s;
@@ -81,7 +83,8 @@
 }
 
 void Repeats::add(const RequestRow& r, std::uint32_t life) {
-    if (r.key.empty() || r.key_window <= 0) return;
+    if (r.key.empty() || r.key_window <= 0)
+        return;
     keyed_.push_back({hash_of(r.key, hash_of(r.who->tenant, hash_of(r.who->cls))), r.taken, r.key_window,
                       std::uint64_t{life} << 32 | r.number});
 }
@@ -94,7 +97,8 @@
         if (keyed_[i].key != keyed_[first].key ||
             keyed_[i].taken - keyed_[first].taken > keyed_[first].window)
             first = i;
-        if (first != i) repeats_.push_back(keyed_[i].request);
+        if (first != i)
+            repeats_.push_back(keyed_[i].request);
     }
     keyed_.clear();
     keyed_.shrink_to_fit();
--- a/src/decide/start_guard.hpp
+++ b/src/decide/start_guard.hpp
@@ -8,8 +8,8 @@
 namespace gatetiller::decide {
 
 struct ReadyFacts {
-    bool has_list = false;      // of engines, from the configuration or a source
-    bool listens = false;       // for clients
+    bool has_list = false;       // of engines, from the configuration or a source
+    bool listens = false;        // for clients
     bool hears_signals = false;  // to end, to reload
 };
 
@@ -21,9 +21,12 @@
 class StartGuard {
 public:
     static std::optional<Invariant> forbids(const ReadyFacts& facts) {
-        if (!facts.has_list) return Invariant::ready_without_list;
-        if (!facts.listens) return Invariant::ready_without_listener;
-        if (!facts.hears_signals) return Invariant::ready_without_signals;
+        if (!facts.has_list)
+            return Invariant::ready_without_list;
+        if (!facts.listens)
+            return Invariant::ready_without_listener;
+        if (!facts.hears_signals)
+            return Invariant::ready_without_signals;
         return std::nullopt;
     }
     static std::optional<ReadyPermit> permit(const ReadyFacts& facts) {
--- a/src/decide/teams.cpp
+++ b/src/decide/teams.cpp
@@ -30,7 +30,8 @@
         if (fits(r, who)) {
             fitting.push_back(&r);
             changes.push_back(r.from);
-            if (r.until != 0) changes.push_back(r.until);
+            if (r.until != 0)
+                changes.push_back(r.until);
         }
     std::sort(changes.begin(), changes.end());
     changes.erase(std::unique(changes.begin(), changes.end()), changes.end());
@@ -46,15 +47,18 @@
 
 const std::string& Teams::of(const Who& who, Micros taken) {
     std::string key;
-    for (const std::string* part : {&who.tenant, &who.user, &who.source, &who.tags}) (key += *part) += '\0';
+    for (const std::string* part : {&who.tenant, &who.user, &who.source, &who.tags})
+        (key += *part) += '\0';
     auto found = known_.find(key);
     if (found == known_.end()) {
-        if (known_.size() >= kKnown) known_.clear();
+        if (known_.size() >= kKnown)
+            known_.clear();
         found = known_.emplace(std::move(key), stretches_of(who)).first;
     }
     const auto& s = found->second;
-    const auto after = std::upper_bound(s.begin(), s.end(), taken,
-                                        [](Micros at, const Stretch& stretch) { return at < stretch.from; });
+    const auto after = std::upper_bound(s.begin(), s.end(), taken, [](Micros at, const Stretch& stretch) {
+        return at < stretch.from;
+    });
     return std::prev(after)->team;
 }
 
@@ -62,19 +66,22 @@
     std::string name = team.empty() ? "(no team)" : team;
     if (const auto names = names_.find(team); names != names_.end())
         for (const TeamName& n : names->second)
-            if (n.from <= at) name = n.name;
+            if (n.from <= at)
+                name = n.name;
     return name;
 }
 
 std::vector<std::string> Teams::formerly(const std::string& team, Micros from, Micros until) const {
     std::vector<std::string> before;
     const auto names = names_.find(team);
-    if (names == names_.end()) return before;
+    if (names == names_.end())
+        return before;
     const std::string last = name_at(team, until - 1);
     for (const Micros at : [&] {
              std::vector<Micros> times{from};
              for (const TeamName& n : names->second)
-                 if (n.from > from && n.from < until) times.push_back(n.from);
+                 if (n.from > from && n.from < until)
+                     times.push_back(n.from);
              return times;
          }()) {
         const std::string name = name_at(team, at);
--- a/src/engine/config.cpp
+++ b/src/engine/config.cpp
@@ -34,7 +34,8 @@
 
 Result<ServiceSettings> load_engine_text(const std::string& name, const std::string& source) {
     auto text = config::evaluate(name, source);
-    if (!text) return Error{text.error()};
+    if (!text)
+        return Error{text.error()};
     config::Mistakes mistakes(name, source);
     const auto json = nlohmann::json::parse(*text);
     ServiceSettings s;
@@ -42,9 +43,13 @@
     std::string listen = "127.0.0.1:0";
     top.text("name", s.name);
     top.text("listen", listen);
-    if (auto address = net::Address::parse(listen)) s.listen = *address;
-    else top.wrong("listen", address.error());
-    top.object("machine", [&](config::Reader& r) { read_machine(r, s.machine); });
+    if (auto address = net::Address::parse(listen))
+        s.listen = *address;
+    else
+        top.wrong("listen", address.error());
+    top.object("machine", [&](config::Reader& r) {
+        read_machine(r, s.machine);
+    });
     top.bytes("page", s.page_bytes);
     top.span("long_poll", s.long_poll);
     top.span("abandoned_after", s.abandoned_after);
@@ -53,7 +58,8 @@
     top.text("events", s.events);
     top.count("seed", s.seed, 0, 9e15);
     top.close();
-    if (!mistakes.none()) return Error{mistakes.text()};
+    if (!mistakes.none())
+        return Error{mistakes.text()};
     return s;
 }
 
--- a/src/engine/model.hpp
+++ b/src/engine/model.hpp
@@ -48,8 +48,17 @@
     bool load = false, yields = false;  // holds its group until it ends; stands still while a load holds it
 };
 
-enum class Phase { for_memory, for_load, running };
-enum class Taken { taken, full, repeat, fallen };
+enum class Phase {
+    for_memory,
+    for_load,
+    running
+};
+enum class Taken {
+    taken,
+    full,
+    repeat,
+    fallen
+};
 
 struct View {
     Phase phase = Phase::running;
@@ -72,11 +81,21 @@
     std::vector<std::pair<JobId, View>> take_ended();  // since the last call, in order
     std::optional<View> view(JobId id) const;          // nothing once it ended
     Report report() const;
-    bool fallen() const { return fallen_; }
-    std::size_t jobs() const { return jobs_.size(); }
-    double work_done() const { return work_done_; }  // in all, core-microseconds
-    void slow(Micros now, double times) { advance(now), slow_ = times, rates_stale_ = true; }
-    void flush_warm() { warm_.clear(); }
+    bool fallen() const {
+        return fallen_;
+    }
+    std::size_t jobs() const {
+        return jobs_.size();
+    }
+    double work_done() const {
+        return work_done_;
+    }  // in all, core-microseconds
+    void slow(Micros now, double times) {
+        advance(now), slow_ = times, rates_stale_ = true;
+    }
+    void flush_warm() {
+        warm_.clear();
+    }
 
 private:
     struct Running {
--- a/src/engine/service.cpp
+++ b/src/engine/service.cpp
@@ -14,38 +14,54 @@
 
 }  // namespace
 
-std::string row_of(std::string_view sql, std::size_t index) { return Random(hash_of(sql, index)).hex(16); }
+std::string row_of(std::string_view sql, std::size_t index) {
+    return Random(hash_of(sql, index)).hex(16);
+}
 
 Result<Hints> read_hints(std::string_view sql) {
     Hints h;
     const std::size_t from = sql.find("/* gt:");
-    if (from == std::string_view::npos) return h;
+    if (from == std::string_view::npos)
+        return h;
     const std::size_t end = sql.find("*/", from);
-    if (end == std::string_view::npos) return Error{"the comment with hints does not end"};
+    if (end == std::string_view::npos)
+        return Error{"the comment with hints does not end"};
     for (const auto part : split(sql.substr(from + 6, end - from - 6), ' ')) {
         const std::size_t equals = part.find('=');
         const std::string_view key = part.substr(0, equals),
                                value = equals == std::string_view::npos ? "" : part.substr(equals + 1);
         const auto number = [&](double& to) {
             const auto n = to_number<double>(value);
-            if (n && *n >= 0 && *n < 1e12) to = *n;
+            if (n && *n >= 0 && *n < 1e12)
+                to = *n;
             return n.has_value();
         };
         double count = 0;
         bool right = true;
-        if (key == "work_ms") right = number(h.work_ms);
-        else if (key == "threads") right = number(h.threads) && h.threads > 0;
-        else if (key == "io") right = number(h.io) && h.io <= 1;
-        else if (key == "mem_mb") right = number(h.mem_mb);
-        else if (key == "rows") right = number(count), h.rows = static_cast<std::size_t>(count);
+        if (key == "work_ms")
+            right = number(h.work_ms);
+        else if (key == "threads")
+            right = number(h.threads) && h.threads > 0;
+        else if (key == "io")
+            right = number(h.io) && h.io <= 1;
+        else if (key == "mem_mb")
+            right = number(h.mem_mb);
+        else if (key == "rows")
+            right = number(count), h.rows = static_cast<std::size_t>(count);
         else if (key == "row_bytes")
             right = number(count), h.row_bytes = static_cast<std::size_t>(std::min(count, 1e6));
-        else if (key == "group") h.group = value;
-        else if (key == "fail") h.fail = value;
-        else if (key == "load") h.load = value == "1";
-        else if (key == "yields") h.yields = value == "1";
-        else right = false;
-        if (!right) return Error{"hint '" + std::string(part) + "' cannot be read"};
+        else if (key == "group")
+            h.group = value;
+        else if (key == "fail")
+            h.fail = value;
+        else if (key == "load")
+            h.load = value == "1";
+        else if (key == "yields")
+            h.yields = value == "1";
+        else
+            right = false;
+        if (!right)
+            return Error{"hint '" + std::string(part) + "' cannot be read"};
     }
     return h;
 }
@@ -74,17 +90,20 @@
 
 Service::~Service() {
     loop_.cancel(timer_);
-    for (auto& [id, r] : running_) loop_.cancel(r.limit);
+    for (auto& [id, r] : running_)
+        loop_.cancel(r.limit);
 }
 
 Result<net::Address> Service::start() {
     bound_ = settings_.listen;
-    server_ = std::make_unique<http::Server>(
-        loop_, http::ServerOptions{},
-        [this](http::Request& r, http::Server::Reply reply) { handle(r, std::move(reply)); });
+    server_ = std::make_unique<http::Server>(loop_, http::ServerOptions{},
+                                             [this](http::Request& r, http::Server::Reply reply) {
+                                                 handle(r, std::move(reply));
+                                             });
     up();
     auto bound = server_->listen(bound_);
-    if (bound) bound_ = *bound;
+    if (bound)
+        bound_ = *bound;
     return bound;
 }
 
@@ -103,8 +122,10 @@
 void Service::down() {
     for (auto& [id, r] : running_) {
         loop_.cancel(r.limit);
-        if (const auto view = machine_->view(r.job)) r.last = *view;
-        if (!r.ended) note("lost", &r, id);
+        if (const auto view = machine_->view(r.job))
+            r.last = *view;
+        if (!r.ended)
+            note("lost", &r, id);
     }
     running_.clear();
     jobs_.clear();
@@ -118,39 +139,53 @@
 
 void Service::set(const Faults& f) {
     const Faults before = std::exchange(faults_, f);
-    if (f.crashed && !before.crashed) return down();
+    if (f.crashed && !before.crashed)
+        return down();
     if (!f.crashed && before.crashed) {
         up();
-        if (!f.refuse) (void)server_->listen(bound_);
+        if (!f.refuse)
+            (void)server_->listen(bound_);
     } else if (f.crashed) {
         return;
     }
-    if (f.slow != before.slow) machine_->slow(loop_.now(), f.slow), on_ended(), arm();
-    if (f.flush) machine_->flush_warm();
+    if (f.slow != before.slow)
+        machine_->slow(loop_.now(), f.slow), on_ended(), arm();
+    if (f.flush)
+        machine_->flush_warm();
     server_->mute(f.hang);
     http::Server::Mischief m;
     m.trickle_bytes = static_cast<std::size_t>(f.trickle);
-    if (f.cut > 0) m.cuts = [this, share = f.cut] { return random_.chance(share); };
+    if (f.cut > 0)
+        m.cuts = [this, share = f.cut] {
+            return random_.chance(share);
+        };
     server_->mischief(std::move(m));
-    if (!f.silent) ignored_.clear();
-    if (f.refuse && !before.refuse) server_->stop_listening(), server_->break_all();
-    if (!f.refuse && before.refuse) (void)server_->listen(bound_);
+    if (!f.silent)
+        ignored_.clear();
+    if (f.refuse && !before.refuse)
+        server_->stop_listening(), server_->break_all();
+    if (!f.refuse && before.refuse)
+        (void)server_->listen(bound_);
 }
 
 void Service::drain() {
-    if (std::exchange(draining_, true)) return;
-    if (statements_) statements_->draining = true;
+    if (std::exchange(draining_, true))
+        return;
+    if (statements_)
+        statements_->draining = true;
     note("drain", nullptr, "");
 }
 
 void Service::note(const char* event, const Running* r, const std::string& id) {
-    if (!journal_) return;
+    if (!journal_)
+        return;
     Entry e;
     e.at = loop_.now(), e.event = event, e.id = id;
     if (r) {
         const auto& c = r->submission.context;
         e.trace = c.trace_token, e.front = r->front, e.user = c.user, e.source = c.source;
-        for (const auto& tag : c.tags) e.tags += (e.tags.empty() ? "" : ",") + tag;
+        for (const auto& tag : c.tags)
+            e.tags += (e.tags.empty() ? "" : ",") + tag;
         e.work_us = r->last.work_done, e.peak_mb = r->last.peak_mb, e.spilled_mb = r->last.spilled_mb;
     }
     journal_(e);
@@ -159,7 +194,8 @@
 // What an engine's own listener tells of a query once it is over. One that dies tells nothing of those it
 // had.
 void Service::tell_completed(const Running& r, const std::string& id, const char* error) {
-    if (!completed_) return;
+    if (!completed_)
+        return;
     const auto& c = r.submission.context;
     statement::Completed e;
     e.id = id, e.state = *error ? "FAILED" : "FINISHED";
@@ -183,16 +219,20 @@
 }
 
 void Service::handle(http::Request& request, http::Server::Reply reply) {
-    if (request.target == "/v1/fault") return fault_path(request, reply);
-    if (faults_.silent) return void(ignored_.push_back(std::move(reply)));
+    if (request.target == "/v1/fault")
+        return fault_path(request, reply);
+    if (faults_.silent)
+        return void(ignored_.push_back(std::move(reply)));
     const bool post = request.method == "POST";
-    if (post && random_.chance(faults_.reset_before)) return reply.break_connection();
+    if (post && random_.chance(faults_.reset_before))
+        return reply.break_connection();
     if (faults_.lost_resets)
         for (const auto& [id, r] : running_)
             if (r.lost && r.ended && request.target.find(id) != std::string::npos)
                 return reply.break_connection();
     asking_ = front_of(request);
-    if (!statements_->handle(request, reply)) reply.send(statement::text_response(404, "no such path"));
+    if (!statements_->handle(request, reply))
+        reply.send(statement::text_response(404, "no such path"));
 }
 
 // PUT /v1/fault with {"slow": 4, "hang": true, ...} sets all faults; what isn't named is well again.
@@ -202,8 +242,12 @@
         return reply.send(statement::text_response(400, "PUT an object of faults"));
     Faults f;
     for (const auto& [key, value] : json.items()) {
-        const auto flag = [&](bool& to) { return value.is_boolean() && (to = value.get<bool>(), true); };
-        const auto number = [&](double& to) { return value.is_number() && (to = value.get<double>(), true); };
+        const auto flag = [&](bool& to) {
+            return value.is_boolean() && (to = value.get<bool>(), true);
+        };
+        const auto number = [&](double& to) {
+            return value.is_number() && (to = value.get<double>(), true);
+        };
         const bool right = key == "slow"            ? number(f.slow) && f.slow >= 0.01
                            : key == "hang"          ? flag(f.hang)
                            : key == "silent"        ? flag(f.silent)
@@ -225,7 +269,9 @@
     }
     reply.send({204, {}, {}});
     // After the answer has gone out: a crash closes this connection too.
-    loop_.after(kMillisecond, [this, f] { set(f); });
+    loop_.after(kMillisecond, [this, f] {
+        set(f);
+    });
 }
 
 std::optional<http::Response> Service::submit(const std::string& id, statement::Submission s) {
@@ -238,10 +284,13 @@
         note(event, &r, id);
         return statement::text_response(status, text);
     };
-    if (draining_) return refuse("refused", 503, "shutting down");
-    if (random_.chance(faults_.busy)) return refuse("refused", 503, "too busy");
+    if (draining_)
+        return refuse("refused", 503, "shutting down");
+    if (random_.chance(faults_.busy))
+        return refuse("refused", 503, "too busy");
     auto hints = read_hints(r.submission.sql);
-    if (!hints) return refuse("refused", 400, hints.error().c_str());
+    if (!hints)
+        return refuse("refused", 400, hints.error().c_str());
     r.hints = *hints;
     Job job{c.trace_token,
             "",
@@ -255,9 +304,11 @@
             r.hints.load,
             r.hints.yields};
     for (const auto& tag : c.tags)
-        if (tag.starts_with("key=")) job.key = c.user + " " + tag;
+        if (tag.starts_with("key="))
+            job.key = c.user + " " + tag;
     if (const auto grant = c.session.find("query_max_memory"); grant != c.session.end())
-        if (const auto size = parse_bytes(grant->second)) job.grant_mb = *size / 1048576.0;
+        if (const auto size = parse_bytes(grant->second))
+            job.grant_mb = *size / 1048576.0;
     if (const auto priority = c.session.find("query_priority"); priority != c.session.end())
         job.priority = to_number<int>(priority->second).value_or(1);
     if (random_.chance(faults_.fast_errors)) {
@@ -265,12 +316,16 @@
         tell_completed(r, id, "GENERIC_INTERNAL_ERROR");
         r.ended = true;
         running_.emplace(id, std::move(r));
-        loop_.after(0, [this, id] { fail(id, "GENERIC_INTERNAL_ERROR", "a fault on command"); });
+        loop_.after(0, [this, id] {
+            fail(id, "GENERIC_INTERNAL_ERROR", "a fault on command");
+        });
         return std::nullopt;
     }
     switch (machine_->submit(loop_.now(), std::move(job), r.job)) {
-        case Taken::taken: break;
-        case Taken::full: return refuse("refused", 429, "too many sessions");
+        case Taken::taken:
+            break;
+        case Taken::full:
+            return refuse("refused", 429, "too many sessions");
         case Taken::fallen:
             note("fallen", &r, id);
             loop_.after(0, [this] {
@@ -321,9 +376,11 @@
             gone.mapped().second.last = view;
             tell_completed(gone.mapped().second, gone.mapped().first, "USER_CANCELED");
         }
-        if (view.unseen) continue;
+        if (view.unseen)
+            continue;
         const auto found = jobs_.find(job);
-        if (found == jobs_.end()) continue;
+        if (found == jobs_.end())
+            continue;
         const std::string id = found->second;
         jobs_.erase(found);
         Running& r = running_.at(id);
@@ -331,9 +388,12 @@
         r.ended = true, r.last = view;
         note("finished", &r, id);
         tell_completed(r, id, r.hints.fail.c_str());
-        if (r.lost) continue;  // its answer never comes
-        if (!r.hints.fail.empty()) fail(id, r.hints.fail.c_str(), "as the statement asked");
-        else give_page(id, r);
+        if (r.lost)
+            continue;  // its answer never comes
+        if (!r.hints.fail.empty())
+            fail(id, r.hints.fail.c_str(), "as the statement asked");
+        else
+            give_page(id, r);
     }
 }
 
@@ -348,7 +408,8 @@
                 row_of(r.submission.sql, r.next_row) + pad + "\"]";
         ++r.next_row;
     }
-    if (rows.size() > 1) d.data = rows + "]";
+    if (rows.size() > 1)
+        d.data = rows + "]";
     const bool last = r.next_row >= r.hints.rows;
     d.next_uri = last ? "" : "more";
     d.stats.state = last ? "FINISHED" : "RUNNING";
@@ -363,7 +424,8 @@
 
 void Service::fail(const std::string& id, const char* name, const std::string& message) {
     const auto found = running_.find(id);
-    if (found == running_.end()) return;
+    if (found == running_.end())
+        return;
     statement::Document d;
     d.stats = progress(id);
     d.stats.state = "FAILED";
@@ -373,17 +435,20 @@
 
 void Service::stop(const std::string& id, const char* event) {
     const auto found = running_.find(id);
-    if (found == running_.end() || found->second.ended) return;
+    if (found == running_.end() || found->second.ended)
+        return;
     Running& r = found->second;
     machine_->advance(loop_.now());
-    if (const auto view = machine_->view(r.job)) r.last = *view;
+    if (const auto view = machine_->view(r.job))
+        r.last = *view;
     r.ended = true;
     jobs_.erase(r.job);
     machine_->cancel(loop_.now(), r.job);
     note(event, &r, id);
     if (settings_.machine.cancel_stops)
         tell_completed(r, id, event == std::string_view("late") ? "EXCEEDED_TIME_LIMIT" : "USER_CANCELED");
-    else heedless_.emplace(r.job, std::pair(id, r));
+    else
+        heedless_.emplace(r.job, std::pair(id, r));
     on_ended();
     arm();
 }
@@ -395,7 +460,8 @@
 
 void Service::final_given(const std::string& id) {
     const auto found = running_.find(id);
-    if (found == running_.end()) return;
+    if (found == running_.end())
+        return;
     loop_.cancel(found->second.limit);
     jobs_.erase(found->second.job);
     running_.erase(found);
@@ -404,13 +470,15 @@
 statement::Stats Service::progress(const std::string& id) {
     statement::Stats s;
     const auto found = running_.find(id);
-    if (found == running_.end()) return s;
+    if (found == running_.end())
+        return s;
     Running& r = found->second;
     if (!r.ended) {
         machine_->advance(loop_.now());
         // Jobs that end by this are told of by the timer, which is due then: here a caller holds on to this
         // one.
-        if (const auto view = machine_->view(r.job)) r.last = *view;
+        if (const auto view = machine_->view(r.job))
+            r.last = *view;
     }
     const bool waits = !r.ended && r.last.phase == Phase::for_memory,
                held = !r.ended && r.last.phase == Phase::for_load;
@@ -424,7 +492,8 @@
     s.wall_ms = s.elapsed_ms = (loop_.now() - r.taken) / kMillisecond;
     s.peak_memory_bytes = static_cast<std::int64_t>(r.last.peak_mb * 1048576);
     s.spilled_bytes = static_cast<std::int64_t>(r.last.spilled_mb * 1048576);
-    if (s.spilled_bytes > 0 && !std::exchange(r.told_spill, true)) note("spilled", &r, id);
+    if (s.spilled_bytes > 0 && !std::exchange(r.told_spill, true))
+        note("spilled", &r, id);
     return s;
 }
 
@@ -433,12 +502,14 @@
 }
 
 void Service::decorate(http::Response& response) {
-    if (!settings_.reports || !machine_) return;
+    if (!settings_.reports || !machine_)
+        return;
     Report report = machine_->report();
     if (faults_.report_late_s > 0) {
         const Micros as_of = loop_.now() - static_cast<Micros>(faults_.report_late_s * kSecondMicros);
         reports_.emplace_back(loop_.now(), report);
-        while (reports_.size() > 1 && reports_[1].first <= as_of) reports_.pop_front();
+        while (reports_.size() > 1 && reports_[1].first <= as_of)
+            reports_.pop_front();
         report = reports_.front().second;
     }
     response.headers.add(std::string(statement::kLoadHeader), statement::write_report(report));
--- a/src/engine/service.hpp
+++ b/src/engine/service.hpp
@@ -79,10 +79,16 @@
 
     Result<net::Address> start();
     void set(const Faults& faults);
-    const Faults& faults() const { return faults_; }
+    const Faults& faults() const {
+        return faults_;
+    }
     void drain() override;
-    Machine& machine() { return *machine_; }
-    std::size_t running() const { return running_.size(); }
+    Machine& machine() {
+        return *machine_;
+    }
+    std::size_t running() const {
+        return running_.size();
+    }
 
     std::optional<http::Response> submit(const std::string& id, statement::Submission submission) override;
     void left(const std::string& id, statement::Left how) override;
--- a/src/front/engines.cpp
+++ b/src/front/engines.cpp
@@ -10,7 +10,8 @@
 namespace {
 
 constexpr Micros kKeepAgain = kSecondMicros;  // a last list that could not be written
-constexpr Micros kFirstWord = 100 * kMillisecond;  // that an engine has for telling its state, before it counts as on
+constexpr Micros kFirstWord =
+    100 * kMillisecond;  // that an engine has for telling its state, before it counts as on
 
 }  // namespace
 
@@ -35,12 +36,15 @@
     auto known = own_;
     if (!roster_.keep.empty()) {
         auto last = roster::read_last_list(roster_.keep);
-        if (last) known = std::move(*last);
-        else events_.log("starting without a last list: " + last.error());
+        if (last)
+            known = std::move(*last);
+        else
+            events_.log("starting without a last list: " + last.error());
     }
     take_list(known, ListForm::warm_copy);
     open_source();
-    if (roster_.watch_every > 0) watch();
+    if (roster_.watch_every > 0)
+        watch();
 }
 
 void Engines::open_source() {
@@ -55,23 +59,31 @@
                             events_.log("the list of engines is lost: " + why);
                             events_.changed({ListForm::lost, {}});
                         }});
-    else take_list(own_, ListForm::total);
+    else
+        take_list(own_, ListForm::total);
 }
 
 // A disk that is full or broken for a while is tried again: the same list may not come again for long.
 void Engines::keep_last_list() {
     const bool again = keeping_ != 0;
     loop_.cancel(std::exchange(keeping_, 0));
-    if (roster_.keep.empty()) return;
+    if (roster_.keep.empty())
+        return;
     const auto kept = roster::keep_last_list(roster_.keep, to_keep_);
-    if (kept) return;
-    if (!again) events_.log(kept.error());
-    keeping_ = loop_.after(kKeepAgain, [this] { keep_last_list(); });
+    if (kept)
+        return;
+    if (!again)
+        events_.log(kept.error());
+    keeping_ = loop_.after(kKeepAgain, [this] {
+        keep_last_list();
+    });
 }
 
 void Engines::ask() {
-    if (source_) source_->ask();
-    else events_.changed({ListForm::incr, {}});
+    if (source_)
+        source_->ask();
+    else
+        events_.changed({ListForm::incr, {}});
 }
 
 void Engines::reload(const config::FrontSettings& s) {
@@ -90,14 +102,17 @@
     std::vector<Engine*> coming;  // new, or back after it was off: its process may be a cold one
     for (const auto& settings : list) {
         auto& id = ids_[settings.name + " " + settings.address.text()];
-        if (id == 0) id = ++last_id_;
+        if (id == 0)
+            id = ++last_id_;
         auto& engine = engines_[id];
         const bool is_new = !engine;
         if (is_new) {
             engine = std::make_unique<Engine>();
             engine->id = id;
             engine->client = std::make_unique<http::Client>(loop_, settings.address, client_options_);
-            engine->client->on_all_lost([this, e = engine.get()] { ask_before_more(*e); });
+            engine->client->on_all_lost([this, e = engine.get()] {
+                ask_before_more(*e);
+            });
         }
         const bool comes = is_new || engine->watch.entry().state == EngineState::off;
         if (comes && settings.state != EngineState::off && roster_.watch_every > 0) {
@@ -111,13 +126,15 @@
         change.engines.push_back(engine->watch.entry());
     }
     for (auto& [id, engine] : engines_) {
-        if (named.contains(id) || engine->watch.entry().state == EngineState::off) continue;
+        if (named.contains(id) || engine->watch.entry().state == EngineState::off)
+            continue;
         EngineEntry gone = engine->watch.entry();
         gone.state = EngineState::off;
         engine->watch.listed(gone);
     }
     events_.changed(std::move(change));
-    for (Engine* e : coming) ask_and_wait(*e);
+    for (Engine* e : coming)
+        ask_and_wait(*e);
 }
 
 void Engines::changed(Engine& e) {
@@ -132,23 +149,31 @@
     for (auto& [id, e] : engines_)
         if (e->watch.entry().state != EngineState::off && !e->info.active() && !e->state.active())
             ask_state(*e);
-    watching_ = loop_.after(roster_.watch_every, [this] { watch(); });
+    watching_ = loop_.after(roster_.watch_every, [this] {
+        watch();
+    });
 }
 
-// Its process may have ended and another, cold one stand in its place. Not more often than a word is waited for: an
-// engine that ends each connection at once would be asked without end.
+// Its process may have ended and another, cold one stand in its place. Not more often than a word is waited
+// for: an engine that ends each connection at once would be asked without end.
 void Engines::ask_before_more(Engine& e) {
-    if (roster_.watch_every <= 0 || e.watch.entry().state == EngineState::off) return;
-    if (e.lost_at > 0 && loop_.now() - e.lost_at < kFirstWord) return;
+    if (roster_.watch_every <= 0 || e.watch.entry().state == EngineState::off)
+        return;
+    if (e.lost_at > 0 && loop_.now() - e.lost_at < kFirstWord)
+        return;
     e.lost_at = loop_.now();
-    if (e.watch.will_be_asked()) changed(e);
+    if (e.watch.will_be_asked())
+        changed(e);
     ask_and_wait(e);
 }
 
 // Of one that counts as unheard.
 void Engines::ask_and_wait(Engine& e) {
     awaited_.push_back({e.id, loop_.now() + kFirstWord});
-    if (first_word_ == 0) first_word_ = loop_.after(kFirstWord, [this] { enough_waited(); });
+    if (first_word_ == 0)
+        first_word_ = loop_.after(kFirstWord, [this] {
+            enough_waited();
+        });
     ask_state(e);
 }
 
@@ -159,14 +184,18 @@
     e.info = e.client->send(
         {"GET", "/v1/info", 1, headers, {}, {}}, limit, [this, &e, headers, limit](http::Answer a) {
             const auto unheard = [&] {
-                if (e.watch.could_not_be_asked()) changed(e);
+                if (e.watch.could_not_be_asked())
+                    changed(e);
             };
-            if (a.reached != http::Reached::answered || a.response.status != 200) return unheard();
+            if (a.reached != http::Reached::answered || a.response.status != 200)
+                return unheard();
             const auto found = statement::members(a.response.body);
-            if (!found) return unheard();
+            if (!found)
+                return unheard();
             e.starting = false, e.uptime.reset();
             for (const auto& m : *found) {
-                if (m.key == "starting") e.starting = m.raw == "true";
+                if (m.key == "starting")
+                    e.starting = m.raw == "true";
                 if (m.key == "uptime")
                     if (const auto span = parse_span(statement::as_string(m.raw).value_or("")))
                         e.uptime = *span;
@@ -175,14 +204,16 @@
                 {"GET", "/v1/info/state", 1, headers, {}, {}}, limit, [this, &e](http::Answer s) {
                     const bool told = s.reached == http::Reached::answered && s.response.status == 200;
                     if (!told) {
-                        if (e.watch.could_not_be_asked()) changed(e);
+                        if (e.watch.could_not_be_asked())
+                            changed(e);
                         return;
                     }
                     const bool ends =
                         statement::as_string(trimmed(s.response.body)).value_or("") == "SHUTTING_DOWN";
                     const bool news = e.watch.said(loop_.now(), ends, e.starting, e.uptime);
                     const bool held = e.watch.hold_while_cold(loop_.now(), hold_until_, warm_up_);
-                    if (news || held) changed(e);
+                    if (news || held)
+                        changed(e);
                 });
         });
 }
@@ -191,15 +222,20 @@
     first_word_ = 0;
     const Micros now = loop_.now();
     for (; !awaited_.empty() && awaited_.front().until <= now; awaited_.pop_front())
-        if (Engine* e = find(awaited_.front().id); e && e->watch.could_not_be_asked()) changed(*e);
-    if (!awaited_.empty()) first_word_ = loop_.after(awaited_.front().until - now, [this] { enough_waited(); });
+        if (Engine* e = find(awaited_.front().id); e && e->watch.could_not_be_asked())
+            changed(*e);
+    if (!awaited_.empty())
+        first_word_ = loop_.after(awaited_.front().until - now, [this] {
+            enough_waited();
+        });
 }
 
 void Engines::hold_cold(Micros until) {
     hold_until_ = until;
     loop_.cancel(std::exchange(holding_, 0));
     for (auto& [id, e] : engines_)
-        if (e->watch.hold_while_cold(loop_.now(), until, warm_up_)) changed(*e);
+        if (e->watch.hold_while_cold(loop_.now(), until, warm_up_))
+            changed(*e);
     if (until > loop_.now())
         holding_ = loop_.after(until - loop_.now(), [this] {
             holding_ = 0;
@@ -209,18 +245,19 @@
 
 void Engines::probe(EngineId id, std::function<void(Micros, Outcome, std::optional<Report>)> done) {
     Engine* e = find(id);
-    if (!e) return done(0, Outcome::skipped, std::nullopt);
+    if (!e)
+        return done(0, Outcome::skipped, std::nullopt);
     const Micros began = loop_.now();
     e->client
         ->send({"GET", "/v1/status", 1, {}, {}, {}}, kSecondMicros,
                [this, began, done = std::move(done)](const http::Answer& a) {
                    const bool fine = a.reached == http::Reached::answered && a.response.status == 200;
-                   const Outcome how = fine                                   ? Outcome::done
-                                       : a.reached == http::Reached::answered ? Outcome::err
-                                       : a.reached == http::Reached::late     ? Outcome::etimedout
-                                       : a.reached == http::Reached::broken   ? Outcome::econnreset
+                   const Outcome how = fine                                      ? Outcome::done
+                                       : a.reached == http::Reached::answered    ? Outcome::err
+                                       : a.reached == http::Reached::late        ? Outcome::etimedout
+                                       : a.reached == http::Reached::broken      ? Outcome::econnreset
                                        : a.reached == http::Reached::lacked_here ? Outcome::skipped
-                                                                              : Outcome::econnrefused;
+                                                                                 : Outcome::econnrefused;
                    done(loop_.now() - began, how,
                         fine ? statement::read_report(a.response.headers) : std::nullopt);
                })
--- a/src/front/engines.hpp
+++ b/src/front/engines.hpp
@@ -43,7 +43,9 @@
     // Cold engines get nothing until then; an earlier moment than now lets them go.
     void hold_cold(Micros until);
     Engine* find(EngineId id);
-    const std::map<EngineId, std::unique_ptr<Engine>>& all() const { return engines_; }
+    const std::map<EngineId, std::unique_ptr<Engine>>& all() const {
+        return engines_;
+    }
     // Asks an engine for its load; `done` gets the time taken and how it went.
     void probe(EngineId id, std::function<void(Micros taken, Outcome, std::optional<Report>)> done);
 
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -37,19 +37,26 @@
 
 decide::RequestState state_of(Ended ended) {
     switch (ended) {
-        case Ended::served: return decide::RequestState::served;
-        case Ended::refused: return decide::RequestState::refused;
-        case Ended::failed: return decide::RequestState::failed;
-        case Ended::cut: return decide::RequestState::cut;
-        case Ended::cancelled: return decide::RequestState::cancelled;
-        case Ended::abandoned: return decide::RequestState::abandoned;
+        case Ended::served:
+            return decide::RequestState::served;
+        case Ended::refused:
+            return decide::RequestState::refused;
+        case Ended::failed:
+            return decide::RequestState::failed;
+        case Ended::cut:
+            return decide::RequestState::cut;
+        case Ended::cancelled:
+            return decide::RequestState::cancelled;
+        case Ended::abandoned:
+            return decide::RequestState::abandoned;
     }
     return decide::RequestState::failed;
 }
 
 std::vector<std::string> tenant_names(const Settings& s) {
     std::vector<std::string> names;
-    for (const auto& t : s.tenants) names.push_back(t.name);
+    for (const auto& t : s.tenants)
+        names.push_back(t.name);
     return names;
 }
 
@@ -63,11 +70,15 @@
           engine(e),
           sent(f.loop_.now()),
           notes(sent, f.settings_.module.note_period) {}
-    ~Attempt() override { front.loop_.cancel(timer); }
+    ~Attempt() override {
+        front.loop_.cancel(timer);
+    }
     void on_document(statement::EngineCall&, statement::Document d, const http::Headers& h) override {
         front.on_document(*this, std::move(d), h);
     }
-    void on_end(statement::EngineCall&, statement::CallEnd end) override { front.on_end(*this, end); }
+    void on_end(statement::EngineCall&, statement::CallEnd end) override {
+        front.on_end(*this, end);
+    }
 
     Front& front;
     Running& running;
@@ -106,8 +117,12 @@
     store::LedgerWriter::Place place;
     statement::Stats stats;
 
-    Attempt* out() { return life.out() ? attempts.back().get() : nullptr; }
-    bool flowing() const { return life.phase() == Phase::flowing; }
+    Attempt* out() {
+        return life.out() ? attempts.back().get() : nullptr;
+    }
+    bool flowing() const {
+        return life.phase() == Phase::flowing;
+    }
 };
 
 Front::Front(net::Loop& loop, config::FrontSettings settings, Deps deps)
@@ -118,13 +133,21 @@
       holding_(settings_.holding),
       teams_(settings_.budgets.rules, {}),
       quota_(settings_.budgets.quota, settings_.budgets.budgets),
-      driver_(loop, deps_.seed, settings_.module, [this](const Action& a) { carry_out(a); }),
-      engines_(
-          loop, settings_,
-          {[this](const ListChange& c) { engines_changed(c); }, [this](const std::string& t) { deps_.log(t); }}),
+      driver_(loop, deps_.seed, settings_.module,
+              [this](const Action& a) {
+                  carry_out(a);
+              }),
+      engines_(loop, settings_,
+               {[this](const ListChange& c) {
+                    engines_changed(c);
+                },
+                [this](const std::string& t) {
+                    deps_.log(t);
+                }}),
       statements_(loop, settings_.statements, *this, deps_.entropy),
-      server_(loop, settings_.server,
-              [this](http::Request& r, http::Server::Reply reply) { handle(r, std::move(reply)); }) {}
+      server_(loop, settings_.server, [this](http::Request& r, http::Server::Reply reply) {
+          handle(r, std::move(reply));
+      }) {}
 
 Front::~Front() {
     loop_.cancel(ledger_timer_);
@@ -135,21 +158,26 @@
 Result<std::vector<net::Address>> Front::start() {
     while (bound_.size() < settings_.listen.size()) {
         auto address = server_.listen(settings_.listen[bound_.size()]);
-        if (!address) return address.failure();
+        if (!address)
+            return address.failure();
         bound_.push_back(*address);
     }
     driver_.start();
     // Until the ledger tells whether a life before was killed, cold engines are not pushed by both.
-    if (deps_.ledger) engines_.hold_cold(loop_.now() + settings_.module.overload_for);
+    if (deps_.ledger)
+        engines_.hold_cold(loop_.now() + settings_.module.overload_for);
     engines_.start();
-    if (deps_.ledger) look_in_ledger();
+    if (deps_.ledger)
+        look_in_ledger();
     return bound_;
 }
 
 void Front::handle(http::Request& request, http::Server::Reply reply) {
-    if (statements_.handle(request, reply)) return;
+    if (statements_.handle(request, reply))
+        return;
     if (request.target == "/metrics" && request.method == "GET") {
-        if (deps_.ledger) metrics_.ledger(deps_.ledger->status());
+        if (deps_.ledger)
+            metrics_.ledger(deps_.ledger->status());
         http::Response r{200,
                          {},
                          metrics_.page({static_cast<double>(running_.size()),
@@ -178,7 +206,8 @@
                           retry_after(come_back > 0 ? come_back : settings_.holding.come_back));
         return r;
     };
-    if (draining_) return turned_away(503, "draining", "this front is shutting down: ask another one");
+    if (draining_)
+        return turned_away(503, "draining", "this front is shutting down: ask another one");
     const auto& c = s.context;
     auto routed = router_.route({c.user, c.source, c.catalog, c.schema, c.trace_token, c.tags});
     if (!routed)
@@ -189,15 +218,19 @@
     if (quota_.any()) {
         team = teams_.of({c.user, c.source, decide::tags_without(c.tags, routed->key), "", tenant}, 0);
         switch (quota_.state(team, loop_.now())) {
-            case decide::QuotaState::within: break;
-            case decide::QuotaState::soft: routed->tenant = settings_.budgets.over; break;
+            case decide::QuotaState::within:
+                break;
+            case decide::QuotaState::soft:
+                routed->tenant = settings_.budgets.over;
+                break;
             case decide::QuotaState::hard:
                 return turned_away(429, "over_budget", "team '" + team + "' has used up its budget",
                                    quota_.come_back(team, loop_.now()));
         }
     }
     switch (holding_.admit(c.user, s.sql.size())) {
-        case decide::Admission::taken: break;
+        case decide::Admission::taken:
+            break;
         case decide::Admission::front_full:
             return turned_away(429, "front_full", "too many statements at this front");
         case decide::Admission::user_full:
@@ -208,8 +241,9 @@
                 "a statement of over " + std::to_string(settings_.holding.statement_bytes) + " bytes");
     }
     const auto& classes = settings_.module.classes;
-    const auto cls =
-        std::find_if(classes.begin(), classes.end(), [&](const auto& k) { return k.name == routed->cls; });
+    const auto cls = std::find_if(classes.begin(), classes.end(), [&](const auto& k) {
+        return k.name == routed->cls;
+    });
     auto r = std::make_unique<Running>();
     r->id = id, r->routed = std::move(*routed), r->arrived = loop_.now(), r->team = std::move(team);
     const Micros limit = c.run_limit > 0 ? std::min(c.run_limit, cls->deadline) : cls->deadline;
@@ -218,13 +252,15 @@
     Demand d{id,   r->routed.cls, r->routed.tenant,          r->routed.key,
              left, std::nullopt,  c.memory_estimate / kMega, r->routed.group,
              false};
-    if (c.cpu_estimate > 0) d.cost = c.cpu_estimate;
+    if (c.cpu_estimate > 0)
+        d.cost = c.cpu_estimate;
     if (deps_.ledger) {
         decide::RequestRow row;
         row.who = std::make_shared<const decide::Who>(decide::Who{
             c.user, c.source, decide::tags_without(c.tags, r->routed.key), r->routed.cls, tenant});
         row.id = id, row.key = r->routed.key, row.taken = loop_.wall();
-        if (cls->effect == Effect::by_key) row.key_window = cls->window;
+        if (cls->effect == Effect::by_key)
+            row.key_window = cls->window;
         r->in_ledger = deps_.ledger->taken(row, row.taken, r->place);
         r->number = row.number;
         r->row = std::move(row);
@@ -238,10 +274,12 @@
 
 void Front::left(const std::string& id, statement::Left how) {
     Running* r = find(id);
-    if (!r || r->life.phase() == Phase::over) return;
+    if (!r || r->life.phase() == Phase::over)
+        return;
     // Where the answer waited unfetched, the work was done all the same: the record says who ended it.
     r->ended = how == statement::Left::abandoned ? Ended::abandoned : Ended::cancelled;
-    if (r->ended_at == 0) r->ended_at = loop_.now();
+    if (r->ended_at == 0)
+        r->ended_at = loop_.now();
     r->life.take(Happening::left);
     post(Gone{id});
     // The module calls off what it may; a stream that had begun is nobody's any more, and ends here.
@@ -254,18 +292,22 @@
 
 void Front::rows_going_out(const std::string& id) {
     Running* r = find(id);
-    if (r && r->life.take(Happening::rows_given)) post(Begun{id, r->out()->number});
+    if (r && r->life.take(Happening::rows_given))
+        post(Begun{id, r->out()->number});
 }
 
 void Front::room(const std::string& id) {
     Running* r = find(id);
-    if (!r) return;
-    if (Attempt* a = r->out()) ask_on(*a);
+    if (!r)
+        return;
+    if (Attempt* a = r->out())
+        ask_on(*a);
 }
 
 void Front::final_given(const std::string& id) {
     Running* r = find(id);
-    if (r && r->life.take(Happening::final_given)) finish(*r);
+    if (r && r->life.take(Happening::final_given))
+        finish(*r);
 }
 
 // The client has its final document, or has left. What is known is written down; the rest is freed once no
@@ -290,7 +332,8 @@
                r.stats.peak_memory_bytes,
                r.stats.spilled_bytes};
     metrics_.finished(f);
-    if (deps_.finished) deps_.finished(f);
+    if (deps_.finished)
+        deps_.finished(f);
     if (r.in_ledger && r.row) {
         r.row->state = state_of(r.ended);
         r.row->error = r.ended == Ended::served && !r.last_error.empty();
@@ -299,32 +342,38 @@
         deps_.ledger->update(std::move(*r.row), loop_.wall(), r.place);
         r.row.reset();
     }
-    if (r.life.freeable()) free_later(r.id);
+    if (r.life.freeable())
+        free_later(r.id);
 }
 
 // Not at once: the calls that led here still stand on the statement.
 void Front::free_later(const std::string& id) {
     to_free_.push_back(id);
-    if (free_timer_ != 0) return;
+    if (free_timer_ != 0)
+        return;
     free_timer_ = loop_.after(0, [this] {
         free_timer_ = 0;
-        for (const auto& done : std::exchange(to_free_, {})) running_.erase(done);
+        for (const auto& done : std::exchange(to_free_, {}))
+            running_.erase(done);
     });
 }
 
 statement::Stats Front::progress(const std::string& id) {
     Running* r = find(id);
-    if (!r) return {};
+    if (!r)
+        return {};
     statement::Stats s = r->stats;
     Attempt* a = r->out();
-    if (!a) s.state = "QUEUED", s.queued = true;
+    if (!a)
+        s.state = "QUEUED", s.queued = true;
     s.elapsed_ms = (loop_.now() - r->arrived) / kMillisecond;
     s.queued_ms = ((r->first_sent > 0 ? r->first_sent : loop_.now()) - r->arrived) / kMillisecond;
     return s;
 }
 
 std::string Front::ledger_member() const {
-    if (!deps_.ledger) return "";
+    if (!deps_.ledger)
+        return "";
     const auto s = deps_.ledger->status();
     return ",\"ledger\":{\"state\":" +
            statement::json_string(s.trouble == decide::StoreTrouble::none ? "written" : name_of(s.trouble)) +
@@ -353,46 +402,58 @@
 
 // ---- Events of the module, and its actions
 
-bool Front::dropped(const Event& event) const { return deps_.drop_event && deps_.drop_event(event); }
+bool Front::dropped(const Event& event) const {
+    return deps_.drop_event && deps_.drop_event(event);
+}
 
 void Front::post(Event event) {
-    if (!dropped(event)) driver_.post(std::move(event));
+    if (!dropped(event))
+        driver_.post(std::move(event));
 }
 
-// A list, or an engine's own word. What waits to go out to one that takes nothing new is taken back: it would begin once its
-// connection is up.
+// A list, or an engine's own word. What waits to go out to one that takes nothing new is taken back: it would
+// begin once its connection is up.
 void Front::engines_changed(const ListChange& change) {
-    if (dropped(change)) return;
+    if (dropped(change))
+        return;
     // Before the module hears of it: what it sends at once to an engine that is back is asked of the guard.
     for (const EngineEntry& entry : change.engines) {
-        if (entry.state == EngineState::on) draining_engines_.erase(entry.id);
-        else draining_engines_.emplace(entry.id, loop_.now());
+        if (entry.state == EngineState::on)
+            draining_engines_.erase(entry.id);
+        else
+            draining_engines_.emplace(entry.id, loop_.now());
     }
     if (change.form == ListForm::total)  // what it lacks is gone
         for (const auto& [id, engine] : engines_.all())
-            if (engine->watch.entry().state == EngineState::off) draining_engines_.emplace(id, loop_.now());
+            if (engine->watch.entry().state == EngineState::off)
+                draining_engines_.emplace(id, loop_.now());
     driver_.post(change);
     std::vector<Attempt*> waiting;
     for (const auto& [id, r] : running_)
         if (Attempt* const out = r->out(); out && out->call && draining_engines_.contains(out->engine))
             waiting.push_back(out);
     for (Attempt* a : waiting)
-        if (!a->over && a->call->recall()) complete(*a, Outcome::skipped, a->running.life.finished());
+        if (!a->over && a->call->recall())
+            complete(*a, Outcome::skipped, a->running.life.finished());
 }
 
 void Front::carry_out(const Action& action) {
-    std::visit(Overloaded{[&](const Send& a) { send(a); },
+    std::visit(Overloaded{[&](const Send& a) {
+                              send(a);
+                          },
                           [&](const Terms& a) {
                               // An attempt that is out keeps its priority: the statement API has no way to
                               // change it.
                               if (Running* r = find(a.id)) {
-                                  if (a.grant_mb > 0) r->grant_mb = a.grant_mb;
+                                  if (a.grant_mb > 0)
+                                      r->grant_mb = a.grant_mb;
                                   r->priority = a.priority;
                               }
                           },
                           [&](const Refuse& a) {
                               Running* r = find(a.id);
-                              if (!r || r->life.finished()) return;
+                              if (!r || r->life.finished())
+                                  return;
                               auto d = failed_document(
                                   r->stats, "QUERY_QUEUE_FULL",
                                   "refused, trying again is harmless" +
@@ -402,7 +463,8 @@
                           },
                           [&](const Fail& a) {
                               Running* r = find(a.id);
-                              if (!r || r->life.finished()) return;
+                              if (!r || r->life.finished())
+                                  return;
                               const bool late =
                                   r->last == Outcome::etimedout || loop_.now() + kNearDeadline >= r->deadline;
                               const char* name = late                             ? "EXCEEDED_TIME_LIMIT"
@@ -430,35 +492,42 @@
                               });
                           },
                           [&](const Tell&) {},  // no peers here: the settings never allow it
-                          [&](const Observe&) { engines_.ask(); },
+                          [&](const Observe&) {
+                              engines_.ask();
+                          },
                           [&](const SetTimer&) {}},  // the driver keeps the timers
                action);
 }
 
 void Front::send(const Send& action) {
     Running* r = find(action.id);
-    if (!r) return;
+    if (!r)
+        return;
     r->attempts.push_back(
         std::make_unique<Attempt>(*this, *r, static_cast<int>(r->attempts.size()), action.engine));
     Attempt& a = *r->attempts.back();
     if (const auto broken = forbidden(a)) {
         metrics_.violation(*broken);
-        deps_.log(std::string("VIOLATION prevented: ") + decide::name_of(*broken) + ": " + r->id + " attempt " +
-                  std::to_string(a.number));
+        deps_.log(std::string("VIOLATION prevented: ") + decide::name_of(*broken) + ": " + r->id +
+                  " attempt " + std::to_string(a.number));
         return complete(a, Outcome::skipped, r->life.finished());
     }
     a.out = r->life.take(Happening::sent);
-    if (r->first_sent == 0) r->first_sent = a.sent;
+    if (r->first_sent == 0)
+        r->first_sent = a.sent;
     Engine* engine = engines_.find(action.engine);
-    if (!engine) return complete(a, Outcome::econnrefused, false);
+    if (!engine)
+        return complete(a, Outcome::econnrefused, false);
     r->last_engine = a.engine_name = engine->settings.name;
     a.engine_kind = engine->settings.kind;
     const Micros limit =
         action.time_out > 0 ? std::min(action.time_out, r->deadline - a.sent) : r->deadline - a.sent;
     // The engine stops by itself at the deadline, whatever becomes of this front.
     std::map<std::string, std::string> set{{"query_max_run_time", session_span(limit)}};
-    if (r->grant_mb > 0) set["query_max_memory"] = std::to_string(std::llround(r->grant_mb)) + "MB";
-    if (settings_.module.priorities) set["query_priority"] = std::to_string(r->priority);
+    if (r->grant_mb > 0)
+        set["query_max_memory"] = std::to_string(std::llround(r->grant_mb)) + "MB";
+    if (settings_.module.priorities)
+        set["query_priority"] = std::to_string(r->priority);
     std::string tag;
     if (deps_.ledger)
         tag = decide::tag_of({deps_.ledger->life(), r->number, static_cast<std::uint32_t>(a.number)});
@@ -467,18 +536,23 @@
     headers.add("User-Agent", "gatetiller/" + settings_.name);
     a.timer = loop_.after(limit, [this, &a] {
         a.timer = 0;
-        if (a.over || a.running.flowing()) return;
+        if (a.over || a.running.flowing())
+            return;
         a.call->cancel();
         a.running.last_error = "no answer in time";
         complete(a, Outcome::etimedout, a.running.life.finished());
     });
     a.call = std::make_unique<statement::EngineCall>(loop_, *engine->client, settings_.calls, a);
-    a.call->start(std::move(headers), r->submission.sql, [this, &a] { return may_begin(a); });
+    a.call->start(std::move(headers), r->submission.sql, [this, &a] {
+        return may_begin(a);
+    });
 }
 
-// By what holds when its first byte is to go out: its connection may have come up long after the attempt was decided.
+// By what holds when its first byte is to go out: its connection may have come up long after the attempt was
+// decided.
 bool Front::may_begin(const Attempt& a) {
-    if (a.over || draining_engines_.contains(a.engine)) return false;
+    if (a.over || draining_engines_.contains(a.engine))
+        return false;
     return !forbidden(a, true);
 }
 
@@ -486,7 +560,9 @@
 std::optional<decide::Invariant> Front::forbidden(const Attempt& a, bool is_out) {
     const Running& r = a.running;
     const auto& classes = settings_.module.classes;
-    const auto cls = std::find_if(classes.begin(), classes.end(), [&](const auto& c) { return c.name == r.routed.cls; });
+    const auto cls = std::find_if(classes.begin(), classes.end(), [&](const auto& c) {
+        return c.name == r.routed.cls;
+    });
     decide::AttemptFactsNow facts;
     facts.client_left = r.ended == Ended::cancelled || r.ended == Ended::abandoned;
     facts.final_given = r.life.finished() && !facts.client_left;
@@ -498,7 +574,8 @@
             const Engine* const ran = engines_.find(earlier->engine);
             decide::EarlierRun run;
             run.sent_before = a.sent - earlier->sent;
-            if (ran) run.zone = ran->watch.entry().zone, run.cell = ran->watch.entry().cell;
+            if (ran)
+                run.zone = ran->watch.entry().zone, run.cell = ran->watch.entry().cell;
             facts.may_have_run = run;
         }
     if (const Engine* const engine = engines_.find(a.engine)) {
@@ -516,16 +593,19 @@
     r.ended = ended;
     r.ended_at = loop_.now();
     http::Headers headers;
-    if (come_back > 0) headers.add("Retry-After", retry_after(come_back));
+    if (come_back > 0)
+        headers.add("Retry-After", retry_after(come_back));
     document.next_uri.clear();
     statements_.push(r.id, std::move(document), std::move(headers));
 }
 
 void Front::complete(Attempt& a, Outcome outcome, bool finished) {
-    if (std::exchange(a.over, true)) return;
+    if (std::exchange(a.over, true))
+        return;
     loop_.cancel(std::exchange(a.timer, 0));
     Running& r = a.running;
-    if (a.out) r.life.take(Happening::attempt_over);
+    if (a.out)
+        r.life.take(Happening::attempt_over);
     r.last = outcome;
     metrics_.attempt(outcome);
     a.facts.outcome = outcome;
@@ -537,39 +617,47 @@
         c.needed_mb = static_cast<double>(a.stats.peak_memory_bytes) / kMega;
     }
     post(std::move(c));
-    if (r.life.freeable()) free_later(r.id);
+    if (r.life.freeable())
+        free_later(r.id);
 }
 
 // ---- What engines answer
 
 void Front::on_document(Attempt& a, statement::Document d, const http::Headers& headers) {
     Running& r = a.running;
-    if (a.over) return;
-    if (auto report = statement::read_report(headers)) a.report = report;
+    if (a.over)
+        return;
+    if (auto report = statement::read_report(headers))
+        a.report = report;
     a.stats = r.stats = d.stats;
     a.engine_id = d.id;
     a.row_bytes += static_cast<std::int64_t>(d.data.size());
     a.ever_ran = a.ever_ran || d.stats.cpu_ms > 0 || d.has_rows() || d.stats.state == "RUNNING" ||
                  d.stats.state == "FINISHING";
-    if (!d.columns.empty()) a.columns = d.columns;
+    if (!d.columns.empty())
+        a.columns = d.columns;
     if (d.final()) {
         decide::AttemptEnd how;
         how.ever_ran = a.ever_ran;
-        if (d.error) how.has_error = true, how.error_type = d.error->type, how.error_name = d.error->name;
+        if (d.error)
+            how.has_error = true, how.error_type = d.error->type, how.error_name = d.error->name;
         return end_attempt(a, how, std::move(d), headers);
     }
     const decide::Seen seen{d.stats.progress,      d.stats.queued,         d.stats.scheduled,
                             d.stats.queued_splits, d.stats.running_splits, d.stats.spilled_bytes};
     for (const auto& note : a.notes.take(loop_.now(), seen)) {
         post(Note{r.id, a.number, a.engine, note.topic, note.value});
-        if (a.over) return;  // the module called it off
+        if (a.over)
+            return;  // the module called it off
     }
     if (d.has_rows()) {
-        if (d.columns.empty()) d.columns = a.columns;
+        if (d.columns.empty())
+            d.columns = a.columns;
         http::Headers passed;
         statement::pass_response_headers(headers, passed);
         statements_.push(r.id, std::move(d), std::move(passed));
-        if (a.over) return;
+        if (a.over)
+            return;
     }
     ask_on(a);
 }
@@ -580,7 +668,8 @@
 }
 
 void Front::on_end(Attempt& a, const statement::CallEnd& end) {
-    if (a.over) return;
+    if (a.over)
+        return;
     using How = decide::AttemptEnd::How;
     using Call = statement::CallEnd::How;
     decide::AttemptEnd how;
@@ -606,9 +695,11 @@
     a.facts.document = how.how == How::answered;
     a.facts.connected =
         how.how != How::not_sent && how.how != How::connect_late && how.how != How::lacked_here;
-    if (d.error) r.last_error = d.error->message;
+    if (d.error)
+        r.last_error = d.error->message;
     if (verdict.for_client && !r.life.finished()) {
-        if (d.columns.empty()) d.columns = a.columns;
+        if (d.columns.empty())
+            d.columns = a.columns;
         r.life.take(Happening::answer);
         r.ended = Ended::served, r.ended_at = loop_.now();
         a.facts.for_client = true;
@@ -627,7 +718,8 @@
         statements_.push(r.id, std::move(d));
     } else {
         // Rows that wait unfetched are of an attempt that failed: another one brings its own.
-        if (!r.life.finished()) statements_.drop_waiting(r.id);
+        if (!r.life.finished())
+            statements_.drop_waiting(r.id);
         complete(a, verdict.outcome, r.life.finished());
     }
 }
@@ -636,13 +728,15 @@
 
 void Front::note_attempt(Attempt& a, decide::AttemptState state) {
     const Running& r = a.running;
-    if (!r.in_ledger) return;
+    if (!r.in_ledger)
+        return;
     decide::AttemptRow row;
     row.request = r.number, row.number = static_cast<std::uint32_t>(a.number);
     row.engine = a.engine_name, row.kind = a.engine_kind, row.engine_id = a.engine_id;
     row.state = state;
     row.sent_after = a.sent - r.arrived;
-    if (a.over) row.ended_after = loop_.now() - r.arrived;
+    if (a.over)
+        row.ended_after = loop_.now() - r.arrived;
     row.grant_bytes = std::llround(r.grant_mb * kMega);
     row.work = a.stats.cpu_ms * kMillisecond;
     row.peak_bytes = a.stats.peak_memory_bytes, row.spilled_bytes = a.stats.spilled_bytes;
@@ -652,7 +746,8 @@
 }
 
 void Front::look_in_ledger() {
-    for (const auto& text : deps_.ledger->look(loop_.now(), loop_.wall())) deps_.log(text);
+    for (const auto& text : deps_.ledger->look(loop_.now(), loop_.wall()))
+        deps_.log(text);
     if (const auto before = deps_.ledger->before(); before.known && !std::exchange(before_known_, true)) {
         // What was sent after its last commit may be as young as this life.
         engines_.hold_cold(before.killed ? loop_.now() + settings_.module.overload_for : 0);
@@ -660,7 +755,9 @@
     for (const auto& p : deps_.ledger->take_past())
         quota_.restore(teams_.of({p.who->user, p.who->source, p.who->tags, "", p.who->tenant}, 0),
                        loop_.now(), loop_.wall() - p.taken, p.work);
-    ledger_timer_ = loop_.after(deps_.ledger->flush_every(), [this] { look_in_ledger(); });
+    ledger_timer_ = loop_.after(deps_.ledger->flush_every(), [this] {
+        look_in_ledger();
+    });
 }
 
 // ---- Operating it
@@ -672,19 +769,26 @@
 }
 
 void Front::drain(std::function<void()> done) {
-    if (done && drain_over_) return done();
-    if (done) drained_ = std::move(done);
-    if (std::exchange(draining_, true)) return;
+    if (done && drain_over_)
+        return done();
+    if (done)
+        drained_ = std::move(done);
+    if (std::exchange(draining_, true))
+        return;
     statements_.draining = true;
     deps_.log("draining: " + std::to_string(running_.size()) + " statements in hand");
     const Micros until = loop_.now() + settings_.drain_patience;
     // Clients may poll on new connections, so the door stays open until all are done.
     const auto look = [this, until](auto self) -> void {
         if (!running_.empty() && loop_.now() < until) {
-            drain_timer_ = loop_.after(kDrainLook, [self] { self(self); });
+            drain_timer_ = loop_.after(kDrainLook, [self] {
+                self(self);
+            });
             return;
         }
-        drain_timer_ = loop_.after(kLastPolls, [this] { finish_drain(); });
+        drain_timer_ = loop_.after(kLastPolls, [this] {
+            finish_drain();
+        });
     };
     look(look);
 }
@@ -693,7 +797,8 @@
     drain_over_ = true;
     server_.drain();
     deps_.log("drained: " + std::to_string(running_.size()) + " statements left behind");
-    if (drained_) drained_();
+    if (drained_)
+        drained_();
 }
 
 }  // namespace gatetiller::front
--- a/src/front/front.hpp
+++ b/src/front/front.hpp
@@ -38,15 +38,22 @@
     Front(const Front&) = delete;
     Front& operator=(const Front&) = delete;
 
-    // Begins to listen. The addresses, with the ports that the kernel chose. Where it fails it may be called again.
+    // Begins to listen. The addresses, with the ports that the kernel chose. Where it fails it may be called
+    // again.
     Result<std::vector<net::Address>> start();
     // Takes nothing new, ends what it has; `done` once all is over, or the patience of the settings is.
     void drain(std::function<void()> done);
     // Engines, roster and routes of new settings; the rest needs a restart.
     void reload(const config::FrontSettings& settings);
-    double alpha() const { return driver_.alpha(); }
-    std::size_t statements() const { return running_.size(); }
-    Engines& engines() { return engines_; }
+    double alpha() const {
+        return driver_.alpha();
+    }
+    std::size_t statements() const {
+        return running_.size();
+    }
+    Engines& engines() {
+        return engines_;
+    }
 
     // The statement API asks these.
     std::optional<http::Response> submit(const std::string& id, statement::Submission submission) override;
@@ -55,7 +62,9 @@
     void room(const std::string& id) override;
     void final_given(const std::string& id) override;
     statement::Stats progress(const std::string& id) override;
-    void drain() override { drain(nullptr); }
+    void drain() override {
+        drain(nullptr);
+    }
     std::string status_members() override;
     void decorate(http::Response&) override {}
 
@@ -70,7 +79,8 @@
     bool may_begin(const Attempt& a);
     void carry_out(const Action& action);
     void send(const Send& action);
-    std::optional<decide::Invariant> forbidden(const Attempt& a, bool is_out = false);  // is_out: it is the one that is out
+    std::optional<decide::Invariant> forbidden(const Attempt& a,
+                                               bool is_out = false);  // is_out: it is the one that is out
     void answer_finally(Running& r, statement::Document document, Ended ended, Micros come_back);
     void complete(Attempt& a, Outcome outcome, bool finished);
     void on_document(Attempt& a, statement::Document document, const http::Headers& headers);
--- a/src/front/metrics.cpp
+++ b/src/front/metrics.cpp
@@ -8,12 +8,18 @@
 
 const char* name_of(Ended ended) {
     switch (ended) {
-        case Ended::served: return "served";
-        case Ended::refused: return "refused";
-        case Ended::failed: return "failed";
-        case Ended::cut: return "cut";
-        case Ended::cancelled: return "cancelled";
-        case Ended::abandoned: return "abandoned";
+        case Ended::served:
+            return "served";
+        case Ended::refused:
+            return "refused";
+        case Ended::failed:
+            return "failed";
+        case Ended::cut:
+            return "cut";
+        case Ended::cancelled:
+            return "cancelled";
+        case Ended::abandoned:
+            return "abandoned";
     }
     return "?";
 }
@@ -57,11 +63,19 @@
                         "the ledger's state.")
                   .Register(*registry_)) {}
 
-void Metrics::taken(const std::string& cls) { taken_.Add({{"class", cls}}).Increment(); }
-void Metrics::turned_away(const char* why) { turned_away_.Add({{"why", why}}).Increment(); }
-void Metrics::attempt(Outcome outcome) { attempts_.Add({{"outcome", decide::name_of(outcome)}}).Increment(); }
+void Metrics::taken(const std::string& cls) {
+    taken_.Add({{"class", cls}}).Increment();
+}
+void Metrics::turned_away(const char* why) {
+    turned_away_.Add({{"why", why}}).Increment();
+}
+void Metrics::attempt(Outcome outcome) {
+    attempts_.Add({{"outcome", decide::name_of(outcome)}}).Increment();
+}
 
-void Metrics::violation(decide::Invariant i) { violations_.Add({{"invariant", decide::name_of(i)}}).Increment(); }
+void Metrics::violation(decide::Invariant i) {
+    violations_.Add({{"invariant", decide::name_of(i)}}).Increment();
+}
 
 void Metrics::finished(const Finished& f) {
     finished_.Add({{"class", f.cls}, {"ended", name_of(f.ended)}}).Increment();
