--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -6,7 +6,9 @@
 
 struct Client::Connection final : net::StreamEvents, std::enable_shared_from_this<Connection> {
     Connection(Client& c) : client(c), parser(Parser::Kind::response, c.options_.limits) {}
-    ~Connection() override { client.loop_.cancel(timer); }
+    ~Connection() override {
+        client.loop_.cancel(timer);
+    }
 
     void begin(std::string bytes, bool head, Micros time_out, Done call, MayBegin may) {
         parser.reset(head);
@@ -21,10 +23,13 @@
             });
         sent = stream->send(std::move(bytes));
     }
-    void on_connected() override { connected = true; }
+    void on_connected() override {
+        connected = true;
+    }
     void on_sending(std::size_t) override {
         const bool may = !may_begin || stream->written(sent) != net::Written::nothing || may_begin();
-        if (may || !stream->take_back(sent)) return;
+        if (may || !stream->take_back(sent))
+            return;
         // Told in a later turn, as the stream is at its writing.
         client.loop_.cancel(std::exchange(timer, 0));
         timer = client.loop_.after(0, [this] {
@@ -33,25 +38,36 @@
         });
     }
     void on_data(Buffer& in) override {
-        if (!done) return drop();  // bytes that nobody asked for
-        if (!parser.feed(in)) return;
-        if (parser.failed()) return fail(Reached::broken, "an answer that can't be read: " + parser.error());
+        if (!done)
+            return drop();  // bytes that nobody asked for
+        if (!parser.feed(in))
+            return;
+        if (parser.failed())
+            return fail(Reached::broken, "an answer that can't be read: " + parser.error());
         if (parser.response().status < 200) {  // 100 Continue and its like
             parser.reset(answers_head);
-            if (!in.empty()) stream->offer();
+            if (!in.empty())
+                stream->offer();
             return;
         }
         finish(parser.keep_alive() && in.empty());
     }
     void on_closed(net::Closed how) override {
         const auto self = shared_from_this();
-        const bool answer_ends_it = done && how == net::Closed::by_peer && parser.end_of_input() && parser.done();
-        if (answer_ends_it) return finish(false);
-        if (std::exchange(connected, false) && !client.any_connected() && client.all_lost_) client.all_lost_();
-        if (!done) return drop();
-        if (how == net::Closed::refused) return fail(Reached::never_sent, "connection refused");
-        if (how == net::Closed::local) return fail(Reached::lacked_here, "this machine lacks something for a connection");
-        if (how == net::Closed::too_late) return fail(Reached::connect_late, "no connection in time");
+        const bool answer_ends_it =
+            done && how == net::Closed::by_peer && parser.end_of_input() && parser.done();
+        if (answer_ends_it)
+            return finish(false);
+        if (std::exchange(connected, false) && !client.any_connected() && client.all_lost_)
+            client.all_lost_();
+        if (!done)
+            return drop();
+        if (how == net::Closed::refused)
+            return fail(Reached::never_sent, "connection refused");
+        if (how == net::Closed::local)
+            return fail(Reached::lacked_here, "this machine lacks something for a connection");
+        if (how == net::Closed::too_late)
+            return fail(Reached::connect_late, "no connection in time");
         fail(Reached::broken, "the connection ended before the answer");
     }
     void finish(bool keep) {
@@ -62,7 +78,9 @@
         Answer answer{Reached::answered, std::move(parser.response()), {}};
         if (keep && client.idle_.size() < client.options_.idle_connections) {
             client.idle_.push_back(self);
-            timer = client.loop_.after(client.options_.idle_time_out, [this] { timer = 0, drop(); });
+            timer = client.loop_.after(client.options_.idle_time_out, [this] {
+                timer = 0, drop();
+            });
         } else {
             drop();
         }
@@ -72,7 +90,8 @@
         const auto self = shared_from_this();
         const auto call = std::exchange(done, nullptr);
         drop();
-        if (call) call({how, {}, std::move(what)});
+        if (call)
+            call({how, {}, std::move(what)});
     }
     void drop() {
         const auto self = shared_from_this();
@@ -95,18 +114,21 @@
 };
 
 void Client::Call::cancel() {
-    if (active()) of_.lock()->drop();
+    if (active())
+        of_.lock()->drop();
     of_.reset();
 }
 
 void Client::Call::detach() {
-    if (active()) of_.lock()->may_begin = nullptr;
+    if (active())
+        of_.lock()->may_begin = nullptr;
     of_.reset();
 }
 
 bool Client::Call::withdraw() {
     const auto c = of_.lock();
-    if (!active() || !c->stream->take_back(c->sent)) return false;
+    if (!active() || !c->stream->take_back(c->sent))
+        return false;
     cancel();
     return true;
 }
@@ -117,16 +139,20 @@
 }
 
 bool Client::any_connected() const {
-    return std::any_of(all_.begin(), all_.end(), [](const auto& c) { return c->connected; });
+    return std::any_of(all_.begin(), all_.end(), [](const auto& c) {
+        return c->connected;
+    });
 }
 
 Client::Client(net::Loop& loop, net::Address server, ClientOptions options)
     : loop_(loop), server_(std::move(server)), host_(server_.text()), options_(options) {
-    if (server_.family == net::Address::Family::local) host_ = "localhost";
+    if (server_.family == net::Address::Family::local)
+        host_ = "localhost";
 }
 
 Client::~Client() {
-    for (auto& c : all_) c->done = nullptr, c->stream.reset();
+    for (auto& c : all_)
+        c->done = nullptr, c->stream.reset();
 }
 
 Client::Call Client::send(const Request& request, Micros time_out, Done done, MayBegin may_begin) {
@@ -139,7 +165,8 @@
         all_.push_back(c);
         c->stream = loop_.connect(server_, *c, options_.connect_time_out);
     }
-    c->begin(write(request, host_), request.method == "HEAD", time_out, std::move(done), std::move(may_begin));
+    c->begin(write(request, host_), request.method == "HEAD", time_out, std::move(done),
+             std::move(may_begin));
     return Call(c, c->serial);
 }
 
--- a/src/http/client.hpp
+++ b/src/http/client.hpp
@@ -46,13 +46,17 @@
         Call() = default;
         Call(Call&& other) noexcept = default;
         Call& operator=(Call&& other) noexcept {
-            if (this != &other) cancel(), of_ = std::move(other.of_), serial_ = other.serial_;
+            if (this != &other)
+                cancel(), of_ = std::move(other.of_), serial_ = other.serial_;
             return *this;
         }
-        ~Call() { cancel(); }
+        ~Call() {
+            cancel();
+        }
         void cancel();
         void detach();  // let it run to its end, Done included; whether it may begin is not asked any more
-        // Cancels the call where nothing of its request has gone out yet: the server never sees it. Whether that was so.
+        // Cancels the call where nothing of its request has gone out yet: the server never sees it. Whether
+        // that was so.
         bool withdraw();
         bool active() const;
 
@@ -73,11 +77,17 @@
     // `time_out` is for the whole call, connecting included; 0: none. Done is never called before this
     // returns.
     Call send(const Request& request, Micros time_out, Done done, MayBegin may_begin = nullptr);
-    const net::Address& server() const { return server_; }
-    std::size_t open() const { return all_.size(); }
-    // `told` each time that the server, or the network, has ended the last connection that was up: its process may have
-    // gone. Before the Done of the call that was on it.
-    void on_all_lost(std::function<void()> told) { all_lost_ = std::move(told); }
+    const net::Address& server() const {
+        return server_;
+    }
+    std::size_t open() const {
+        return all_.size();
+    }
+    // `told` each time that the server, or the network, has ended the last connection that was up: its
+    // process may have gone. Before the Done of the call that was on it.
+    void on_all_lost(std::function<void()> told) {
+        all_lost_ = std::move(told);
+    }
 
 private:
     bool any_connected() const;
--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -14,22 +14,34 @@
 
 class Headers {
 public:
-    void add(std::string name, std::string value) { fields_.emplace_back(std::move(name), std::move(value)); }
+    void add(std::string name, std::string value) {
+        fields_.emplace_back(std::move(name), std::move(value));
+    }
     // The first of that name, whatever its case.
     std::optional<std::string_view> find(std::string_view name) const {
         for (const auto& [key, value] : fields_)
-            if (same_word(key, name)) return value;
+            if (same_word(key, name))
+                return value;
         return std::nullopt;
     }
     std::size_t count(std::string_view name) const {
         std::size_t n = 0;
-        for (const auto& field : fields_) n += same_word(field.first, name);
+        for (const auto& field : fields_)
+            n += same_word(field.first, name);
         return n;
     }
-    void clear() { fields_.clear(); }
-    std::size_t size() const { return fields_.size(); }
-    auto begin() const { return fields_.begin(); }
-    auto end() const { return fields_.end(); }
+    void clear() {
+        fields_.clear();
+    }
+    std::size_t size() const {
+        return fields_.size();
+    }
+    auto begin() const {
+        return fields_.begin();
+    }
+    auto end() const {
+        return fields_.end();
+    }
     friend bool operator==(const Headers&, const Headers&) = default;
 
 private:
--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -8,7 +8,8 @@
 
 bool is_token(std::string_view text) {
     constexpr std::string_view kMarks = "!#$%&'*+-.^_`|~";
-    if (text.empty()) return false;
+    if (text.empty())
+        return false;
     for (const char c : text)
         if (!((c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') ||
               kMarks.find(c) != std::string_view::npos))
@@ -18,7 +19,8 @@
 
 bool is_field_text(std::string_view text) {
     for (const char c : text)
-        if (const auto u = static_cast<unsigned char>(c); (u < 0x20 && u != '\t') || u == 0x7f) return false;
+        if (const auto u = static_cast<unsigned char>(c); (u < 0x20 && u != '\t') || u == 0x7f)
+            return false;
     return true;
 }
 
@@ -54,40 +56,50 @@
     scanned_ = 0;
     if (end > limit + 1)
         return fail(too_long_status, "a line of over " + std::to_string(limit) + " bytes"), false;
-    if (end == 0 || bytes[end - 1] != '\r') return fail(400, "a line that ends in LF without CR"), false;
+    if (end == 0 || bytes[end - 1] != '\r')
+        return fail(400, "a line that ends in LF without CR"), false;
     line.assign(bytes.substr(0, end - 1));
     in.take(end + 1);
-    if (line.find('\r') != std::string::npos) return fail(400, "a CR inside a line"), false;
+    if (line.find('\r') != std::string::npos)
+        return fail(400, "a CR inside a line"), false;
     return true;
 }
 
 bool Parser::feed(Buffer& in) {
     while (state_ != State::done && state_ != State::failed) {
-        if (in.empty() && !(state_ == State::body_by_length && left_ == 0)) return false;
+        if (in.empty() && !(state_ == State::body_by_length && left_ == 0))
+            return false;
         switch (state_) {
             case State::start:
                 // One empty line before a request is passed over, as old clients send one after a body.
-                if (!started_ && kind_ == Kind::request && in.view() == "\r") return false;
+                if (!started_ && kind_ == Kind::request && in.view() == "\r")
+                    return false;
                 if (!started_ && kind_ == Kind::request && in.view().starts_with("\r\n")) {
                     in.take(2);
                     started_ = true;
                     continue;
                 }
                 started_ = true;
-                if (!take_line(in, limits_.start_line, line_, 414)) return failed();
+                if (!take_line(in, limits_.start_line, line_, 414))
+                    return failed();
                 on_start_line(line_);
                 break;
             case State::fields:
             case State::trailers:
-                if (!take_line(in, limits_.header_bytes, line_, 431)) return failed();
+                if (!take_line(in, limits_.header_bytes, line_, 431))
+                    return failed();
                 if (line_.empty()) {
-                    if (state_ == State::trailers) state_ = State::done;
-                    else on_fields_done();
+                    if (state_ == State::trailers)
+                        state_ = State::done;
+                    else
+                        on_fields_done();
                 } else {
                     on_field(line_);
                 }
                 break;
-            case State::body_by_length: take_body(in, State::done); break;
+            case State::body_by_length:
+                take_body(in, State::done);
+                break;
             case State::body_to_end:
                 if (body().size() + in.size() > limits_.body) {
                     fail(413, "a body of over " + std::to_string(limits_.body) + " bytes");
@@ -97,13 +109,17 @@
                 in.clear();
                 return false;
             case State::chunk_size:
-                if (!take_line(in, kChunkLine, line_, 400)) return failed();
+                if (!take_line(in, kChunkLine, line_, 400))
+                    return failed();
                 on_chunk_size(line_);
                 break;
-            case State::chunk: take_body(in, State::chunk_end); break;
+            case State::chunk:
+                take_body(in, State::chunk_end);
+                break;
             case State::chunk_end:
                 if (in.size() < 2) {
-                    if (in.view()[0] != '\r') fail(400, "a chunk that does not end where it said");
+                    if (in.view()[0] != '\r')
+                        fail(400, "a chunk that does not end where it said");
                     return failed();
                 }
                 if (!in.view().starts_with("\r\n")) {
@@ -114,7 +130,8 @@
                 state_ = State::chunk_size;
                 break;
             case State::done:
-            case State::failed: break;
+            case State::failed:
+                break;
         }
     }
     return true;
@@ -125,11 +142,13 @@
     body().append(in.view().substr(0, n));
     in.take(n);
     left_ -= n;
-    if (left_ == 0) state_ = then;
+    if (left_ == 0)
+        state_ = then;
 }
 
 bool Parser::end_of_input() {
-    if (state_ == State::body_to_end) state_ = State::done;
+    if (state_ == State::body_to_end)
+        state_ = State::done;
     else if (state_ != State::done && state_ != State::failed && !idle())
         fail(400, "the connection ended inside a message");
     return state_ == State::done || state_ == State::failed;
@@ -137,7 +156,8 @@
 
 void Parser::on_start_line(std::string_view line) {
     kind_ == Kind::request ? on_request_line(line) : on_status_line(line);
-    if (!failed()) state_ = State::fields;
+    if (!failed())
+        state_ = State::fields;
 }
 
 void Parser::on_request_line(std::string_view line) {
@@ -146,10 +166,12 @@
         return fail(400, "a request line without three parts");
     const std::string_view method = line.substr(0, first), target = line.substr(first + 1, last - first - 1),
                            version = line.substr(last + 1);
-    if (!is_token(method)) return fail(400, "a method with characters that don't belong");
+    if (!is_token(method))
+        return fail(400, "a method with characters that don't belong");
     if (target.empty() || !is_field_text(target) || target.find_first_of(" \t") != std::string_view::npos)
         return fail(400, "a target with spaces or control characters");
-    if (target[0] != '/' && target != "*") return fail(400, "a target that is not a path");
+    if (target[0] != '/' && target != "*")
+        return fail(400, "a target that is not a path");
     if (!version.starts_with("HTTP/") || version.size() != 8 || version[6] != '.')
         return fail(400, "not HTTP");
     if (version[5] != '1' || (version[7] != '0' && version[7] != '1'))
@@ -165,7 +187,8 @@
         return fail(400, "not the status line of HTTP/1");
     minor_ = line[7] - '0';
     response_.status = (line[9] - '0') * 100 + (line[10] - '0') * 10 + (line[11] - '0');
-    if (response_.status < 100) fail(400, "a status under 100");
+    if (response_.status < 100)
+        fail(400, "a status under 100");
 }
 
 void Parser::on_field(std::string_view line) {
@@ -174,32 +197,43 @@
         return fail(431, "header fields of over " + std::to_string(limits_.header_bytes) + " bytes");
     if (++header_count_ > limits_.header_count)
         return fail(431, "over " + std::to_string(limits_.header_count) + " header fields");
-    if (line[0] == ' ' || line[0] == '\t') return fail(400, "a folded header line");
+    if (line[0] == ' ' || line[0] == '\t')
+        return fail(400, "a folded header line");
     const std::size_t colon = line.find(':');
-    if (colon == std::string_view::npos) return fail(400, "a header line without a colon");
+    if (colon == std::string_view::npos)
+        return fail(400, "a header line without a colon");
     const std::string_view name = line.substr(0, colon), value = trimmed(line.substr(colon + 1));
-    if (!is_token(name)) return fail(400, "a header name with spaces or characters that don't belong");
-    if (!is_field_text(value)) return fail(400, "control characters in a header value");
+    if (!is_token(name))
+        return fail(400, "a header name with spaces or characters that don't belong");
+    if (!is_field_text(value))
+        return fail(400, "control characters in a header value");
     // Trailers are read past: nothing after a body may change how it was meant.
-    if (state_ == State::fields) headers().add(std::string(name), std::string(value));
+    if (state_ == State::fields)
+        headers().add(std::string(name), std::string(value));
 }
 
 void Parser::on_fields_done() {
     const Headers& h = headers();
     const auto length = h.find("Content-Length"), coding = h.find("Transfer-Encoding");
-    if (h.count("Content-Length") > 1) return fail(400, "two Content-Length fields");
-    if (h.count("Transfer-Encoding") > 1) return fail(400, "two Transfer-Encoding fields");
-    if (length && coding) return fail(400, "Content-Length along with Transfer-Encoding");
+    if (h.count("Content-Length") > 1)
+        return fail(400, "two Content-Length fields");
+    if (h.count("Transfer-Encoding") > 1)
+        return fail(400, "two Transfer-Encoding fields");
+    if (length && coding)
+        return fail(400, "Content-Length along with Transfer-Encoding");
     if (kind_ == Kind::request && minor_ == 1 && h.count("Host") != 1)
         return fail(400, "not exactly one Host field");
     keep_alive_ = minor_ == 1;
     if (const auto connection = h.find("Connection"))
         for (const auto word : split(*connection, ',')) {
-            if (same_word(word, "close")) keep_alive_ = false;
-            if (same_word(word, "keep-alive") && minor_ == 0) keep_alive_ = true;
+            if (same_word(word, "close"))
+                keep_alive_ = false;
+            if (same_word(word, "keep-alive") && minor_ == 0)
+                keep_alive_ = true;
         }
     if (const auto expect = h.find("Expect"); expect && kind_ == Kind::request) {
-        if (!same_word(*expect, "100-continue")) return fail(417, "an expectation other than 100-continue");
+        if (!same_word(*expect, "100-continue"))
+            return fail(417, "an expectation other than 100-continue");
         expects_continue_ = minor_ == 1;
     }
     const int status = response_.status;
@@ -208,8 +242,10 @@
         return;
     }
     if (coding) {
-        if (minor_ == 0) return fail(400, "Transfer-Encoding in HTTP/1.0");
-        if (!same_word(*coding, "chunked")) return fail(501, "a transfer coding other than chunked");
+        if (minor_ == 0)
+            return fail(400, "Transfer-Encoding in HTTP/1.0");
+        if (!same_word(*coding, "chunked"))
+            return fail(501, "a transfer coding other than chunked");
         state_ = State::chunk_size;
         return;
     }
@@ -234,7 +270,8 @@
 void Parser::on_chunk_size(std::string_view line) {
     const std::string_view digits = line.substr(0, line.find_first_of(";"));
     std::size_t size = 0;
-    if (digits.empty() || digits.size() > 15) return fail(400, "a chunk size that is not a number");
+    if (digits.empty() || digits.size() > 15)
+        return fail(400, "a chunk size that is not a number");
     for (const char c : digits) {
         const char l = lower(c);
         if (!((l >= '0' && l <= '9') || (l >= 'a' && l <= 'f')))
--- a/src/http/parser.hpp
+++ b/src/http/parser.hpp
@@ -18,7 +18,10 @@
 
 class Parser {
 public:
-    enum class Kind { request, response };
+    enum class Kind {
+        request,
+        response
+    };
     enum class State {
         start,
         fields,
@@ -43,19 +46,41 @@
     // For the next message on the connection. Of a response: whether it answers a HEAD, and so has no body.
     void reset(bool answers_head = false);
 
-    State state() const { return state_; }
-    bool done() const { return state_ == State::done; }
-    bool failed() const { return state_ == State::failed; }
-    bool idle() const { return state_ == State::start && !started_; }  // not a byte of a message yet
-    bool head_done() const { return state_ > State::fields && state_ != State::failed; }
+    State state() const {
+        return state_;
+    }
+    bool done() const {
+        return state_ == State::done;
+    }
+    bool failed() const {
+        return state_ == State::failed;
+    }
+    bool idle() const {
+        return state_ == State::start && !started_;
+    }  // not a byte of a message yet
+    bool head_done() const {
+        return state_ > State::fields && state_ != State::failed;
+    }
     // After a failure: what was wrong, and the status that a server answers.
-    const std::string& error() const { return error_; }
-    int error_status() const { return error_status_; }
+    const std::string& error() const {
+        return error_;
+    }
+    int error_status() const {
+        return error_status_;
+    }
 
-    Request& request() { return request_; }
-    Response& response() { return response_; }
-    bool keep_alive() const { return keep_alive_; }
-    bool expects_continue() const { return expects_continue_; }
+    Request& request() {
+        return request_;
+    }
+    Response& response() {
+        return response_;
+    }
+    bool keep_alive() const {
+        return keep_alive_;
+    }
+    bool expects_continue() const {
+        return expects_continue_;
+    }
 
 private:
     bool take_line(Buffer& in, std::size_t limit, std::string& line, int too_long_status);
@@ -68,8 +93,12 @@
     void on_chunk_size(std::string_view line);
     void take_body(Buffer& in, State then);
 
-    Headers& headers() { return kind_ == Kind::request ? request_.headers : response_.headers; }
-    std::string& body() { return kind_ == Kind::request ? request_.body : response_.body; }
+    Headers& headers() {
+        return kind_ == Kind::request ? request_.headers : response_.headers;
+    }
+    std::string& body() {
+        return kind_ == Kind::request ? request_.body : response_.body;
+    }
 
     Kind kind_;
     Limits limits_;
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -3,20 +3,29 @@
 namespace gatetiller::http {
 
 struct Server::Connection final : net::StreamEvents, std::enable_shared_from_this<Connection> {
-    enum class Phase { idle, header, body, answering, writing_last };
+    enum class Phase {
+        idle,
+        header,
+        body,
+        answering,
+        writing_last
+    };
 
     Connection(Server& s, std::uint64_t number, std::unique_ptr<net::Stream> from)
         : server(s), id(number), stream(std::move(from)), parser(Parser::Kind::request, s.options_.limits) {
         stream->events(*this);
         enter(Phase::idle);
     }
-    ~Connection() override { server.loop_.cancel(timer); }
+    ~Connection() override {
+        server.loop_.cancel(timer);
+    }
 
     void on_data(Buffer& in) override {
         while (phase == Phase::idle || phase == Phase::header || phase == Phase::body) {
             if (!parser.feed(in)) {
                 if (parser.head_done() && phase != Phase::body) {
-                    if (parser.expects_continue()) stream->send("HTTP/1.1 100 Continue\r\n\r\n");
+                    if (parser.expects_continue())
+                        stream->send("HTTP/1.1 100 Continue\r\n\r\n");
                     enter(Phase::body);
                 } else if (phase == Phase::idle && !parser.idle()) {
                     enter(Phase::header);
@@ -35,11 +44,13 @@
             request.peer = stream->peer();
             const auto self = shared_from_this();  // the handler may end this connection
             server.handler_(request, Reply(self, ++serial));
-            if (!stream) return;
+            if (!stream)
+                return;
         }
         // While an answer is due, further requests wait in the stream's buffer, which then holds back the
         // client.
-        if (phase == Phase::writing_last) in.clear();
+        if (phase == Phase::writing_last)
+            in.clear();
     }
 
     void answer(const Response& response) {
@@ -63,15 +74,18 @@
         const std::size_t n =
             server.mischief_.trickle_bytes > 0 ? server.mischief_.trickle_bytes : text->size();
         stream->send(text->substr(from, n));
-        if (from + n >= text->size()) return answered(close);
+        if (from + n >= text->size())
+            return answered(close);
         server.loop_.after(server.mischief_.trickle_every, [weak = weak_from_this(), text, from, n, close] {
-            if (const auto self = weak.lock(); self && self->stream) self->trickle(text, from + n, close);
+            if (const auto self = weak.lock(); self && self->stream)
+                self->trickle(text, from + n, close);
         });
     }
     void answered(bool close) {
         gone = nullptr;
         unsent = stream->unsent();
-        if (close) return enter(Phase::writing_last);
+        if (close)
+            return enter(Phase::writing_last);
         parser.reset();
         enter(Phase::idle);
         stream->offer();
@@ -83,10 +97,12 @@
         answer(r);
     }
     void on_sent() override {
-        if (phase == Phase::writing_last) end();
+        if (phase == Phase::writing_last)
+            end();
     }
     void on_closed(net::Closed how) override {
-        if (how == net::Closed::reset) ++server.counts_.reset;
+        if (how == net::Closed::reset)
+            ++server.counts_.reset;
         end();
     }
     void end() {
@@ -94,7 +110,8 @@
         stream.reset();
         server.loop_.cancel(std::exchange(timer, 0));
         server.connections_.erase(id);
-        if (const auto call = std::exchange(gone, nullptr)) call();
+        if (const auto call = std::exchange(gone, nullptr))
+            call();
     }
 
     // One timer for each connection: it looks whether its time was moved on when it rings.
@@ -107,17 +124,21 @@
                             : next == Phase::writing_last ? o.write_time_out
                                                           : 0;
         deadline = span > 0 ? server.loop_.now() + span : 0;
-        if (deadline > 0 && (timer == 0 || deadline < rings)) arm(deadline);
+        if (deadline > 0 && (timer == 0 || deadline < rings))
+            arm(deadline);
     }
     void arm(Micros at) {
         server.loop_.cancel(timer);
         rings = at;
-        timer = server.loop_.after(at - server.loop_.now(), [this] { on_timer(); });
+        timer = server.loop_.after(at - server.loop_.now(), [this] {
+            on_timer();
+        });
     }
     void on_timer() {
         timer = 0;
         const Micros now = server.loop_.now();
-        if (deadline == 0) return;
+        if (deadline == 0)
+            return;
         // Whoever takes an answer slowly is left alone as long as some of it moves.
         if (stream->unsent() > 0 && (phase == Phase::idle || phase == Phase::writing_last)) {
             if (stream->unsent() == unsent && now >= deadline) {
@@ -128,7 +149,8 @@
             deadline = now + server.options_.write_time_out;
             return arm(deadline);
         }
-        if (now < deadline) return arm(deadline);
+        if (now < deadline)
+            return arm(deadline);
         if (phase == Phase::idle) {
             ++server.counts_.idle_timed_out;
             return end();
@@ -151,7 +173,8 @@
 };
 
 Server::Reply::~Reply() {
-    if (open()) send({500, {}, ""});
+    if (open())
+        send({500, {}, ""});
 }
 
 bool Server::Reply::open() const {
@@ -161,17 +184,20 @@
 
 void Server::Reply::send(const Response& response) {
     const auto to = to_.lock();
-    if (open()) to->answer(response);
+    if (open())
+        to->answer(response);
     to_.reset();
 }
 
 void Server::Reply::break_connection() {
-    if (const auto to = to_.lock(); open()) to->end();
+    if (const auto to = to_.lock(); open())
+        to->end();
     to_.reset();
 }
 
 void Server::Reply::on_gone(std::function<void()> call) {
-    if (open()) to_.lock()->gone = std::move(call);
+    if (open())
+        to_.lock()->gone = std::move(call);
 }
 
 Server::Server(net::Loop& loop, ServerOptions options, Handler handler)
@@ -185,8 +211,11 @@
 }
 
 Result<net::Address> Server::listen(const net::Address& at) {
-    auto listener = loop_.listen(at, [this](auto stream) { accept(std::move(stream)); });
-    if (!listener) return listener.failure();
+    auto listener = loop_.listen(at, [this](auto stream) {
+        accept(std::move(stream));
+    });
+    if (!listener)
+        return listener.failure();
     listeners_.push_back(std::move(*listener));
     return listeners_.back()->address();
 }
@@ -202,17 +231,22 @@
 }
 
 void Server::mute(bool on) {
-    if (!std::exchange(mute_, on) || on) return;
+    if (!std::exchange(mute_, on) || on)
+        return;
     std::vector<std::shared_ptr<Connection>> owed;
     for (auto& [id, c] : connections_)
-        if (c->muted) owed.push_back(c);
-    for (auto& c : owed) c->end();
+        if (c->muted)
+            owed.push_back(c);
+    for (auto& c : owed)
+        c->end();
 }
 
 void Server::break_all() {
     std::vector<std::shared_ptr<Connection>> all;
-    for (auto& [id, c] : connections_) all.push_back(c);
-    for (auto& c : all) c->end();
+    for (auto& [id, c] : connections_)
+        all.push_back(c);
+    for (auto& c : all)
+        c->end();
 }
 
 void Server::drain() {
@@ -220,8 +254,10 @@
     stop_listening();
     std::vector<std::shared_ptr<Connection>> idle;
     for (auto& [id, c] : connections_)
-        if (c->phase == Connection::Phase::idle && c->stream->unsent() == 0) idle.push_back(c);
-    for (auto& c : idle) c->end();
+        if (c->phase == Connection::Phase::idle && c->stream->unsent() == 0)
+            idle.push_back(c);
+    for (auto& c : idle)
+        c->end();
 }
 
 }  // namespace gatetiller::http
--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -61,7 +61,9 @@
     Server& operator=(const Server&) = delete;
 
     Result<net::Address> listen(const net::Address& at);
-    void stop_listening() { listeners_.clear(); }
+    void stop_listening() {
+        listeners_.clear();
+    }
     // Every answer from now on closes its connection; idle ones close at once.
     void drain();
     // For stand-ins with faults. Mute: requests are handled, but no answer leaves; once unmuted those
@@ -73,10 +75,16 @@
         Micros trickle_every = 10 * kMillisecond;
         std::function<bool()> cuts;
     };
-    void mischief(Mischief m) { mischief_ = std::move(m); }
+    void mischief(Mischief m) {
+        mischief_ = std::move(m);
+    }
     void break_all();  // resets every connection
-    std::size_t connections() const { return connections_.size(); }
-    const ServerCounts& counts() const { return counts_; }
+    std::size_t connections() const {
+        return connections_.size();
+    }
+    const ServerCounts& counts() const {
+        return counts_;
+    }
 
 private:
     void accept(std::unique_ptr<net::Stream> stream);
--- a/src/lab/bench_day.cpp
+++ b/src/lab/bench_day.cpp
@@ -9,8 +9,12 @@
 
 using nlohmann::json;
 
-std::string span(double micros) { return std::to_string(static_cast<long long>(micros / 1000)) + "ms"; }
-std::string megabytes(double mb) { return std::to_string(static_cast<long long>(std::ceil(mb))) + "MiB"; }
+std::string span(double micros) {
+    return std::to_string(static_cast<long long>(micros / 1000)) + "ms";
+}
+std::string megabytes(double mb) {
+    return std::to_string(static_cast<long long>(std::ceil(mb))) + "MiB";
+}
 
 std::string named(const json& value, const std::map<std::string, std::string>& names) {
     const auto found = names.find(value.get<std::string>());
@@ -48,7 +52,8 @@
               {"bad_plan_times", std::max(1.0, fam.value("runaway_times", 1.0))}};
     double window = 0;
     for (const auto& c : day["classes"])
-        if (c.at("effect") == "keyed") window = std::max(window, c.at("window").get<double>());
+        if (c.at("effect") == "keyed")
+            window = std::max(window, c.at("window").get<double>());
     m["key_window"] = span(window);
     return m;
 }
@@ -74,9 +79,11 @@
                   {"threads", sort.at("threads")},
                   {"holds_group", sort.at("load")},
                   {"yields_to_loads", sort.at("waits")}};
-        if (c.value("in_order", false)) k["in_turn"] = true;
+        if (c.value("in_order", false))
+            k["in_turn"] = true;
         for (const auto& [from, to] : {std::pair("only_kinds", "kinds"), {"only_zones", "zones"}})
-            if (c.contains(from) && c[from].is_array()) k[to] = c[from];
+            if (c.contains(from) && c[from].is_array())
+                k[to] = c[from];
         f["classes"][c.at("name").get<std::string>()] = std::move(k);
         f["routes"].push_back({{"class", c.at("name")},
                                {"match", {{"source", c.at("name")}}},
@@ -128,7 +135,8 @@
             {"groups", fam.at("groups")}, {"load", sort.at("load")},
             {"yields", sort.at("waits")}, {"keyed", c.at("effect") == "keyed"}};
     }
-    for (const auto& x : day.at("tenants")) t["tenants"][x.at("name").get<std::string>()] = x.at("traffic");
+    for (const auto& x : day.at("tenants"))
+        t["tenants"][x.at("name").get<std::string>()] = x.at("traffic");
     t["retries"] = clients.at("retries"),
     t["retry_wait"] = span(std::max(1000.0, clients.at("backoff_us").get<double>())),
     t["honour"] = clients.at("honour");
@@ -141,7 +149,8 @@
 }  // namespace
 
 Result<json> script_of_bench_day(const json& day, std::vector<std::string>& left_out) try {
-    if (day.value("family", "") != "queries") return Error{"not a bench day of the family 'queries'"};
+    if (day.value("family", "") != "queries")
+        return Error{"not a bench day of the family 'queries'"};
     const double capacity = day.at("fam").at("capacity");
     json script = {{"seed", day.at("noise").get<std::uint64_t>() % 1000000007},
                    {"length", span(day.at("length"))},
@@ -177,8 +186,10 @@
                     {"length", span(t.at("len"))},
                     {"size", t.value("size", 0.0)},
                     {"extra", t.value("extra", 0.0)}};
-        if (t.contains("how") && t["how"].is_string()) out["how"] = t["how"];
-        if (t.contains("on") && !t["on"].empty()) out["on"] = t["on"];
+        if (t.contains("how") && t["how"].is_string())
+            out["how"] = t["how"];
+        if (t.contains("on") && !t["on"].empty())
+            out["on"] = t["on"];
         if (t.contains("steps") && !t["steps"].empty())
             left_out.push_back("steps of trouble '" + kind + "': batches follow part and size instead");
         script["troubles"].push_back(std::move(out));
@@ -187,7 +198,8 @@
         left_out.push_back("the shape of the load over the day: it is steady");
     if (day.at("traffic").value("burst_cv", 0.0) > 0)
         left_out.push_back("bursts of the arrivals beyond chance");
-    if (day.at("tiers").size() > 1) left_out.push_back("tiers beyond the first");
+    if (day.at("tiers").size() > 1)
+        left_out.push_back("tiers beyond the first");
     left_out.push_back(
         "biases of estimates by class; bad plans by class (their mean share over all classes is played); who "
         "reads which group");
--- a/src/lab/books.cpp
+++ b/src/lab/books.cpp
@@ -43,7 +43,8 @@
 
     Result<std::string> run() {
         const std::string file = o_.folder + "/month.ledger", events = o_.folder + "/month.events";
-        for (const char* part : {"", "-wal", "-shm"}) std::filesystem::remove(file + part);
+        for (const char* part : {"", "-wal", "-shm"})
+            std::filesystem::remove(file + part);
         std::string out = "| what | measured |\n| --- | --- |\n";
         const auto line = [&](const std::string& what, const char* format, auto... values) {
             char text[256];
@@ -51,7 +52,8 @@
             out += "| " + what + " | " + text + " |\n";
         };
         double t = seconds_now();
-        if (auto f = write(file, events)) return Error{f.text};
+        if (auto f = write(file, events))
+            return Error{f.text};
         double took = seconds_now() - t - event_seconds_;
         line("written, in batches of " + std::to_string(kAtOnce) + " requests, each on the disk",
              "%lld requests, %lld attempts in %.1f s: %.0f requests a second",
@@ -63,7 +65,8 @@
         t = seconds_now();
         store::Ledger ledger;
         store::Taken taken;
-        if (auto f = ledger.open(file, {})) return Error{f.text};
+        if (auto f = ledger.open(file, {}))
+            return Error{f.text};
         if (auto f =
                 ledger.begin_life("00000000000000ff", "front-1", from_ + 31 * 86'400 * kSecondMicros, taken))
             return Error{f.text};
@@ -74,16 +77,20 @@
         // Without journals the report is made of the ledger itself, which is of the books' form.
         const std::string books_file = o_.journal ? o_.folder + "/month.books" : file;
         if (o_.journal)
-            for (const char* part : {"", "-wal", "-shm"}) std::filesystem::remove(books_file + part);
-        if (auto f = books.open(books_file)) return Error{f.text};
+            for (const char* part : {"", "-wal", "-shm"})
+                std::filesystem::remove(books_file + part);
+        if (auto f = books.open(books_file))
+            return Error{f.text};
         if (o_.journal) {
             t = seconds_now();
-            if (auto c = books.collect_ledger(file); !c) return Error{c.error()};
+            if (auto c = books.collect_ledger(file); !c)
+                return Error{c.error()};
             line("collected into the books", "%.1f s", seconds_now() - t);
             t = seconds_now();
             std::ifstream lines(events);
             auto c = books.collect_journal("events", lines);
-            if (!c) return Error{c.error()};
+            if (!c)
+                return Error{c.error()};
             line("the engines' journals collected", "%.1f s, %lld queries, %.0f MiB of JSON",
                  seconds_now() - t, static_cast<long long>(c->events),
                  static_cast<double>(std::filesystem::file_size(events)) / 1048576);
@@ -92,7 +99,8 @@
         t = seconds_now();
         auto calendar = report::Calendar::month("Europe/Budapest", "2026-11");
         auto r = report::make_report(books, settlement(), std::move(*calendar), {});
-        if (!r) return Error{r.error()};
+        if (!r)
+            return Error{r.error()};
         line("the month's report", "%.1f s, %zu lines; memory at most %.0f MiB (%.0f before it)",
              seconds_now() - t, r->lines.size(), peak_mib(), before);
         std::string findings;
@@ -122,12 +130,15 @@
     }
     store::Failure write(const std::string& file, const std::string& events) {
         store::Ledger ledger;
-        if (auto f = ledger.open(file, {})) return f;
+        if (auto f = ledger.open(file, {}))
+            return f;
         store::Taken taken;
         const std::string life = "00000000000000f1";
-        if (auto f = ledger.begin_life(life, "front-1", from_, taken)) return f;
+        if (auto f = ledger.begin_life(life, "front-1", from_, taken))
+            return f;
         std::ofstream journal;
-        if (o_.journal) journal.open(events, std::ios::trunc);
+        if (o_.journal)
+            journal.open(events, std::ios::trunc);
         store::Batch b;
         for (std::int64_t n = 1; n <= o_.requests; ++n) {
             const Micros at = from_ + n * step_;
@@ -167,8 +178,10 @@
             }
             b.rows.emplace_back(std::move(r));
             b.wall = at;
-            if (n % kAtOnce != 0 && n != o_.requests) continue;
-            if (auto f = ledger.write(b)) return f;
+            if (n % kAtOnce != 0 && n != o_.requests)
+                continue;
+            if (auto f = ledger.write(b))
+                return f;
             b.rows.clear();
         }
         return {};  // no end of life: a kill
@@ -187,7 +200,8 @@
 Result<std::string> measure_books(const BooksOptions& o) {
     std::error_code error;
     std::filesystem::create_directories(o.folder, error);
-    if (error) return Error{o.folder + ": " + error.message()};
+    if (error)
+        return Error{o.folder + ": " + error.message()};
     return Maker(o).run();
 }
 
--- a/src/lab/checker.cpp
+++ b/src/lab/checker.cpp
@@ -38,29 +38,34 @@
         while (!bytes.empty() || unknown > 0) {
             if (skip_ > 0) {
                 const std::size_t n = std::min(skip_, bytes.size());
-                if (message_.body.size() < kSocketBytes) message_.body.append(bytes.substr(0, n));
+                if (message_.body.size() < kSocketBytes)
+                    message_.body.append(bytes.substr(0, n));
                 bytes.remove_prefix(n), skip_ -= n;
                 const std::size_t m = bytes.empty() ? std::min(skip_, unknown) : 0;
                 skip_ -= m, unknown -= m;
-                if (skip_ > 0) return;
+                if (skip_ > 0)
+                    return;
                 on_message(std::exchange(message_, {}));
                 continue;
             }
-            if (bytes.empty()) return;  // a piece that was not recorded: what comes next begins anew
+            if (bytes.empty())
+                return;  // a piece that was not recorded: what comes next begins anew
             held_.append(bytes);
             bytes = {};
             if (const std::size_t from = held_.find_first_not_of("\r\n");
                 from != 0 && from != std::string::npos)
                 held_.erase(0, from);
             const std::size_t end = held_.find("\r\n\r\n");
-            if (end == std::string::npos) return;
+            if (end == std::string::npos)
+                return;
             message_.head = held_.substr(0, end + 2);
             message_.start = message_.head.substr(0, message_.head.find("\r\n"));
             rest_ = held_.substr(end + 4);
             held_.clear();
             skip_ = length();
             bytes = rest_;
-            if (skip_ == 0) on_message(std::exchange(message_, {}));
+            if (skip_ == 0)
+                on_message(std::exchange(message_, {}));
         }
     }
 
@@ -89,7 +94,8 @@
     while ((from = m.head.find("\r\n", from)) != std::string::npos) {
         from += 2;
         const std::size_t colon = m.head.find(':', from);
-        if (colon == std::string::npos) break;
+        if (colon == std::string::npos)
+            break;
         if (same_word(std::string_view(m.head).substr(from, colon - from), name))
             return std::string(
                 trimmed(std::string_view(m.head).substr(colon + 1, m.head.find("\r\n", colon) - colon - 1)));
@@ -106,7 +112,9 @@
     return m.start.size() > 11 ? to_number<int>(std::string_view(m.start).substr(9, 3)).value_or(0) : 0;
 }
 
-std::string method_of(const Message& m) { return m.start.substr(0, m.start.find(' ')); }
+std::string method_of(const Message& m) {
+    return m.start.substr(0, m.start.find(' '));
+}
 
 std::string path_of(const Message& m) {
     const std::size_t from = m.start.find(' ') + 1;
@@ -116,11 +124,14 @@
 std::string string_member(const std::string& body, const std::string& key) {
     const std::string sign = "\"" + key + "\":\"";
     const std::size_t from = body.find(sign);
-    if (from == std::string::npos) return "";
+    if (from == std::string::npos)
+        return "";
     return body.substr(from + sign.size(), body.find('"', from + sign.size()) - from - sign.size());
 }
 
-bool is_document(const Message& m) { return m.body.starts_with("{\"id\":"); }
+bool is_document(const Message& m) {
+    return m.body.starts_with("{\"id\":");
+}
 bool is_final(const Message& m) {
     // nextUri stands before the rows wherever this project writes a document.
     return is_document(m) && m.body.find("\"nextUri\":") == std::string::npos;
@@ -179,23 +190,34 @@
 class Judge {
 public:
     explicit Judge(const Records& r) : records_(r) {
-        for (const auto& c : r.facts.classes) classes_[c.name] = &c;
-        for (const auto& e : r.facts.engines) by_address_[e.address] = &e, by_name_[e.name] = &e;
+        for (const auto& c : r.facts.classes)
+            classes_[c.name] = &c;
+        for (const auto& e : r.facts.engines)
+            by_address_[e.address] = &e, by_name_[e.name] = &e;
         for (const auto& c : r.clients) {
             auto& tries = tries_[c.trace];
-            if (c.event == "asked") tries.asked = &c;
-            if (c.event == "taken") tries.taken = &c;
-            if (c.event == "final") tries.finals.push_back(&c);
-            if (c.event == "gave_up") tries.gave_up = &c;
-            if (c.event == "left") tries.left = &c;
-            if (c.event == "lost") tries.lost = &c;
-            if (c.event == "wrong_rows") tries.wrong = &c;
+            if (c.event == "asked")
+                tries.asked = &c;
+            if (c.event == "taken")
+                tries.taken = &c;
+            if (c.event == "final")
+                tries.finals.push_back(&c);
+            if (c.event == "gave_up")
+                tries.gave_up = &c;
+            if (c.event == "left")
+                tries.left = &c;
+            if (c.event == "lost")
+                tries.lost = &c;
+            if (c.event == "wrong_rows")
+                tries.wrong = &c;
         }
     }
 
     Judgement judge() {
-        if (records_.sockets.empty()) read_peers();
-        else read_sockets();
+        if (records_.sockets.empty())
+            read_peers();
+        else
+            read_sockets();
         for (auto& [name, front] : fronts_) {
             out_.attempts += front.attempts.size();
             out_.statements += front.statements.size();
@@ -206,7 +228,8 @@
         clients();
         engines();
         worth();
-        for (auto& v : out_.violations) v.story = story(v);
+        for (auto& v : out_.violations)
+            v.story = story(v);
         return std::move(out_);
     }
 
@@ -222,7 +245,8 @@
     }
     const ClassSettings* class_of(const std::string& trace) const {
         const auto found = tries_.find(trace);
-        if (found == tries_.end() || !found->second.asked) return nullptr;
+        if (found == tries_.end() || !found->second.asked)
+            return nullptr;
         const auto cls = classes_.find(found->second.asked->cls);
         return cls == classes_.end() ? nullptr : cls->second;
     }
@@ -249,12 +273,15 @@
                 f.connections.clear(), f.taken.clear(), f.further.clear(), f.drains_by_engine.clear(),
                     f.drains_by_list.clear(), f.listed.clear();
                 for (Attempt& a : f.attempts)
-                    if (!a.ended) a.ended = r.at, a.quiet_end = true;
+                    if (!a.ended)
+                        a.ended = r.at, a.quiet_end = true;
             }
         }
-        if (r.event == "told_at_latest") return told_at_latest(r);
+        if (r.event == "told_at_latest")
+            return told_at_latest(r);
         const bool older = r.event == "older_list_served";
-        if (r.event != "list_served" && !older) return;
+        if (r.event != "list_served" && !older)
+            return;
         Front& f = fronts_[r.who];
         std::map<std::string, std::string> states;
         for (const auto part : split(r.detail, ','))
@@ -263,18 +290,23 @@
         for (const auto& [name, facts] : by_name_) {
             const auto found = states.find(name);
             // An older list tells of engines never heard of; of others a newer one has told.
-            if (older && (found == states.end() || f.listed.contains(name))) continue;
-            if (found != states.end()) f.listed.insert(name);
-            if (found != states.end() && found->second == "on") f.drains_by_list.erase(facts->address);
-            else if (f.drains_by_list.emplace(facts->address, r.at).second) ++out_.drains;
+            if (older && (found == states.end() || f.listed.contains(name)))
+                continue;
+            if (found != states.end())
+                f.listed.insert(name);
+            if (found != states.end() && found->second == "on")
+                f.drains_by_list.erase(facts->address);
+            else if (f.drains_by_list.emplace(facts->address, r.at).second)
+                ++out_.drains;
         }
     }
-    // "name=fading" or "name=off", whatever became of the answers that would have told it. It holds from then on, or from when
-    // the lab let the front's process go on, if it held it still then.
+    // "name=fading" or "name=off", whatever became of the answers that would have told it. It holds from then
+    // on, or from when the lab let the front's process go on, if it held it still then.
     void told_at_latest(const LabRecord& r) {
         const std::size_t equals = r.detail.find('=');
         const auto facts = by_name_.find(r.detail.substr(0, equals));
-        if (facts == by_name_.end()) return;
+        if (facts == by_name_.end())
+            return;
         Front& f = fronts_[r.who];
         if (f.drains_by_list.emplace(facts->second->address, std::max(r.at, goes_on_at(r.who, r.at))).second)
             ++out_.drains;
@@ -283,10 +315,14 @@
     Micros goes_on_at(const std::string& front, Micros at) const {
         bool still = false;
         for (const LabRecord& r : records_.lab) {
-            if (r.who != front) continue;
-            if (r.event == "front_stopped" && r.at <= at) still = true;
-            if (r.event != "front_continued") continue;
-            if (r.at > at && still) return r.at;
+            if (r.who != front)
+                continue;
+            if (r.event == "front_stopped" && r.at <= at)
+                still = true;
+            if (r.event != "front_continued")
+                continue;
+            if (r.at > at && still)
+                return r.at;
             still = false;
         }
         return 0;
@@ -296,14 +332,23 @@
     void read_peers() {
         peers_ = true;
         std::vector<std::pair<Micros, std::function<void()>>> events;
-        for (const LabRecord& r : records_.lab) events.emplace_back(r.at, [this, &r] { lab(r); });
+        for (const LabRecord& r : records_.lab)
+            events.emplace_back(r.at, [this, &r] {
+                lab(r);
+            });
         for (const EngineRecord& r : records_.engines)
-            events.emplace_back(r.entry.at, [this, &r] { engine_side(r); });
+            events.emplace_back(r.entry.at, [this, &r] {
+                engine_side(r);
+            });
         for (const ClientRecord& r : records_.clients)
-            events.emplace_back(r.at, [this, &r] { client_side(r); });
-        std::stable_sort(events.begin(), events.end(),
-                         [](const auto& a, const auto& b) { return a.first < b.first; });
-        for (const auto& [at, event] : events) event();
+            events.emplace_back(r.at, [this, &r] {
+                client_side(r);
+            });
+        std::stable_sort(events.begin(), events.end(), [](const auto& a, const auto& b) {
+            return a.first < b.first;
+        });
+        for (const auto& [at, event] : events)
+            event();
         for (auto& [name, f] : fronts_)
             for (const auto& [trace, s] : f.statements)
                 for (std::size_t n = 1; n < s.attempts.size(); ++n) {
@@ -329,11 +374,12 @@
             f.attempts.push_back(std::move(a));
         } else if (event == "shed" || event == "hit" || event == "fault" || event == "undone" ||
                    event == "connection_ended") {
-            // Of two at one engine the earlier one is over first: the later is sent once the earlier was given up, on
-            // another connection, and may be read ahead of that.
+            // Of two at one engine the earlier one is over first: the later is sent once the earlier was
+            // given up, on another connection, and may be read ahead of that.
             for (const std::size_t n : f.statements[r.entry.trace].attempts) {
                 Attempt& a = f.attempts[n];
-                if (a.engine != r.engine || a.ended) continue;
+                if (a.engine != r.engine || a.ended)
+                    continue;
                 a.ended = r.entry.at, a.never_ran = event == "shed";
                 a.quiet_end = event == "undone" || event == "connection_ended";
                 break;
@@ -344,8 +390,10 @@
         Front& f = fronts_[r.front];
         Statement& s = f.statements[r.trace];
         s.trace = r.trace;
-        if (r.event == "taken") s.taken = r.at, f.taken.push_back(r.at);
-        if (r.event == "left") s.client_deleted = r.at + kCrossing;
+        if (r.event == "taken")
+            s.taken = r.at, f.taken.push_back(r.at);
+        if (r.event == "left")
+            s.client_deleted = r.at + kCrossing;
         if (r.event == "final" && !s.final_at) {
             s.final_at = r.at + kCrossing;
             ++out_.finals;
@@ -355,19 +403,26 @@
         Front& f = fronts_[r.front];
         Connection& c = f.connections[r.stream];
         switch (r.what) {
-            case What::accepted: c.peer = r.peer; break;
-            case What::connecting: c.outgoing = true, c.peer = r.peer; break;
+            case What::accepted:
+                c.peer = r.peer;
+                break;
+            case What::connecting:
+                c.outgoing = true, c.peer = r.peer;
+                break;
             case What::connected:
                 for (const Pending& p : c.pending)
-                    if (p.attempt != SIZE_MAX) f.attempts[p.attempt].connected = true;
+                    if (p.attempt != SIZE_MAX)
+                        f.attempts[p.attempt].connected = true;
                 c.connected = true;
                 break;
             case What::sent:
             case What::received: {
                 const bool request = (r.what == What::sent) == c.outgoing;
                 (request ? c.requests : c.responses).feed(r, [&](Message m) {
-                    if (c.outgoing) request ? to_engine(r, f, c, m) : from_engine(r, f, c, m);
-                    else request ? from_client(r, f, c, m) : to_client(r, f, c, m);
+                    if (c.outgoing)
+                        request ? to_engine(r, f, c, m) : from_engine(r, f, c, m);
+                    else
+                        request ? from_client(r, f, c, m) : to_client(r, f, c, m);
                 });
                 break;
             }
@@ -375,7 +430,8 @@
                 for (const Pending& p : c.pending)
                     if (p.attempt != SIZE_MAX) {
                         Attempt& a = f.attempts[p.attempt];
-                        if (!a.ended) a.ended = r.at;
+                        if (!a.ended)
+                            a.ended = r.at;
                         a.never_ran = !a.connected;
                         a.quiet_end = a.connected;
                     }
@@ -386,15 +442,19 @@
 
     void from_client(const SocketRecord& r, Front& f, Connection& c, const Message& m) {
         c.pending.push_back({method_of(m), path_of(m), trace_of(m), SIZE_MAX});
-        if (method_of(m) != "DELETE") return;
+        if (method_of(m) != "DELETE")
+            return;
         const auto found = f.trace_of_id.find(id_in(path_of(m)));
-        if (found != f.trace_of_id.end()) f.statements[found->second].client_deleted = r.at;
+        if (found != f.trace_of_id.end())
+            f.statements[found->second].client_deleted = r.at;
     }
     void to_client(const SocketRecord& r, Front& f, Connection& c, const Message& m) {
-        if (status_of(m) < 200 || c.pending.empty()) return;
+        if (status_of(m) < 200 || c.pending.empty())
+            return;
         const Pending p = c.pending.front();
         c.pending.pop_front();
-        if (status_of(m) != 200 || !is_document(m)) return;
+        if (status_of(m) != 200 || !is_document(m))
+            return;
         const std::string id = string_member(m.body, "id");
         if (p.method == "POST") {
             Statement& s = f.statements[p.trace];
@@ -404,7 +464,8 @@
             return;
         }
         const auto found = f.trace_of_id.find(id);
-        if (found == f.trace_of_id.end() || !is_final(m)) return;
+        if (found == f.trace_of_id.end() || !is_final(m))
+            return;
         Statement& s = f.statements[found->second];
         if (!s.final_at) {
             s.final_at = r.at, s.final_body = m.body;
@@ -431,13 +492,15 @@
             if (found != f.attempt_of_id.end()) {
                 Attempt& a = f.attempts[found->second];
                 a.deleted = true;
-                if (!a.ended) a.ended = r.at, a.quiet_end = true;
+                if (!a.ended)
+                    a.ended = r.at, a.quiet_end = true;
             }
         }
         c.pending.push_back(std::move(p));
     }
     void from_engine(const SocketRecord& r, Front& f, Connection& c, const Message& m) {
-        if (status_of(m) < 200 || c.pending.empty()) return;
+        if (status_of(m) < 200 || c.pending.empty())
+            return;
         const Pending p = c.pending.front();
         c.pending.pop_front();
         const int status = status_of(m);
@@ -447,16 +510,19 @@
             if (status == 200 && is_document(m)) {
                 a.id = string_member(m.body, "id");
                 f.attempt_of_id[{c.peer, a.id}] = p.attempt;
-                if (is_final(m) && !a.ended) a.ended = r.at;
+                if (is_final(m) && !a.ended)
+                    a.ended = r.at;
             } else {
-                if (!a.ended) a.ended = r.at;
+                if (!a.ended)
+                    a.ended = r.at;
                 a.never_ran = status == 429 || status == 503;
             }
             return;
         }
         if (p.path == "/v1/info/state") {
             if (m.body.find("SHUTTING_DOWN") != std::string::npos) {
-                if (f.drains_by_engine.emplace(c.peer, r.at).second) ++out_.drains;
+                if (f.drains_by_engine.emplace(c.peer, r.at).second)
+                    ++out_.drains;
             } else {
                 f.drains_by_engine.erase(c.peer);
             }
@@ -464,7 +530,8 @@
         const auto found = f.attempt_of_id.find({c.peer, id_in(p.path)});
         if (found != f.attempt_of_id.end() && p.method == "GET" && is_final(m)) {
             Attempt& a = f.attempts[found->second];
-            if (!a.ended) a.ended = r.at;
+            if (!a.ended)
+                a.ended = r.at;
         }
     }
 
@@ -479,7 +546,8 @@
         if (!peers_) {  // else judged once all ends are read
             for (const std::size_t n : before) {
                 Attempt& earlier = f.attempts[n];
-                if (earlier.ended) continue;
+                if (earlier.ended)
+                    continue;
                 if (!earlier.answered)
                     earlier.left_unanswered = true, earlier.ended = r.at, earlier.quiet_end = true;
                 else if (!records_.facts.may_duplicate)
@@ -499,19 +567,23 @@
             const auto allowed = [](const auto& names, const std::string& name) {
                 return !names || std::find(names->begin(), names->end(), name) != names->end();
             };
-            if (c->served_on || c->azs_open) ++out_.bound;
+            if (c->served_on || c->azs_open)
+                ++out_.bound;
             if (facts != by_address_.end() &&
                 (!allowed(c->served_on, facts->second->kind) || !allowed(c->azs_open, facts->second->zone)))
                 broken(6, r.at, r.front, a.trace,
                        "class " + c->name + " may not run on " + name_of(a.engine));
         }
-        if (before.empty()) return;
+        if (before.empty())
+            return;
         ++out_.further_attempts;
         f.further.push_back(r.at);
-        if (!records_.facts.extra_free) return;
+        if (!records_.facts.extra_free)
+            return;
         const auto within = [&](const std::vector<Micros>& times) {
-            return static_cast<double>(std::count_if(
-                times.begin(), times.end(), [&](Micros t) { return t > r.at - records_.facts.ratio_span; }));
+            return static_cast<double>(std::count_if(times.begin(), times.end(), [&](Micros t) {
+                return t > r.at - records_.facts.ratio_span;
+            }));
         };
         if (within(f.further) >
             *records_.facts.extra_free + *records_.facts.extra_per_request * within(f.taken) + 1e-9)
@@ -529,7 +601,8 @@
     void rule_2(const std::string& name, Front& f) {
         for (const auto& [trace, s] : f.statements) {
             const auto* c = class_of(trace);
-            if (!c || c->effect == Effect::repeatable) continue;
+            if (!c || c->effect == Effect::repeatable)
+                continue;
             out_.keyed += c->effect == Effect::by_key;
             const Attempt* first = nullptr;  // that may have run
             for (const std::size_t n : s.attempts) {
@@ -548,10 +621,12 @@
                                    "sent again to an engine that doesn't know its key");
                     }
                 }
-                if (!a.never_ran && !first) first = &a;
+                if (!a.never_ran && !first)
+                    first = &a;
             }
             const auto tries = tries_.find(trace);
-            if (!first || tries == tries_.end()) continue;
+            if (!first || tries == tries_.end())
+                continue;
             for (const ClientRecord* final : tries->second.finals)
                 if (final->detail == "refused" &&
                     !(c->effect == Effect::by_key && c->key_scope == Scope::all))
@@ -566,14 +641,16 @@
             if (const auto* c = class_of(trace); c && c->in_turn && !key_of(trace).empty() && s.taken > 0)
                 lines[key_of(trace)].push_back(&s);
         for (auto& [key, line] : lines) {
-            std::stable_sort(line.begin(), line.end(),
-                             [](const auto* a, const auto* b) { return a->taken < b->taken; });
+            std::stable_sort(line.begin(), line.end(), [](const auto* a, const auto* b) {
+                return a->taken < b->taken;
+            });
             for (std::size_t later = 0; later < line.size(); ++later)
                 for (const std::size_t n : line[later]->attempts) {
                     const Attempt& a = f.attempts[n];
                     ++out_.in_turn;
                     for (std::size_t earlier = 0; earlier < later; ++earlier) {
-                        if (line[earlier]->taken == line[later]->taken) continue;
+                        if (line[earlier]->taken == line[later]->taken)
+                            continue;
                         for (const std::size_t m : line[earlier]->attempts) {
                             const Attempt& e = f.attempts[m];
                             // When an unanswered attempt was given up does not show on the socket: at the
@@ -601,7 +678,9 @@
                        "an attempt that was given up was not told to stop once " + name_of(a.engine) +
                            " had answered");
     }
-    Micros last_time() const { return records_.sockets.empty() ? 0 : records_.sockets.back().at; }
+    Micros last_time() const {
+        return records_.sockets.empty() ? 0 : records_.sockets.back().at;
+    }
 
     bool killed(const std::string& front, Micros from, Micros to) const {
         return std::any_of(records_.lab.begin(), records_.lab.end(), [&](const LabRecord& r) {
@@ -612,27 +691,35 @@
     bool held_still(const std::string& front, Micros at) const {
         Micros from = 0;
         for (const LabRecord& r : records_.lab) {
-            if (r.who != front) continue;
-            if (r.event == "front_stopped") from = r.at;
+            if (r.who != front)
+                continue;
+            if (r.event == "front_stopped")
+                from = r.at;
             // One that is killed while it is held still never goes on.
             const bool over = r.event == "front_continued" || r.event == "front_killed";
-            if (over && from > 0 && at >= from && at <= r.at + kSlack) return true;
-            if (over) from = 0;
+            if (over && from > 0 && at >= from && at <= r.at + kSlack)
+                return true;
+            if (over)
+                from = 0;
         }
         return false;
     }
 
     void clients() {
         for (const auto& [trace, t] : tries_) {
-            if (!t.asked) continue;
-            if (t.left) ++out_.client_left;
+            if (!t.asked)
+                continue;
+            if (t.left)
+                ++out_.client_left;
             if (peers_ && t.lost && !killed(t.asked->front, t.asked->at, t.lost->at + kSlack))
                 broken(1, t.lost->at, t.asked->front, trace, "its connection ended without an answer");
             if (t.wrong)
                 broken(1, t.wrong->at, t.wrong->front, trace,
                        "rows that are not this statement's: " + t.wrong->detail);
-            if (t.finals.size() > 1) broken(1, t.finals[1]->at, t.asked->front, trace, "two final answers");
-            if (!t.taken) continue;
+            if (t.finals.size() > 1)
+                broken(1, t.finals[1]->at, t.asked->front, trace, "two final answers");
+            if (!t.taken)
+                continue;
             const Micros end = t.gave_up ? t.gave_up->at : t.asked->at + t.asked->patience;
             if (killed(t.asked->front, t.asked->at, end + kSlack)) {
                 ++out_.front_died;
@@ -647,11 +734,13 @@
     void engines() {
         std::map<std::string, std::map<std::string, int>> ran;  // by trace and engine
         for (const EngineRecord& r : records_.engines) {
-            if (r.entry.event == "up") ++out_.cold_starts;
+            if (r.entry.event == "up")
+                ++out_.cold_starts;
             if (r.entry.event == "fallen")
                 broken(4, r.entry.at, r.entry.front, r.entry.trace,
                        r.engine + " fell over from what it was sent while cold");
-            if (r.entry.event != "started") continue;
+            if (r.entry.event != "started")
+                continue;
             const auto* c = class_of(r.entry.trace);
             if (c && c->effect == Effect::once && ++ran[r.entry.trace]["any"] == 2)
                 broken(2, r.entry.at, r.entry.front, r.entry.trace, "an engine ran it a second time");
@@ -663,12 +752,14 @@
         std::map<std::string, const ClientRecord*> first;
         for (const auto& [trace, t] : tries_) {
             const auto* c = t.asked ? class_of(trace) : nullptr;
-            if (!c) continue;
+            if (!c)
+                continue;
             const std::string request = trace.substr(0, trace.rfind('.'));
             auto& [asked, served] = by_request[request];
             asked = c->value;
             const ClientRecord*& begun = first.try_emplace(request, t.asked).first->second;
-            if (t.asked->at < begun->at) begun = t.asked;
+            if (t.asked->at < begun->at)
+                begun = t.asked;
             for (const ClientRecord* final : t.finals)
                 if (final->detail == "served") {
                     const Micros taken = final->at - begun->at;
@@ -687,9 +778,11 @@
         std::set<std::string> signs{v.trace};
         if (found != fronts_.end()) {
             if (const auto s = found->second.statements.find(v.trace); s != found->second.statements.end()) {
-                if (!s->second.id.empty()) signs.insert(s->second.id);
+                if (!s->second.id.empty())
+                    signs.insert(s->second.id);
                 for (const std::size_t n : s->second.attempts)
-                    if (!found->second.attempts[n].id.empty()) signs.insert(found->second.attempts[n].id);
+                    if (!found->second.attempts[n].id.empty())
+                        signs.insert(found->second.attempts[n].id);
             }
         }
         const auto speaks = [&](const std::string& text) {
@@ -708,8 +801,9 @@
         for (const auto& r : records_.engines)
             if (r.entry.trace == v.trace)
                 lines.emplace_back(r.entry.at, "engine " + r.engine + " " + r.entry.event);
-        std::stable_sort(lines.begin(), lines.end(),
-                         [](const auto& a, const auto& b) { return a.first < b.first; });
+        std::stable_sort(lines.begin(), lines.end(), [](const auto& a, const auto& b) {
+            return a.first < b.first;
+        });
         std::string text;
         for (std::size_t i = 0; i < lines.size(); ++i) {
             if (lines.size() > kStoryLines && i == kStoryLines / 2) {
@@ -734,6 +828,8 @@
 
 }  // namespace
 
-Judgement judge(const Records& records) { return Judge(records).judge(); }
+Judgement judge(const Records& records) {
+    return Judge(records).judge();
+}
 
 }  // namespace gatetiller::lab
--- a/src/lab/cost.cpp
+++ b/src/lab/cost.cpp
@@ -40,8 +40,10 @@
     std::string text((std::istreambuf_iterator<char>(stat)), {});
     std::istringstream fields(text.substr(std::min(text.size(), text.rfind(')') + 2)));
     std::vector<std::string> all;
-    for (std::string f; fields >> f;) all.push_back(f);
-    if (all.size() < 22) return {0, 0};
+    for (std::string f; fields >> f;)
+        all.push_back(f);
+    if (all.size() < 22)
+        return {0, 0};
     const auto tick = static_cast<double>(sysconf(_SC_CLK_TCK)),
                page = static_cast<double>(sysconf(_SC_PAGESIZE)) / 1024;
     return {(std::stod(all[11]) + std::stod(all[12])) / tick, std::stod(all[21]) * page};
@@ -64,10 +66,15 @@
     }
     void begin() {
         on_ = true;
-        for (std::size_t i = 0; i < statements_.size(); ++i) ask(i);
+        for (std::size_t i = 0; i < statements_.size(); ++i)
+            ask(i);
+    }
+    void end() {
+        on_ = false;
+    }
+    bool idle() const {
+        return out_ == 0;
     }
-    void end() { on_ = false; }
-    bool idle() const { return out_ == 0; }
     std::vector<double> latencies_us;
     std::size_t failed = 0;
 
@@ -82,8 +89,12 @@
                                    --out_;
                                    if (r.how == statement::ClientResult::How::answered && !r.last.error)
                                        latencies_us.push_back(static_cast<double>(now() - from));
-                                   else ++failed;
-                                   if (on_) loop_.after(0, [this, i] { ask(i); });
+                                   else
+                                       ++failed;
+                                   if (on_)
+                                       loop_.after(0, [this, i] {
+                                           ask(i);
+                                       });
                                }});
     }
     static Micros now() {  // not the loop's, which stands still for a turn
@@ -105,14 +116,17 @@
     Result<std::string> run() {
         out_ = "| what | measured |\n| --- | --- |\n";
         if (o_.ledger) {
-            if (auto done = ledger(); !done) return Error{done.error()};
+            if (auto done = ledger(); !done)
+                return Error{done.error()};
             return out_;
         }
-        if (auto up = start(); !up) return Error{up.error()};
+        if (auto up = start(); !up)
+            return Error{up.error()};
         latency();
         saturation();
         // A fresh one: memory that the last phase left behind would hide what waiting statements take.
-        if (auto up = start(); !up) return Error{up.error()};
+        if (auto up = start(); !up)
+            return Error{up.error()};
         waiting();
         turn();
         return out_;
@@ -127,13 +141,15 @@
             std::ofstream(o_.folder + "/engine.jsonnet") << kEngine;
             auto p = Process::start({o_.program, "engine", "--config", o_.folder + "/engine.jsonnet"},
                                     o_.folder + "/engine.log", 10 * kSecondMicros);
-            if (!p) return Error{p.error()};
+            if (!p)
+                return Error{p.error()};
             engines += "e" + std::to_string(i) + ": g.engine('" + p->first_line().substr(7) + "'), ";
             engine_ = *net::Address::parse(p->first_line().substr(7));
             engines_.push_back(std::move(*p));
         }
         auto p = start_front("front", engines, "");
-        if (!p) return Error{p.error()};
+        if (!p)
+            return Error{p.error()};
         front_ = std::move(*p);
         front_at_ = *net::Address::parse(front_.first_line().substr(7));
         if (o_.ledger) {
@@ -142,7 +158,8 @@
                 std::filesystem::remove(o_.folder + "/cost.ledger" + part, none);
             auto with =
                 start_front("keeping", engines, "\n  ledger: { file: '" + o_.folder + "/cost.ledger' },");
-            if (!with) return Error{with.error()};
+            if (!with)
+                return Error{with.error()};
             keeping_ = std::move(*with);
             keeping_at_ = *net::Address::parse(keeping_.first_line().substr(7));
         }
@@ -160,7 +177,8 @@
     }
     // A front with a ledger beside one without, under the same load in turns.
     Result<bool> ledger() {
-        if (auto up = start(); !up) return up;
+        if (auto up = start(); !up)
+            return up;
         for (const int clients : {1, o_.clients}) {
             Closed off(loop_, front_at_, clients), on(loop_, keeping_at_, clients);
             double seconds[2] = {0, 0}, cpu[2] = {0, 0};
@@ -173,7 +191,8 @@
                     c.begin();
                     pass(o_.seconds / 4);
                     c.end();
-                    while (!c.idle()) loop_.turn(10 * kMillisecond);
+                    while (!c.idle())
+                        loop_.turn(10 * kMillisecond);
                     seconds[which] += static_cast<double>(loop_.now() - from) / kSecondMicros;
                     cpu[which] += usage(pid).first - before;
                 }
@@ -215,9 +234,12 @@
                 c->begin();
                 pass(o_.seconds / 10);
                 c->end();
-                while (!c->idle()) loop_.turn(10 * kMillisecond);
+                while (!c->idle())
+                    loop_.turn(10 * kMillisecond);
             }
-        const auto p = [](Closed& c, double q) { return percentile(c.latencies_us, q) / 1000; };
+        const auto p = [](Closed& c, double q) {
+            return percentile(c.latencies_us, q) / 1000;
+        };
         line("asked directly, one at a time", "p50 %.3f ms, p99 %.3f ms (%zu statements)", p(direct, 0.5),
              p(direct, 0.99), direct.latencies_us.size());
         line("through the front", "p50 %.3f ms, p99 %.3f ms (%zu statements, %zu failed)", p(through, 0.5),
@@ -237,7 +259,8 @@
         const auto [cpu_after, memory_after] = usage(front_.pid());
         const auto n = static_cast<double>(c.latencies_us.size() - before);
         c.end();
-        while (!c.idle()) loop_.turn(10 * kMillisecond);
+        while (!c.idle())
+            loop_.turn(10 * kMillisecond);
         line("statements a second, clients without pause",
              "%.0f with %d clients (%zu failed); the front used %.2f of a core", n / seconds, o_.clients,
              c.failed, (cpu_after - cpu) / seconds);
@@ -258,9 +281,12 @@
                      {[&, first = true](const statement::Document&) mutable {
                           taken += std::exchange(first, false);
                       },
-                      [&](const statement::ClientResult&) { ++ended; }});
+                      [&](const statement::ClientResult&) {
+                          ++ended;
+                      }});
             statements.push_back(std::move(s));
-            if (i % 50 == 0) loop_.turn(kMillisecond);
+            if (i % 50 == 0)
+                loop_.turn(kMillisecond);
         }
         for (const Micros end = loop_.now() + 60 * kSecondMicros;
              taken < statements.size() && loop_.now() < end;)
@@ -277,21 +303,25 @@
              (again - before) / static_cast<double>(std::max<std::size_t>(taken, 1)));
         line("the front meanwhile", "%.2f of a core (%.0f polls a second)", (cpu2 - cpu1) / seconds,
              static_cast<double>(taken));
-        for (auto& s : statements) s->abandon();
+        for (auto& s : statements)
+            s->abandon();
     }
     // The loop alone: so many connections that say nothing, and a turn that finds nothing to do.
     void turn() {
         net::PollLoop server, clients;
         std::vector<std::unique_ptr<net::Stream>> accepted, opened;
         struct Nothing final : net::StreamEvents {
-            void on_data(Buffer& in) override { in.clear(); }
+            void on_data(Buffer& in) override {
+                in.clear();
+            }
             void on_closed(net::Closed) override {}
         } nothing;
         auto listener = server.listen(*net::Address::parse("127.0.0.1:0"), [&](auto s) {
             s->events(nothing);
             accepted.push_back(std::move(s));
         });
-        if (!listener) return line("one turn of the loop", "%s", listener.error().c_str());
+        if (!listener)
+            return line("one turn of the loop", "%s", listener.error().c_str());
         const auto many = static_cast<std::size_t>(o_.waiting);
         while (accepted.size() < many) {
             for (int i = 0; i < 64 && opened.size() < many; ++i)
@@ -301,7 +331,8 @@
         timespec a{}, b{};
         clock_gettime(CLOCK_MONOTONIC, &a);
         constexpr int kTurns = 500;
-        for (int i = 0; i < kTurns; ++i) server.turn(0);
+        for (int i = 0; i < kTurns; ++i)
+            server.turn(0);
         clock_gettime(CLOCK_MONOTONIC, &b);
         const double us =
             (static_cast<double>(b.tv_sec - a.tv_sec) * 1e9 + static_cast<double>(b.tv_nsec - a.tv_nsec)) /
@@ -323,7 +354,8 @@
 Result<std::string> measure_cost(const CostOptions& options) {
     std::error_code error;
     std::filesystem::create_directories(options.folder, error);
-    if (error) return Error{options.folder + ": " + error.message()};
+    if (error)
+        return Error{options.folder + ": " + error.message()};
     return Cost(options).run();
 }
 
--- a/src/lab/load.cpp
+++ b/src/lab/load.cpp
@@ -76,19 +76,24 @@
         stopped_ = true;
         return;
     }
-    loop_.after(next_ - loop_.now(), [this] { arrive(); });
+    loop_.after(next_ - loop_.now(), [this] {
+        arrive();
+    });
 }
 
 std::shared_ptr<Load::Request> Load::draw() {
     auto r = std::make_shared<Request>();
     r->number = ++requests_;
     double sum = 0;
-    for (const auto& c : traffic_.classes) sum += c.share;
+    for (const auto& c : traffic_.classes)
+        sum += c.share;
     double at = random_.uniform() * sum;
     while (r->cls + 1 < traffic_.classes.size() && at >= traffic_.classes[r->cls].share)
         at -= traffic_.classes[r->cls++].share;
     if (random_.chance(mood.shift)) {
-        const auto heavier = [](const ClassLoad& a, const ClassLoad& b) { return a.work_ms < b.work_ms; };
+        const auto heavier = [](const ClassLoad& a, const ClassLoad& b) {
+            return a.work_ms < b.work_ms;
+        };
         r->cls = static_cast<std::size_t>(
             std::max_element(traffic_.classes.begin(), traffic_.classes.end(), heavier) -
             traffic_.classes.begin());
@@ -98,14 +103,17 @@
     const auto weight = [&](const auto& t) {
         return t.second * (t.first == mood.tenant ? mood.tenant_rate : 1);
     };
-    for (const auto& t : traffic_.tenants) tenants += weight(t);
+    for (const auto& t : traffic_.tenants)
+        tenants += weight(t);
     at = random_.uniform() * tenants;
     for (const auto& t : traffic_.tenants) {
         r->tenant = t.first;
-        if ((at -= weight(t)) < 0) break;
+        if ((at -= weight(t)) < 0)
+            break;
     }
     r->work_ms = random_.lognormal(c.work_ms, c.cv);
-    if (r->cls == 0 && random_.chance(mood.heavy_share)) r->work_ms *= mood.heavy_times;
+    if (r->cls == 0 && random_.chance(mood.heavy_share))
+        r->work_ms *= mood.heavy_times;
     r->memory_mb = random_.lognormal(c.memory_mb, c.memory_cv);
     r->rows = static_cast<std::size_t>(c.rows);
     const bool hot = random_.chance(mood.hot_share);
@@ -129,7 +137,8 @@
     double patience =
         static_cast<double>(deadline) * random_.uniform(traffic_.patience_low, traffic_.patience_high);
     const bool hasty = random_.chance(mood.short_share);
-    if (hasty) patience = std::min(patience, static_cast<double>(r->aim) * mood.short_patience);
+    if (hasty)
+        patience = std::min(patience, static_cast<double>(r->aim) * mood.short_patience);
     r->ends = r->asked + static_cast<Micros>(patience);
     r->leaves = (hasty && mood.short_leaves) || random_.chance(traffic_.leave);
     r->abandons = random_.chance(traffic_.abandon);
@@ -140,14 +149,16 @@
 
 const ClassSettings* Load::settings_of(std::size_t cls) const {
     for (const auto& s : classes_)
-        if (s.name == traffic_.classes[cls].name) return &s;
+        if (s.name == traffic_.classes[cls].name)
+            return &s;
     return nullptr;
 }
 
 std::size_t Load::choose_front() {
     std::vector<std::size_t> alive;
     for (std::size_t i = 0; i < fronts_.size(); ++i)
-        if (loop_.now() >= dead_until_[i]) alive.push_back(i);
+        if (loop_.now() >= dead_until_[i])
+            alive.push_back(i);
     return alive.empty() ? random_.below(fronts_.size()) : alive[random_.below(alive.size())];
 }
 
@@ -176,7 +187,8 @@
     h.add("X-Trino-Source", c.name);
     h.add("X-Trino-Trace-Token", t.trace);
     std::string tags = "group=" + request->group;
-    if (!request->key.empty()) tags += ",key=" + request->key;
+    if (!request->key.empty())
+        tags += ",key=" + request->key;
     h.add("X-Trino-Client-Tags", tags);
     h.add("X-Trino-Session", "query_max_run_time=" + std::to_string(t.patience / kMillisecond) + "ms");
     if (traffic_.estimate_cv >= 0)
@@ -200,27 +212,35 @@
             Try& mine = *tries_.at(number);
             note("left", mine, deletes ? "DELETE" : "without a word");
             ++outcomes_["left"];
-            if (deletes) mine.client->cancel();
-            else mine.client->abandon();
+            if (deletes)
+                mine.client->cancel();
+            else
+                mine.client->abandon();
             close(number);
         });
     if (request->loses)
-        t.lose = go(kSecondMicros,
-                    [this, number] { tries_.at(number)->lose = 0, tries_.at(number)->client->ask_again(); });
+        t.lose = go(kSecondMicros, [this, number] {
+            tries_.at(number)->lose = 0, tries_.at(number)->client->ask_again();
+        });
     t.client = std::make_unique<statement::StatementClient>(
         loop_, *clients_[t.front],
         statement::EngineCallOptions{.answer_time_out = t.patience + kSecondMicros});
     t.client->start(std::move(h), request->sql,
                     {[this, number](const statement::Document& d) {
                          Try& mine = *tries_.at(number);
-                         if (!std::exchange(mine.taken, true)) note("taken", mine);
-                         if (!d.has_rows()) return;
+                         if (!std::exchange(mine.taken, true))
+                             note("taken", mine);
+                         if (!d.has_rows())
+                             return;
                          const std::string first = "[[" + std::to_string(mine.rows) + ",\"" +
                                                    engine::row_of(mine.request->sql, mine.rows);
-                         if (!d.data.starts_with(first)) mine.wrong = d.data.substr(0, 60);
+                         if (!d.data.starts_with(first))
+                             mine.wrong = d.data.substr(0, 60);
                          mine.rows += statement::array_length(d.data);
                      },
-                     [this, number](const statement::ClientResult& r) { end(number, r); }});
+                     [this, number](const statement::ClientResult& r) {
+                         end(number, r);
+                     }});
 }
 
 void Load::end(std::uint64_t number, const statement::ClientResult& r) {
@@ -236,7 +256,8 @@
         if (detail == "served" && t.rows != request->rows)
             t.wrong = std::to_string(t.rows) + " rows of " + std::to_string(request->rows);
         note("final", t, detail);
-        if (!t.wrong.empty()) note("wrong_rows", t, t.wrong);
+        if (!t.wrong.empty())
+            note("wrong_rows", t, t.wrong);
         back = detail == "refused";
         ++outcomes_[detail];
         if (detail == "served")
@@ -256,14 +277,17 @@
     const bool may = back || (settings && settings->effect == Effect::repeatable) ||
                      (settings && settings->effect == Effect::by_key && settings->key_scope == Scope::all);
     close(number);
-    if (served || !may || request->tries > traffic_.retries) return;
+    if (served || !may || request->tries > traffic_.retries)
+        return;
     Micros wait = static_cast<Micros>(static_cast<double>(traffic_.retry_wait) * random_.uniform(0.5, 1.5));
-    if (request->honours && r.retry_after > 0) wait = r.retry_after;
+    if (request->honours && r.retry_after > 0)
+        wait = r.retry_after;
     again(request, wait);
 }
 
 void Load::again(std::shared_ptr<Request> request, Micros wait) {
-    if (request->ends - loop_.now() - wait < kLeastPatience) return;
+    if (request->ends - loop_.now() - wait < kLeastPatience)
+        return;
     ++waiting_;
     loop_.after(wait, [this, request] {
         --waiting_;
@@ -274,10 +298,14 @@
 void Load::close(std::uint64_t number) {
     auto node = tries_.extract(number);
     Try& t = *node.mapped();
-    for (const auto timer : {t.give_up, t.leave, t.lose}) loop_.cancel(timer);
+    for (const auto timer : {t.give_up, t.leave, t.lose})
+        loop_.cancel(timer);
     // Its client may stand on the stack.
     ended_.push_back(std::move(node.mapped()));
-    if (ended_.size() == 1) loop_.after(0, [this] { ended_.clear(); });
+    if (ended_.size() == 1)
+        loop_.after(0, [this] {
+            ended_.clear();
+        });
 }
 
 }  // namespace gatetiller::lab
--- a/src/lab/load.hpp
+++ b/src/lab/load.hpp
@@ -61,10 +61,18 @@
     void start(std::vector<Target> fronts, Micros length);
     Mood mood;
     // The plain layer before the fronts: clients go elsewhere for a while once a front was found dead.
-    bool over() const { return stopped_ && tries_.empty() && waiting_ == 0; }
-    std::size_t asked() const { return requests_; }
-    const std::map<std::string, std::size_t>& outcomes() const { return outcomes_; }
-    const std::vector<double>& latencies_ms() const { return latencies_; }
+    bool over() const {
+        return stopped_ && tries_.empty() && waiting_ == 0;
+    }
+    std::size_t asked() const {
+        return requests_;
+    }
+    const std::map<std::string, std::size_t>& outcomes() const {
+        return outcomes_;
+    }
+    const std::vector<double>& latencies_ms() const {
+        return latencies_;
+    }
 
 private:
     struct Request;
--- a/src/lab/platform.cpp
+++ b/src/lab/platform.cpp
@@ -20,7 +20,8 @@
     std::vector<std::string> pages{""};
     for (std::size_t at = 0; at < rows.size();) {
         const std::size_t end = rows.find('\n', at) + 1;
-        if (pages.back().size() + end - at > kPageBytes) pages.emplace_back();
+        if (pages.back().size() + end - at > kPageBytes)
+            pages.emplace_back();
         pages.back().append(rows, at, end - at);
         at = end;
     }
@@ -54,22 +55,29 @@
         const std::weak_ptr<char> here = engine.alive_;
         while (!over) {
             const auto reading = resp::read_array(in.view(), kCommand, words, size);
-            if (reading == resp::Reading::none) return;
+            if (reading == resp::Reading::none)
+                return;
             if (reading == resp::Reading::spoilt) {
                 engine.unusable_.push_back("what can't be read from " + front);
                 return close();
             }
             engine.take(*this, words);
-            if (here.expired()) return;
-            if (!over) in.take(size);
+            if (here.expired())
+                return;
+            if (!over)
+                in.take(size);
         }
     }
-    void on_closed(net::Closed) override { close(); }
+    void on_closed(net::Closed) override {
+        close();
+    }
     void close() {
-        if (std::exchange(over, true)) return;
+        if (std::exchange(over, true))
+            return;
         stream.reset();
         const auto ended = std::exchange(open, {});
-        for (const auto& [id, run] : ended) engine.end(*run, "connection_ended");
+        for (const auto& [id, run] : ended)
+            engine.end(*run, "connection_ended");
     }
 
     PlatformEngine& engine;
@@ -91,15 +99,20 @@
 PlatformEngine::PlatformEngine(net::Loop& loop, PlatformEngineSettings settings, Records& records)
     : loop_(loop), settings_(std::move(settings)), records_(records), random_(settings_.seed) {}
 
-PlatformEngine::~PlatformEngine() { die(); }
+PlatformEngine::~PlatformEngine() {
+    die();
+}
 
 Result<net::Address> PlatformEngine::listen(const std::string& front, const net::Address& at) {
     auto listener = loop_.listen(at, [this, front](std::unique_ptr<net::Stream> s) {
-        std::erase_if(connections_, [](const auto& c) { return c->over; });
+        std::erase_if(connections_, [](const auto& c) {
+            return c->over;
+        });
         connections_.push_back(std::make_unique<Connection>(*this, front, std::move(s)));
         connections_.back()->stream->events(*connections_.back());
     });
-    if (!listener) return Error{listener.error()};
+    if (!listener)
+        return Error{listener.error()};
     listeners_.push_back(std::move(*listener));
     return listeners_.back()->address();
 }
@@ -107,7 +120,8 @@
 void PlatformEngine::die() {
     alive_ = std::make_shared<char>();
     listeners_.clear();
-    for (const auto& c : connections_) c->close();
+    for (const auto& c : connections_)
+        c->close();
     connections_.clear();
     line_.clear();
     running_ = 0;
@@ -115,7 +129,8 @@
 
 std::size_t PlatformEngine::open() const {
     std::size_t n = 0;
-    for (const auto& c : connections_) n += c->open.size();
+    for (const auto& c : connections_)
+        n += c->open.size();
     return n;
 }
 
@@ -126,14 +141,16 @@
 }
 
 void PlatformEngine::say(Connection& c, std::string bytes) {
-    if (!c.over && !c.dumb) c.stream->send(std::move(bytes));
+    if (!c.over && !c.dumb)
+        c.stream->send(std::move(bytes));
 }
 
 void PlatformEngine::take(Connection& c, const std::vector<std::string_view>& words) {
     const std::string verb(words.empty() ? "" : words[0]), id(words.size() > 1 ? words[1] : "");
     if (verb != "do") {
         std::string text;
-        for (const auto word : words) text += (text.empty() ? "" : " ") + std::string(word);
+        for (const auto word : words)
+            text += (text.empty() ? "" : " ") + std::string(word);
         commands.push_back(text);
         if (verb == "undo") {
             if (const auto found = c.open.find(id); found != c.open.end()) {
@@ -187,7 +204,8 @@
     while (running_ < settings_.at_once && !line_.empty()) {
         const auto run = line_.front();
         line_.pop_front();
-        if (run->on) start(run);
+        if (run->on)
+            start(run);
     }
 }
 
@@ -197,7 +215,8 @@
     record("started", run->front, run->id);
     const std::weak_ptr<char> here = alive_;
     loop_.after(static_cast<Micros>(run->hints.work_ms * kMillisecond), [this, run, here] {
-        if (!here.expired() && run->on) answer(run);
+        if (!here.expired() && run->on)
+            answer(run);
     });
     note_later(run);
 }
@@ -205,7 +224,8 @@
 void PlatformEngine::note_later(const std::shared_ptr<Run>& run) {
     const std::weak_ptr<char> here = alive_;
     loop_.after(settings_.note_every, [this, run, here] {
-        if (here.expired() || !run->on) return;
+        if (here.expired() || !run->on)
+            return;
         const double done =
             static_cast<double>(loop_.now() - run->since) / (run->hints.work_ms * kMillisecond);
         say(*run->on,
@@ -217,7 +237,8 @@
 void PlatformEngine::answer(const std::shared_ptr<Run>& run) {
     Connection& c = *run->on;
     const std::string id = run->id;
-    if (random_.chance(faults_.silent)) return;
+    if (random_.chance(faults_.silent))
+        return;
     c.open.erase(id);
     if (random_.chance(faults_.fault)) {
         end(*run, "fault");
@@ -233,13 +254,21 @@
         // The machine has done the work and what it says of it can't be read, in one of several ways.
         end(*run, "connection_ended");
         switch (random_.below(5)) {
-            case 0: say(c, random_.hex(40)); break;
+            case 0:
+                say(c, random_.hex(40));
+                break;
             case 1:
                 say(c, "*4\r\n$16\r\n" + id + "\r\n$3\r\nHIT\r\n$3000000000\r\n" + std::string(3000, 'x'));
                 break;
-            case 2: say(c, hit.substr(0, 1 + random_.below(hit.size() - 1))); break;
-            case 3: say(c, resp::array({id, "HIT", fields, "two\tcolumns\n"})); break;
-            default: say(c, hit.substr(0, 1 + random_.below(hit.size() - 1))); return c.close();
+            case 2:
+                say(c, hit.substr(0, 1 + random_.below(hit.size() - 1)));
+                break;
+            case 3:
+                say(c, resp::array({id, "HIT", fields, "two\tcolumns\n"}));
+                break;
+            default:
+                say(c, hit.substr(0, 1 + random_.below(hit.size() - 1)));
+                return c.close();
         }
         c.dumb = true;
         return;
@@ -253,9 +282,11 @@
 
 // Its request is out no more; what it ran stops.
 void PlatformEngine::end(Run& run, const char* event) {
-    if (!std::exchange(run.on, nullptr)) return;
+    if (!std::exchange(run.on, nullptr))
+        return;
     record(event, run.front, run.id);
-    if (run.started) --running_;
+    if (run.started)
+        --running_;
     next();
 }
 
@@ -265,9 +296,11 @@
     : loop_(loop), records_(records), random_(seed) {}
 
 Result<net::Address> NameService::listen(const std::string& front, const net::Address& at) {
-    auto socket = loop_.datagrams(
-        at, [this, front](const net::Address& from, std::string_view bytes) { asked(front, from, bytes); });
-    if (!socket) return Error{socket.error()};
+    auto socket = loop_.datagrams(at, [this, front](const net::Address& from, std::string_view bytes) {
+        asked(front, from, bytes);
+    });
+    if (!socket)
+        return Error{socket.error()};
     const auto address = (*socket)->address();
     sockets_[front] = std::move(*socket);
     return address;
@@ -277,7 +310,8 @@
     before_ = entries_;
     entries_[entry.name] = entry;
     ++number_;
-    if (entry.draining) tell_latest(entry.name, "fading");
+    if (entry.draining)
+        tell_latest(entry.name, "fading");
 }
 
 void NameService::remove(const std::string& name) {
@@ -292,28 +326,37 @@
     constexpr Micros kPassedOver = 500 * kMillisecond;
     if (faults.silent && !faults_.silent && (silent_since_ == 0 || loop_.now() - silent_until_ > kPassedOver))
         silent_since_ = loop_.now();
-    if (!faults.silent && faults_.silent) silent_until_ = loop_.now();
-    if (!faults.deaf_ports) deaf_ports_.clear();
-    else if (!faults_.deaf_ports) deaf_ports_ = ports_;
+    if (!faults.silent && faults_.silent)
+        silent_until_ = loop_.now();
+    if (!faults.deaf_ports)
+        deaf_ports_.clear();
+    else if (!faults_.deaf_ports)
+        deaf_ports_ = ports_;
     faults_ = faults;
 }
 
 void NameService::tell_latest(const std::string& engine, const char* state) {
-    if (!terms_) return;
+    if (!terms_)
+        return;
     // A front asks within so long; what a good answer would have told then counts as told some time later.
     constexpr Micros kAsksWithin = 300 * kMillisecond;
     const Micros usually = kAsksWithin + terms_->usually;
     const std::weak_ptr<char> here = alive_;
     loop_.after(usually, [this, here, engine, state] {
-        if (here.expired()) return;
+        if (here.expired())
+            return;
         const Micros now = loop_.now(), began = silent_since_;
-        if (!faults_.silent) return record_latest_of(engine, state, now);
+        if (!faults_.silent)
+            return record_latest_of(engine, state, now);
         // How long this silence lasts tells by which term it counts.
-        loop_.after(std::max<Micros>(0, began + terms_->long_silence - now), [this, here, engine, state, now, began] {
-            if (here.expired()) return;
-            const bool long_silence = faults_.silent && silent_since_ == began;
-            record_latest_of(engine, state, long_silence ? std::max(now, began + terms_->after_silence) : now);
-        });
+        loop_.after(std::max<Micros>(0, began + terms_->long_silence - now),
+                    [this, here, engine, state, now, began] {
+                        if (here.expired())
+                            return;
+                        const bool long_silence = faults_.silent && silent_since_ == began;
+                        record_latest_of(engine, state,
+                                         long_silence ? std::max(now, began + terms_->after_silence) : now);
+                    });
     });
 }
 
@@ -342,7 +385,9 @@
     return nlohmann::json({{"offset", number_}, {"batch", {event}}}).dump();
 }
 
-std::string NameService::states(const std::string& front) const { return states_of(entries_, front); }
+std::string NameService::states(const std::string& front) const {
+    return states_of(entries_, front);
+}
 
 std::string NameService::states_of(const std::map<std::string, Entry>& entries, const std::string& front) {
     std::string states;
@@ -356,7 +401,8 @@
     ++questions_;
     const std::string asker = front + " " + from.text();
     ports_.insert(asker);
-    if (question.size() < 17 || faults_.silent || deaf_ports_.contains(asker) || random_.chance(faults_.lost)) return;
+    if (question.size() < 17 || faults_.silent || deaf_ports_.contains(asker) || random_.chance(faults_.lost))
+        return;
     if (faults_.dropped > 0) {
         --faults_.dropped;
         return;
@@ -368,7 +414,8 @@
     const std::string states = states_of(entries, front);
     for (const auto& [name, e] : entries) {
         const auto at = e.address.find(front);
-        if (at == e.address.end()) continue;
+        if (at == e.address.end())
+            continue;
         ++count;
         const std::string target = dns::encoded_name(name + "." + e.zone + ".hosts");
         std::string srv;
@@ -389,7 +436,8 @@
     }
     std::string soa = dns::encoded_name("ns") + dns::encoded_name("admin");
     put_big_endian(soa, old ? number_ - 1 : number_, 4);
-    for (int i = 0; i < 4; ++i) put_big_endian(soa, 1, 4);
+    for (int i = 0; i < 4; ++i)
+        put_big_endian(soa, 1, 4);
     const bool failure = random_.chance(faults_.failure), foreign = random_.chance(faults_.foreign);
     std::string m;
     put_big_endian(m, static_cast<unsigned char>(question[0]), 1);
@@ -399,18 +447,23 @@
          {std::uint64_t{1}, failure ? 0 : count, std::uint64_t{1}, failure ? 0 : 2 * count})
         put_big_endian(m, n, 2);
     m.append(question.substr(12));
-    if (!failure) m += services;
+    if (!failure)
+        m += services;
     m += record_of(std::string("\xc0\x0c", 2), 6, soa);
-    if (!failure) m += around;
+    if (!failure)
+        m += around;
     const bool cut = random_.chance(faults_.cut);
-    if (cut) m.resize(m.size() / 2);
+    if (cut)
+        m.resize(m.size() / 2);
     const bool whole = !failure && !foreign && !cut;
     // Of an older list a front may learn of an engine; that another has gone it knows by a newer one only.
     const char* const event = !whole ? "" : old ? "older_list_served" : "list_served";
-    if (faults_.slow == 0) return say(front, from, m, event, states);
+    if (faults_.slow == 0)
+        return say(front, from, m, event, states);
     const std::weak_ptr<char> here = alive_;
     loop_.after(faults_.slow, [this, here, front, from, m = std::move(m), event, states] {
-        if (!here.expired()) say(front, from, m, event, states);
+        if (!here.expired())
+            say(front, from, m, event, states);
     });
 }
 
@@ -418,9 +471,11 @@
 void NameService::say(const std::string& front, const net::Address& to, const std::string& message,
                       const std::string& event, const std::string& states) {
     const auto socket = sockets_.find(front);
-    if (socket == sockets_.end()) return;
+    if (socket == sockets_.end())
+        return;
     socket->second->send(to, message);
-    if (event.empty()) return;
+    if (event.empty())
+        return;
     LabRecord r;
     r.at = loop_.now(), r.event = event, r.who = front, r.detail = states;
     records_.lab.push_back(std::move(r));
@@ -434,7 +489,8 @@
 }
 
 PlatformClient::~PlatformClient() {
-    for (const auto& [seq, o] : open_) loop_.cancel(o.patience);
+    for (const auto& [seq, o] : open_)
+        loop_.cancel(o.patience);
 }
 
 void PlatformClient::record(const char* event, const Ask& a, std::string detail) {
@@ -450,8 +506,10 @@
                           {"trace", a.trace},
                           {"patience", std::to_string(a.patience / kMillisecond)},
                           {"customer", a.tenant}};
-    if (!a.nonce.empty()) fields["nonce"] = a.nonce;
-    if (a.weight_ms > 0) fields["weight"] = std::to_string(a.weight_ms);
+    if (!a.nonce.empty())
+        fields["nonce"] = a.nonce;
+    if (a.weight_ms > 0)
+        fields["weight"] = std::to_string(a.weight_ms);
     stream_->send(thrift::process_call(seq, fields, a.sql));
     record("asked", a);
     record("taken", a);  // once its last byte is written
@@ -464,14 +522,17 @@
 
 void PlatformClient::give_up(std::int32_t seq) {
     const auto found = open_.find(seq);
-    if (found == open_.end()) return;
+    if (found == open_.end())
+        return;
     record("left", found->second.ask);
     loop_.cancel(found->second.patience);
     open_.erase(found);
     stream_->send(thrift::give_up_call(++last_, seq));
 }
 
-void PlatformClient::probe() { stream_->send(thrift::probe_call(++last_)); }
+void PlatformClient::probe() {
+    stream_->send(thrift::probe_call(++last_));
+}
 
 void PlatformClient::on_data(Buffer& in) {
     std::string_view frame;
@@ -505,13 +566,17 @@
         got.how = id == 0 ? "served" : id == 1 ? "refused" : "failed";
         std::int16_t inner = 0;
         for (auto t = r.field(inner); r.ok() && t != thrift::Type::stop; t = r.field(inner)) {
-            if (t == thrift::Type::string) got.body = r.string();
-            else r.skip(t);
+            if (t == thrift::Type::string)
+                got.body = r.string();
+            else
+                r.skip(t);
         }
-        if (method == "probe") ready_ = r.ok();
+        if (method == "probe")
+            ready_ = r.ok();
     }
     const auto found = open_.find(seq);
-    if (found == open_.end()) return;
+    if (found == open_.end())
+        return;
     const Ask& a = found->second.ask;
     if (got.how == "served" && got.body != rows_of(a.sql, a.rows))
         record("wrong_rows", a, std::to_string(got.body.size()) + " bytes");
--- a/src/lab/platform.hpp
+++ b/src/lab/platform.hpp
@@ -43,12 +43,18 @@
     PlatformEngine(net::Loop& loop, PlatformEngineSettings settings, Records& records);
     ~PlatformEngine();
     Result<net::Address> listen(const std::string& front, const net::Address& at);
-    void set(const PlatformFaults& faults) { faults_ = faults; }
+    void set(const PlatformFaults& faults) {
+        faults_ = faults;
+    }
     // Its process ends: connections break, listeners close, nothing of it is left.
     void die();
-    const std::string& name() const { return settings_.name; }
-    std::size_t open() const;                                               // requests out by its sockets
-    const std::vector<std::string>& unusable() const { return unusable_; }  // requests no front may send
+    const std::string& name() const {
+        return settings_.name;
+    }
+    std::size_t open() const;  // requests out by its sockets
+    const std::vector<std::string>& unusable() const {
+        return unusable_;
+    }                                   // requests no front may send
     std::vector<std::string> commands;  // other than `do`, as they came: "undo ID", "bump ID 2"
 
 private:
@@ -84,12 +90,15 @@
     bool silent = false;
     Micros slow = 0;  // every answer takes so long
     int dropped = 0;  // so many answers, the next ones, never arrive
-    bool deaf_ports = false;  // ports that have asked before this was set are not answered any more; new ones are
+    bool deaf_ports =
+        false;  // ports that have asked before this was set are not answered any more; new ones are
 };
 
-// When at the latest a change of the list counts as told, whatever became of the answers (the platform's protocol).
+// When at the latest a change of the list counts as told, whatever became of the answers (the platform's
+// protocol).
 struct NameTerms {
-    Micros usually = 1'500 * kMillisecond;       // after the first question that a good answer would have told of it
+    Micros usually =
+        1'500 * kMillisecond;  // after the first question that a good answer would have told of it
     Micros after_silence = 4'500 * kMillisecond;  // after a silence began, where that is later
     Micros long_silence = 3 * kSecondMicros;      // a shorter one changes nothing
 };
@@ -104,24 +113,35 @@
     };
     NameService(net::Loop& loop, Records& records, std::uint64_t seed);
     Result<net::Address> listen(const std::string& front, const net::Address& at);
-    void close(const std::string& front) { sockets_.erase(front); }
+    void close(const std::string& front) {
+        sockets_.erase(front);
+    }
     void put(const Entry& entry);  // new or changed: one event
     void remove(const std::string& name);
     void set(const NameFaults& faults);
-    // From now on each drain and each removal is also recorded ("told_at_latest") when it counts as told at the latest.
-    void record_latest(const NameTerms& terms) { terms_ = terms; }
+    // From now on each drain and each removal is also recorded ("told_at_latest") when it counts as told at
+    // the latest.
+    void record_latest(const NameTerms& terms) {
+        terms_ = terms;
+    }
     // The numbering starts anew, with the list as it stands as number 1.
-    void renumber() { number_ = 1; }
-    std::uint64_t number() const { return number_; }
-    std::uint64_t questions() const { return questions_; }
-    std::string known(const std::string& front) const;  // the configuration's member of that name, as JSON
+    void renumber() {
+        number_ = 1;
+    }
+    std::uint64_t number() const {
+        return number_;
+    }
+    std::uint64_t questions() const {
+        return questions_;
+    }
+    std::string known(const std::string& front) const;   // the configuration's member of that name, as JSON
     std::string states(const std::string& front) const;  // "name=on,name=fading", as records have them
 
 private:
     static std::string states_of(const std::map<std::string, Entry>& entries, const std::string& front);
     void asked(const std::string& front, const net::Address& from, std::string_view question);
-    void say(const std::string& front, const net::Address& to, const std::string& message, const std::string& event,
-             const std::string& states);
+    void say(const std::string& front, const net::Address& to, const std::string& message,
+             const std::string& event, const std::string& states);
     void tell_latest(const std::string& engine, const char* state);
     void record_latest_of(const std::string& engine, const char* state, Micros at);
 
@@ -156,12 +176,24 @@
     std::int32_t ask(const Ask& a);  // its number
     void give_up(std::int32_t seq);  // giveUp, by the client's own wish
     void probe();
-    void raw(std::string bytes) { stream_->send(std::move(bytes)); }
-    std::size_t open() const { return open_.size(); }
-    bool ended() const { return ended_; }
-    bool ready() const { return ready_; }  // a probe was answered
-    const std::map<std::int32_t, Got>& got() const { return got_; }
-    std::size_t exceptions() const { return exceptions_; }
+    void raw(std::string bytes) {
+        stream_->send(std::move(bytes));
+    }
+    std::size_t open() const {
+        return open_.size();
+    }
+    bool ended() const {
+        return ended_;
+    }
+    bool ready() const {
+        return ready_;
+    }  // a probe was answered
+    const std::map<std::int32_t, Got>& got() const {
+        return got_;
+    }
+    std::size_t exceptions() const {
+        return exceptions_;
+    }
 
 private:
     struct Open {
--- a/src/lab/process.cpp
+++ b/src/lab/process.cpp
@@ -32,12 +32,14 @@
 
 Process::~Process() {
     kill();
-    if (out_ >= 0) ::close(out_);
+    if (out_ >= 0)
+        ::close(out_);
 }
 
 Result<Process> Process::spawn(const std::vector<std::string>& command, const std::string& log) {
     int ends[2];
-    if (::pipe2(ends, O_CLOEXEC) != 0) return Error{std::string("pipe: ") + std::strerror(errno)};
+    if (::pipe2(ends, O_CLOEXEC) != 0)
+        return Error{std::string("pipe: ") + std::strerror(errno)};
     posix_spawn_file_actions_t actions;
     posix_spawn_file_actions_init(&actions);
     posix_spawn_file_actions_adddup2(&actions, ends[1], STDOUT_FILENO);
@@ -51,7 +53,8 @@
     posix_spawnattr_setsigmask(&attributes, &none);
     posix_spawnattr_setflags(&attributes, POSIX_SPAWN_SETSIGMASK);
     std::vector<char*> argv;
-    for (const auto& part : command) argv.push_back(const_cast<char*>(part.c_str()));
+    for (const auto& part : command)
+        argv.push_back(const_cast<char*>(part.c_str()));
     argv.push_back(nullptr);
     Process p;
     const int failed = ::posix_spawn(&p.pid_, argv[0], &actions, &attributes, argv.data(), environ);
@@ -69,46 +72,59 @@
 Result<Process> Process::start(const std::vector<std::string>& command, const std::string& log,
                                Micros patience) {
     auto spawned = spawn(command, log);
-    if (!spawned) return spawned;
+    if (!spawned)
+        return spawned;
     Process& p = *spawned;
     for (char c = 0;;) {
         pollfd ready{p.out_, POLLIN, 0};
         if (::poll(&ready, 1, static_cast<int>(patience / kMillisecond)) <= 0)
             return Error{command[0] + " said nothing in time; see " + log};
         const ssize_t n = ::read(p.out_, &c, 1);
-        if (n <= 0) return Error{command[0] + " ended at its start; see " + log};
-        if (c == '\n') break;
+        if (n <= 0)
+            return Error{command[0] + " ended at its start; see " + log};
+        if (c == '\n')
+            break;
         p.line_ += c;
     }
     return spawned;
 }
 
 void Process::signal(int number) {
-    if (pid_ > 0) ::kill(pid_, number);
+    if (pid_ > 0)
+        ::kill(pid_, number);
 }
 
 void Process::kill() {
-    if (pid_ <= 0) return;
+    if (pid_ <= 0)
+        return;
     signal(SIGKILL);
     ::waitpid(pid_, nullptr, 0);
     pid_ = -1;
 }
 
-void Process::stop() { signal(SIGSTOP); }
+void Process::stop() {
+    signal(SIGSTOP);
+}
 
-void Process::go_on() { signal(SIGCONT); }
+void Process::go_on() {
+    signal(SIGCONT);
+}
 
-void Process::terminate() { signal(SIGTERM); }
+void Process::terminate() {
+    signal(SIGTERM);
+}
 
 bool Process::wait(Micros patience) {
-    if (pid_ <= 0) return true;
+    if (pid_ <= 0)
+        return true;
     constexpr Micros kNap = 10 * kMillisecond;
     for (Micros waited = 0;; waited += kNap) {
         if (::waitpid(pid_, &status_, WNOHANG) == pid_) {
             pid_ = -1;
             return true;
         }
-        if (waited >= patience) return false;
+        if (waited >= patience)
+            return false;
         const timespec nap{0, kNap * 1000};
         ::nanosleep(&nap, nullptr);
     }
--- a/src/lab/records.cpp
+++ b/src/lab/records.cpp
@@ -31,8 +31,10 @@
         s.value = c.at("value");
         s.aim = c.at("aim");
         s.late_share = c.at("late_share");
-        if (c.contains("kinds")) s.served_on = c["kinds"].get<std::vector<std::string>>();
-        if (c.contains("zones")) s.azs_open = c["zones"].get<std::vector<std::string>>();
+        if (c.contains("kinds"))
+            s.served_on = c["kinds"].get<std::vector<std::string>>();
+        if (c.contains("zones"))
+            s.azs_open = c["zones"].get<std::vector<std::string>>();
         f.classes.push_back(std::move(s));
     }
     for (const auto& e : j.at("engines"))
@@ -80,7 +82,8 @@
               {"stream", r.stream},
               {"what", kWhats[static_cast<std::size_t>(r.what)]},
               {"peer", r.peer}};
-    if (!r.bytes.empty()) j["bytes"] = r.bytes, j["size"] = r.size;
+    if (!r.bytes.empty())
+        j["bytes"] = r.bytes, j["size"] = r.size;
     return dumped(j);
 }
 
@@ -89,7 +92,8 @@
     if (!r.cls.empty())
         j["class"] = r.cls, j["tenant"] = r.tenant, j["key"] = r.key, j["aim"] = r.aim,
         j["patience"] = r.patience;
-    if (!r.detail.empty()) j["detail"] = r.detail;
+    if (!r.detail.empty())
+        j["detail"] = r.detail;
     return dumped(j);
 }
 
@@ -131,8 +135,10 @@
                   {"value", c.value},
                   {"aim", c.aim},
                   {"late_share", c.late_share}};
-        if (c.served_on) k["kinds"] = *c.served_on;
-        if (c.azs_open) k["zones"] = *c.azs_open;
+        if (c.served_on)
+            k["kinds"] = *c.served_on;
+        if (c.azs_open)
+            k["zones"] = *c.azs_open;
         j["classes"].push_back(std::move(k));
     }
     for (const auto& e : f.engines)
@@ -155,13 +161,19 @@
 
 void Records::sort() {
     const auto by = [](auto time) {
-        return [time](const auto& a, const auto& b) { return time(a) < time(b); };
+        return [time](const auto& a, const auto& b) {
+            return time(a) < time(b);
+        };
+    };
+    const auto at = [](const auto& r) {
+        return r.at;
     };
-    const auto at = [](const auto& r) { return r.at; };
     std::stable_sort(sockets.begin(), sockets.end(), by(at));
     std::stable_sort(clients.begin(), clients.end(), by(at));
     std::stable_sort(lab.begin(), lab.end(), by(at));
-    std::stable_sort(engines.begin(), engines.end(), by([](const EngineRecord& r) { return r.entry.at; }));
+    std::stable_sort(engines.begin(), engines.end(), by([](const EngineRecord& r) {
+                         return r.entry.at;
+                     }));
 }
 
 std::ofstream append_lines(const std::string& file) {
@@ -171,9 +183,11 @@
         std::uintmax_t end = size;  // behind the last line that is whole
         for (char c = 0; end > 0; --end) {
             in.seekg(static_cast<std::streamoff>(end - 1));
-            if (!in.get(c) || c == '\n') break;
+            if (!in.get(c) || c == '\n')
+                break;
         }
-        if (end < size) std::filesystem::resize_file(file, end, error);
+        if (end < size)
+            std::filesystem::resize_file(file, end, error);
     }
     return std::ofstream(file, std::ios::app);
 }
@@ -182,13 +196,15 @@
     std::size_t line = 0;
     for (std::size_t at = 0; at < text.size();) {
         const std::size_t end = text.find('\n', at);
-        if (end == std::string::npos) break;  // cut short
+        if (end == std::string::npos)
+            break;  // cut short
         ++line;
         const Json j = Json::parse(text.begin() + static_cast<long>(at),
                                    text.begin() + static_cast<long>(end), nullptr, false);
         at = end + 1;
         try {
-            if (!j.is_object()) return Error{name + ":" + std::to_string(line) + ": not a JSON object"};
+            if (!j.is_object())
+                return Error{name + ":" + std::to_string(line) + ": not a JSON object"};
             take(j, to);
         } catch (const Json::exception& e) {
             return Error{name + ":" + std::to_string(line) + ": not a record: " + e.what()};
--- a/src/lab/records.hpp
+++ b/src/lab/records.hpp
@@ -43,13 +43,14 @@
     engine::Entry entry;
 };
 
-// Beside what an engine journals of itself (engine/service.hpp), of one that speaks the platform's protocol: arrived,
-// and how it ended on its socket: hit, shed, fault, undone, connection_ended.
+// Beside what an engine journals of itself (engine/service.hpp), of one that speaks the platform's protocol:
+// arrived, and how it ended on its socket: hit, shed, fault, undone, connection_ended.
 
 // What the lab did, such as killing a front; and the facts that the rules are judged by.
 struct LabRecord {
     Micros at = 0;
-    std::string event;  // front_killed, front_ended (by itself), front_started, front_stalled, engine_on, trouble
+    std::string
+        event;  // front_killed, front_ended (by itself), front_started, front_stalled, engine_on, trouble
     std::string who, detail;
 };
 
@@ -83,8 +84,8 @@
 std::string line_of(const Facts& f);
 SocketRecord record_of(const std::string& front, const net::TapEvent& e);
 
-// Opens a file of lines for more of them. A last line without its end, as a killed process leaves it, is cut off
-// first: what follows would run into it.
+// Opens a file of lines for more of them. A last line without its end, as a killed process leaves it, is cut
+// off first: what follows would run into it.
 std::ofstream append_lines(const std::string& file);
 
 // Reads lines of all kinds into `to`. A line cut short at the end of a file, as a killed process leaves it,
--- a/src/lab/script.cpp
+++ b/src/lab/script.cpp
@@ -32,7 +32,9 @@
 void read_traffic(Reader& r, Traffic& t) {
     r.required({"rate", "classes"});
     r.number("rate", t.rate, 0.01, 1e5);
-    r.each("classes", [&](const std::string& name, Reader& c) { read_class(name, c, t.classes); });
+    r.each("classes", [&](const std::string& name, Reader& c) {
+        read_class(name, c, t.classes);
+    });
     r.numbers("tenants", t.tenants, 0, 1e6);
     r.number("patience_low", t.patience_low, 0.01, 1);
     r.number("patience_high", t.patience_high, 0.01, 1);
@@ -59,7 +61,8 @@
 
 Result<Script> load_script(const std::string& name, const std::string& source) {
     auto text = config::evaluate(name, source);
-    if (!text) return Error{text.error()};
+    if (!text)
+        return Error{text.error()};
     config::Mistakes mistakes(name, source);
     const auto json = nlohmann::json::parse(*text);
     Script s;
@@ -73,19 +76,23 @@
     top.span("notice", s.notice);
     top.flag("ledger", s.ledger);
     top.count("kills", s.kills, 0, 1e5);
-    top.object("traffic", [&](Reader& r) { read_traffic(r, s.traffic); });
+    top.object("traffic", [&](Reader& r) {
+        read_traffic(r, s.traffic);
+    });
     top.each("engines", [&](const std::string& group, Reader& r) {
         EngineGroup g;
         g.name = group;
         r.count("count", g.count, 1, 1000);
         r.text("zone", g.zone);
         r.text("kind", g.kind);
-        if (r.has("machine")) g.machine = json["engines"][group]["machine"];
+        if (r.has("machine"))
+            g.machine = json["engines"][group]["machine"];
         r.raw("machine");  // checked by the engine itself
         s.engines.push_back(std::move(g));
     });
     top.raw("front");  // checked as a front's configuration, once its engines are known
-    if (json.contains("front")) s.front = json["front"];
+    if (json.contains("front"))
+        s.front = json["front"];
     top.each("troubles", [&](const std::string&, Reader& r) {
         Trouble t;
         r.required({"name", "at"});
@@ -101,14 +108,16 @@
         if (std::find(names.begin(), names.end(), t.name) == names.end()) {
             const auto near = config::nearest(t.name, names);
             std::string all;
-            for (const auto& n : names) all += (all.empty() ? "" : ", ") + n;
+            for (const auto& n : names)
+                all += (all.empty() ? "" : ", ") + n;
             r.wrong("name", "no such trouble: '" + t.name + "'; " +
                                 (near.empty() ? "known are: " + all : "did you mean '" + near + "'?"));
         }
         s.troubles.push_back(std::move(t));
     });
     top.close();
-    if (!mistakes.none()) return Error{mistakes.text()};
+    if (!mistakes.none())
+        return Error{mistakes.text()};
     return s;
 }
 
--- a/src/lab/virtual_day.cpp
+++ b/src/lab/virtual_day.cpp
@@ -49,21 +49,28 @@
 
     Result<VirtualDayResult> run() {
         for (int i = 0; i < o_.engines; ++i)
-            if (auto up = add_engine(i); !up) return Error{up.error()};
+            if (auto up = add_engine(i); !up)
+                return Error{up.error()};
         for (int i = 0; i < o_.fronts; ++i)
-            if (auto up = add_front(i); !up) return Error{up.error()};
+            if (auto up = add_front(i); !up)
+                return Error{up.error()};
         pass(kSecondMicros);
-        Load load(loop_, traffic(), settings_.module.classes, random_.next(),
-                  [this](const ClientRecord& r) { records_.clients.push_back(r); });
+        Load load(loop_, traffic(), settings_.module.classes, random_.next(), [this](const ClientRecord& r) {
+            records_.clients.push_back(r);
+        });
         std::vector<Load::Target> targets;
-        for (const auto& f : fronts_) targets.push_back({f->settings.name, f->settings.listen[0]});
+        for (const auto& f : fronts_)
+            targets.push_back({f->settings.name, f->settings.listen[0]});
         const auto length = static_cast<Micros>(static_cast<double>(o_.requests) / o_.rate * kSecondMicros);
         for (int i = 0; i < o_.kills; ++i)
-            loop_.after(drawn(length),
-                        [this, i] { kill(*fronts_[static_cast<std::size_t>(i) % fronts_.size()]); });
+            loop_.after(drawn(length), [this, i] {
+                kill(*fronts_[static_cast<std::size_t>(i) % fronts_.size()]);
+            });
         if (o_.faults)
             for (Micros at = kSecondMicros; at < length; at += drawn(3 * kSecondMicros))
-                loop_.after(at, [this] { trouble(); });
+                loop_.after(at, [this] {
+                    trouble();
+                });
         if (o_.clock_steps)
             for (int i = 0; i < 2; ++i)
                 loop_.after(drawn(length), [this] {
@@ -71,11 +78,15 @@
                 });
         load.start(targets, length);
         const Micros began = loop_.now();
-        if (!loop_.run([&] { return loop_.now() > began + length && load.over(); },
-                       length + 60 * kSecondMicros))
+        if (!loop_.run(
+                [&] {
+                    return loop_.now() > began + length && load.over();
+                },
+                length + 60 * kSecondMicros))
             return Error{"the day did not end: " + std::to_string(load.asked()) + " requests were asked"};
         calm_ = true;
-        for (auto& e : engines_) e->service->set({});
+        for (auto& e : engines_)
+            e->service->set({});
         pass(20 * kSecondMicros);  // engines end what nobody waits for
         result_.asked = load.asked();
         result_.events = loop_.events();
@@ -85,7 +96,8 @@
             (void)f->ledger->finish(loop_.now(), loop_.wall());
             f->ledger.reset();
         }
-        if (auto done = settle(); !done) return Error{done.error()};
+        if (auto done = settle(); !done)
+            return Error{done.error()};
         records_.facts = facts();
         records_.sort();
         result_.judgement = judge(records_);
@@ -107,9 +119,15 @@
         std::string file;
     };
 
-    Micros drawn(Micros most) { return static_cast<Micros>(random_.below(static_cast<std::uint64_t>(most))); }
+    Micros drawn(Micros most) {
+        return static_cast<Micros>(random_.below(static_cast<std::uint64_t>(most)));
+    }
     void pass(Micros span) {
-        (void)loop_.run([] { return false; }, span);
+        (void)loop_.run(
+            [] {
+                return false;
+            },
+            span);
     }
 
     Result<bool> add_engine(int i) {
@@ -123,7 +141,10 @@
         s.long_poll = 250 * kMillisecond, s.abandoned_after = 3 * kSecondMicros;
         s.seed = random_.next();
         e->service = std::make_unique<engine::Service>(
-            loop_, s, [this] { return names_.hex(32); },
+            loop_, s,
+            [this] {
+                return names_.hex(32);
+            },
             [this, name = s.name](const engine::Entry& entry) {
                 records_.engines.push_back({name, entry});
             },
@@ -131,7 +152,8 @@
                 node->events += statement::write_completed(c) + "\n";
             });
         auto at = e->service->start();
-        if (!at) return Error{at.error()};
+        if (!at)
+            return Error{at.error()};
         e->address = *at;
         engines_.push_back(std::move(e));
         return true;
@@ -141,17 +163,22 @@
         auto f = std::make_unique<FrontNode>();
         const std::string name = "front-" + std::to_string(i + 1);
         std::string engines;
-        for (const auto& e : engines_) engines += e->name + ": g.engine('" + e->address.text() + "'), ";
+        for (const auto& e : engines_)
+            engines += e->name + ": g.engine('" + e->address.text() + "'), ";
         auto text = replaced(replaced(kFront, "%NAME%", name), "%FRONTS%", std::to_string(o_.fronts));
         text = replaced(replaced(std::move(text), "%ME%", std::to_string(i)), "%ENGINES%", engines);
         auto loaded = config::load_front_text(name, text);
-        if (!loaded) return Error{loaded.error()};
+        if (!loaded)
+            return Error{loaded.error()};
         f->settings = settings_ = loaded->front;
         f->file = o_.folder + "/" + name + ".ledger";
-        for (const char* part : {"", "-wal", "-shm", ".lock"}) std::filesystem::remove(f->file + part);
-        f->tap = std::make_unique<net::TapLoop>(
-            loop_, [this, name](const net::TapEvent& e) { records_.sockets.push_back(record_of(name, e)); });
-        if (auto up = start(*f); !up) return up;
+        for (const char* part : {"", "-wal", "-shm", ".lock"})
+            std::filesystem::remove(f->file + part);
+        f->tap = std::make_unique<net::TapLoop>(loop_, [this, name](const net::TapEvent& e) {
+            records_.sockets.push_back(record_of(name, e));
+        });
+        if (auto up = start(*f); !up)
+            return up;
         fronts_.push_back(std::move(f));
         return true;
     }
@@ -163,46 +190,70 @@
         f.ledger = std::make_unique<store::LedgerWriter>(w);
         f.front = std::make_unique<front::Front>(
             *f.tap, f.settings,
-            front::Deps{[this] { return names_.hex(32); }, random_.next(), [](const std::string&) {}, nullptr,
-                        nullptr, f.ledger.get()});
+            front::Deps{[this] {
+                            return names_.hex(32);
+                        },
+                        random_.next(), [](const std::string&) {}, nullptr, nullptr, f.ledger.get()});
         auto bound = f.front->start();
-        if (!bound) return Error{bound.error()};
+        if (!bound)
+            return Error{bound.error()};
         f.settings.listen = *bound;
         records_.lab.push_back({loop_.now(), "front_started", f.settings.name, ""});
         return true;
     }
 
     void kill(FrontNode& f) {
-        if (calm_ || !f.front) return;
+        if (calm_ || !f.front)
+            return;
         f.front.reset();
         f.ledger.reset();  // what waited is gone
         ++result_.killed;
         records_.lab.push_back({loop_.now(), "front_killed", f.settings.name, ""});
         loop_.after(kRestart, [this, &f] {
-            if (auto up = start(f); !up) broken_ = up.error();
+            if (auto up = start(f); !up)
+                broken_ = up.error();
         });
     }
 
     void trouble() {
-        if (calm_) return;
+        if (calm_)
+            return;
         EngineNode& e = *engines_[random_.below(engines_.size())];
         engine::Faults faults;
         switch (random_.below(8)) {
-            case 0: faults.slow = 3; break;
-            case 1: faults.hang = true; break;
-            case 2: faults.fast_errors = 0.5; break;
-            case 3: faults.answer_lost = 0.3, faults.lost_resets = true; break;
-            case 4: faults.busy = 0.4; break;
-            case 5: faults.reset_before = 0.3; break;
-            case 6: faults.crashed = true; break;
-            case 7: faults.cut = 0.1; break;
+            case 0:
+                faults.slow = 3;
+                break;
+            case 1:
+                faults.hang = true;
+                break;
+            case 2:
+                faults.fast_errors = 0.5;
+                break;
+            case 3:
+                faults.answer_lost = 0.3, faults.lost_resets = true;
+                break;
+            case 4:
+                faults.busy = 0.4;
+                break;
+            case 5:
+                faults.reset_before = 0.3;
+                break;
+            case 6:
+                faults.crashed = true;
+                break;
+            case 7:
+                faults.cut = 0.1;
+                break;
         }
         const bool crash = faults.crashed;
         e.service->set(faults);
-        if (crash) records_.lab.push_back({loop_.now(), "engine_down", e.name, ""});
+        if (crash)
+            records_.lab.push_back({loop_.now(), "engine_down", e.name, ""});
         loop_.after(kSecondMicros + drawn(3 * kSecondMicros), [this, &e, crash] {
             e.service->set({});
-            if (crash) records_.lab.push_back({loop_.now(), "engine_up", e.name, ""});
+            if (crash)
+                records_.lab.push_back({loop_.now(), "engine_up", e.name, ""});
         });
     }
 
@@ -225,21 +276,26 @@
         Facts f;
         const Settings& m = settings_.module;
         f.classes = m.classes;
-        for (const auto& e : engines_) f.engines.push_back({e->name, e->address.text(), "here", "std", 0});
+        for (const auto& e : engines_)
+            f.engines.push_back({e->name, e->address.text(), "here", "std", 0});
         f.answer_grace = m.grace_to_answer, f.drain_grace = m.drain_grace, f.turn_gap = m.turn_gap;
         f.ratio_span = m.ratio_span, f.extra_free = m.extra_free, f.extra_per_request = m.extra_per_request;
         return f;
     }
 
     Result<bool> settle() {
-        if (!broken_.empty()) return Error{"a front did not come up again: " + broken_};
+        if (!broken_.empty())
+            return Error{"a front did not come up again: " + broken_};
         store::Books books;
-        if (auto f = books.open(":memory:")) return Error{f.text};
+        if (auto f = books.open(":memory:"))
+            return Error{f.text};
         for (const auto& f : fronts_)
-            if (auto c = books.collect_ledger(f->file); !c) return Error{c.error()};
+            if (auto c = books.collect_ledger(f->file); !c)
+                return Error{c.error()};
         for (const auto& e : engines_) {
             std::istringstream lines(e->events);
-            if (auto c = books.collect_journal(e->name, lines); !c) return Error{c.error()};
+            if (auto c = books.collect_journal(e->name, lines); !c)
+                return Error{c.error()};
             std::istringstream again(e->events);
             for (std::string line; std::getline(again, line);)
                 result_.logged += statement::read_completed(line)->cpu;
@@ -248,11 +304,14 @@
         agreed.zone = "Europe/Budapest";  // the day runs over a month's end there
         agreed.clock_slack = kMillisecond;
         auto calendar = report::Calendar::days(agreed.zone, "2026-10-25", "2026-11-10");
-        if (!calendar) return Error{calendar.error()};
+        if (!calendar)
+            return Error{calendar.error()};
         auto r = report::make_report(books, agreed, std::move(*calendar), {{}, 20});
-        if (!r) return Error{r.error()};
+        if (!r)
+            return Error{r.error()};
         result_.report = report::to_json(*r).dump();
-        for (const auto& [key, line] : r->lines) result_.charged += line.all_work();
+        for (const auto& [key, line] : r->lines)
+            result_.charged += line.all_work();
         result_.charged -= r->findings[static_cast<std::size_t>(decide::Finding::unlogged)].work;
         for (const auto& [front, gap] : r->gaps)
             result_.longest_gap = std::max(result_.longest_gap, gap.to - gap.from);
@@ -280,7 +339,8 @@
 Result<VirtualDayResult> run_virtual_day(const VirtualDayOptions& options) {
     std::error_code error;
     std::filesystem::create_directories(options.folder, error);
-    if (error) return Error{options.folder + ": " + error.message()};
+    if (error)
+        return Error{options.folder + ": " + error.message()};
     return Day(options).run();
 }
 
--- a/src/net/address.cpp
+++ b/src/net/address.cpp
@@ -15,22 +15,28 @@
     if (text.starts_with("unix:")) {
         a.family = Family::local;
         a.host = text.substr(5);
-        if (a.host.empty()) return wrong("the path is missing");
-        if (a.host.size() >= sizeof(sockaddr_un::sun_path)) return wrong("the path is too long for a socket");
+        if (a.host.empty())
+            return wrong("the path is missing");
+        if (a.host.size() >= sizeof(sockaddr_un::sun_path))
+            return wrong("the path is too long for a socket");
         return a;
     }
     const std::size_t colon = text.rfind(':');
-    if (colon == std::string_view::npos) return wrong("the port is missing");
+    if (colon == std::string_view::npos)
+        return wrong("the port is missing");
     const auto port = to_number<std::uint16_t>(text.substr(colon + 1));
-    if (!port) return wrong("the port is not a number from 0 to 65535");
+    if (!port)
+        return wrong("the port is not a number from 0 to 65535");
     a.port = *port;
     a.host = text.substr(0, colon);
-    if (a.host == "localhost") a.host = "127.0.0.1";
+    if (a.host == "localhost")
+        a.host = "127.0.0.1";
     unsigned char bytes[16];
     if (a.host.size() > 2 && a.host.front() == '[' && a.host.back() == ']') {
         a.family = Family::ipv6;
         a.host = a.host.substr(1, a.host.size() - 2);
-        if (inet_pton(AF_INET6, a.host.c_str(), bytes) != 1) return wrong("not an IPv6 address");
+        if (inet_pton(AF_INET6, a.host.c_str(), bytes) != 1)
+            return wrong("not an IPv6 address");
     } else if (inet_pton(AF_INET, a.host.c_str(), bytes) != 1) {
         return wrong("not an IPv4 address (names are not looked up)");
     }
@@ -38,7 +44,8 @@
 }
 
 std::string Address::text() const {
-    if (family == Family::local) return "unix:" + host;
+    if (family == Family::local)
+        return "unix:" + host;
     return (family == Family::ipv6 ? "[" + host + "]" : host) + ":" + std::to_string(port);
 }
 
--- a/src/net/kernel_address.hpp
+++ b/src/net/kernel_address.hpp
@@ -10,7 +10,9 @@
 struct KernelAddress {
     sockaddr_storage storage{};
     socklen_t size = 0;
-    sockaddr* get() { return reinterpret_cast<sockaddr*>(&storage); }
+    sockaddr* get() {
+        return reinterpret_cast<sockaddr*>(&storage);
+    }
 };
 
 KernelAddress to_kernel(const Address& address);
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -22,7 +22,11 @@
 // Where something listens: "127.0.0.1:8080", "[::1]:8080", "localhost:8080", "unix:/run/x.sock". Names other
 // than localhost are not looked up: a look-up would hold up the loop.
 struct Address {
-    enum class Family { ipv4, ipv6, local };
+    enum class Family {
+        ipv4,
+        ipv6,
+        local
+    };
     Family family = Family::ipv4;
     std::string host;        // a number, or the path of a Unix socket
     std::uint16_t port = 0;  // 0 when listening: the kernel chooses
@@ -46,15 +50,19 @@
     virtual void on_connected() {}
     // Take from `in` what can be used. What is left is offered again along with more.
     virtual void on_data(Buffer& in) = 0;
-    // What was given to send() is about to go to the kernel, the first so many bytes of it at most: the last moment to
-    // take it back or to replace it.
+    // What was given to send() is about to go to the kernel, the first so many bytes of it at most: the last
+    // moment to take it back or to replace it.
     virtual void on_sending(std::size_t) {}
     virtual void on_sent() {}                // all that was given to send() has gone to the kernel
     virtual void on_closed(Closed how) = 0;  // the last call
 };
 
 using SendId = std::uint64_t;  // of what was given to one call of send(); they climb. 0: it was not kept
-enum class Written { nothing, part, whole };
+enum class Written {
+    nothing,
+    part,
+    whole
+};
 
 class Stream {
 public:
@@ -65,7 +73,8 @@
     virtual std::size_t unsent() const = 0;  // bytes not yet taken by the kernel
     // How much of it the kernel has taken. Once the stream has ended this is what can have arrived at most.
     virtual Written written(SendId id) const = 0;
-    // Bytes that the kernel has taken and the peer's has not acknowledged yet; nothing where that can't be told.
+    // Bytes that the kernel has taken and the peer's has not acknowledged yet; nothing where that can't be
+    // told.
     virtual std::optional<std::size_t> unacknowledged() const = 0;
     // Takes it out of the buffer where the kernel has none of it: then it never arrives. Whether that was so.
     virtual bool take_back(SendId id) = 0;
@@ -73,21 +82,22 @@
     virtual bool replace(SendId id, std::string bytes) = 0;
     // Nothing more goes out, not even the rest of what is written in part; what has come is still heard.
     virtual void drop_unsent() = 0;
-    // Nothing more arrives: as drop_unsent(), and what the kernel holds and the peer has not acknowledged is discarded when
-    // this is destroyed, which then resets the connection. Of what was acknowledged nothing is taken back.
+    // Nothing more arrives: as drop_unsent(), and what the kernel holds and the peer has not acknowledged is
+    // discarded when this is destroyed, which then resets the connection. Of what was acknowledged nothing is
+    // taken back.
     virtual void discard() = 0;
-    // Graceful close: what was given to send() goes out, then this side is shut (half-close). What still comes
-    // is read and dropped, so that no reset takes away what the peer has not read yet; on_closed() once the
-    // peer has ended too. For how long that is waited for is the owner's affair.
+    // Graceful close: what was given to send() goes out, then this side is shut (half-close). What still
+    // comes is read and dropped, so that no reset takes away what the peer has not read yet; on_closed() once
+    // the peer has ended too. For how long that is waited for is the owner's affair.
     virtual void finish() = 0;
-    // Hears now what has come already, instead of in the next turn. The stream may end in this. Whether all that
-    // had come was read.
+    // Hears now what has come already, instead of in the next turn. The stream may end in this. Whether all
+    // that had come was read.
     virtual bool read_now() = 0;
     // Off: bytes stay in the kernel's buffer and hold back the peer. An end of the connection is then noticed
     // only where the kernel tells of a reset.
     virtual void read(bool on) = 0;
-    // How long at most what is delivered now can have waited unread, because this machine lacked what reading or
-    // accepting it needs; beside Loop::unseen().
+    // How long at most what is delivered now can have waited unread, because this machine lacked what reading
+    // or accepting it needs; beside Loop::unseen().
     virtual Micros starved() const = 0;
     virtual void offer() = 0;                     // calls on_data once more soon, if bytes wait
     virtual const std::string& peer() const = 0;  // address of the other side, for logs and limits
--- a/src/net/poll_loop.cpp
+++ b/src/net/poll_loop.cpp
@@ -12,7 +12,7 @@
 namespace gatetiller::net {
 namespace {
 
-constexpr Micros kStall = 20 * kMillisecond;     // between a turn's poll and the sending of what it decided
+constexpr Micros kStall = 20 * kMillisecond;      // between a turn's poll and the sending of what it decided
 constexpr Micros kFailedPoll = 5 * kMillisecond;  // between two looks while the kernel can't wait for us
 constexpr std::size_t kPartOfPoll = 64;           // descriptors polled at once where all at once fail
 
@@ -22,17 +22,21 @@
     return static_cast<Micros>(t.tv_sec) * kSecondMicros + t.tv_nsec / 1000;
 }
 
-timespec span_of(Micros span) { return {span / kSecondMicros, span % kSecondMicros * 1000}; }
+timespec span_of(Micros span) {
+    return {span / kSecondMicros, span % kSecondMicros * 1000};
+}
 
 }  // namespace
 
 void PollLoop::Watched::pause(Micros span) {
-    if (fd < 0 || pause_timer != 0) return;
+    if (fd < 0 || pause_timer != 0)
+        return;
     loop.mute(*this);
     const std::weak_ptr<Watched> weak = weak_from_this();
     pause_timer = loop.after(span, [this, weak] {
         const auto kept = weak.lock();
-        if (!kept) return;
+        if (!kept)
+            return;
         pause_timer = 0;
         update_wanted();
         on_resumed();
@@ -41,7 +45,8 @@
 
 void PollLoop::Watched::close() {
     loop.cancel(std::exchange(pause_timer, 0));
-    if (fd < 0) return;
+    if (fd < 0)
+        return;
     loop.forget(*this);
     ::close(fd);
     fd = -1;
@@ -49,15 +54,22 @@
 
 PollLoop::PollLoop() : PollLoop(Limits{}) {}
 
-PollLoop::PollLoop(Limits limits) : limits_(limits) { refresh(); }
+PollLoop::PollLoop(Limits limits) : limits_(limits) {
+    refresh();
+}
 
 PollLoop::~PollLoop() {
-    while (!watched_.empty()) std::shared_ptr(watched_.back())->close();
+    while (!watched_.empty())
+        std::shared_ptr(watched_.back())->close();
 }
 
-void PollLoop::refresh() { now_ = std::max(now_, clock_micros(CLOCK_MONOTONIC)); }
+void PollLoop::refresh() {
+    now_ = std::max(now_, clock_micros(CLOCK_MONOTONIC));
+}
 
-Micros PollLoop::wall() const { return clock_micros(CLOCK_REALTIME); }
+Micros PollLoop::wall() const {
+    return clock_micros(CLOCK_REALTIME);
+}
 
 // ---- Timers
 
@@ -71,7 +83,8 @@
 
 void PollLoop::cancel(TimerId timer) {
     const auto found = timers_.find(timer);
-    if (found == timers_.end()) return;
+    if (found == timers_.end())
+        return;
     due_.erase({found->second.first, timer});
     timers_.erase(found);
 }
@@ -111,7 +124,9 @@
     polled_[what.index].events = events;
 }
 
-void PollLoop::mute(Watched& what) { polled_[what.index].fd = -1; }  // until want() is called again
+void PollLoop::mute(Watched& what) {
+    polled_[what.index].fd = -1;
+}  // until want() is called again
 
 std::unique_ptr<Stream> PollLoop::connect(const Address& to, StreamEvents& events, Micros time_out) {
     auto socket = std::make_shared<Socket>(*this, -1);
@@ -124,8 +139,8 @@
 // ---- Turns
 
 void PollLoop::flush() {
-    // Callbacks of a flush may send more: that goes out in the next turn. So does what is left when the process has stood
-    // still in the middle of this: what has come meanwhile is heard first.
+    // Callbacks of a flush may send more: that goes out in the next turn. So does what is left when the
+    // process has stood still in the middle of this: what has come meanwhile is heard first.
     const Micros began = now_;
     const auto sockets = std::exchange(to_flush_, {});
     for (auto at = sockets.begin(); at != sockets.end(); ++at) {
@@ -135,14 +150,15 @@
         }
         Socket& socket = **at;
         socket.flushing = false;
-        if (socket.may_write()) socket.write_out();
+        if (socket.may_write())
+            socket.write_out();
         refresh();
     }
 }
 
-// After a stall of this process, what it decided before may be overtaken by what has come meanwhile: that is heard
-// first. Once in a row, so that a busy loop still sends. The stall may also lie behind the last poll, which then knew nothing
-// of what came in it.
+// After a stall of this process, what it decided before may be overtaken by what has come meanwhile: that is
+// heard first. Once in a row, so that a busy loop still sends. The stall may also lie behind the last poll,
+// which then knew nothing of what came in it.
 bool PollLoop::hear_first(Micros since) {
     const bool stalled = now_ - since >= kStall || last_overrun_ >= kStall;
     if (!stalled || std::exchange(heard_first_, true)) {
@@ -156,8 +172,10 @@
     const timespec limit = span_of(longest);
     const int n = ::ppoll(polled_.data(), polled_.size(), &limit, nullptr);
     poll_failed_ = false;
-    if (n >= 0) return static_cast<std::size_t>(n);
-    for (pollfd& p : polled_) p.revents = 0;
+    if (n >= 0)
+        return static_cast<std::size_t>(n);
+    for (pollfd& p : polled_)
+        p.revents = 0;
     return errno == EINTR ? 0 : poll_in_parts(longest);
 }
 
@@ -173,24 +191,30 @@
             continue;
         }
         poll_failed_ = true;
-        std::for_each_n(polled_.begin() + static_cast<std::ptrdiff_t>(from), size, [](pollfd& p) { p.revents = 0; });
+        std::for_each_n(polled_.begin() + static_cast<std::ptrdiff_t>(from), size, [](pollfd& p) {
+            p.revents = 0;
+        });
     }
-    if (ready > 0) return ready;
+    if (ready > 0)
+        return ready;
     const timespec rest = span_of(std::min(longest, kFailedPoll));
     ::nanosleep(&rest, nullptr);
     return 0;
 }
 
-// Counts the last turn's work and what the wait took longer than it should have; in the last turn too, as the process
-// may have stood still behind that poll, and then this one is the first to find what came meanwhile. Where polls have
-// failed, everything since the first of them.
+// Counts the last turn's work and what the wait took longer than it should have; in the last turn too, as the
+// process may have stood still behind that poll, and then this one is the first to find what came meanwhile.
+// Where polls have failed, everything since the first of them.
 void PollLoop::reckon_unseen(Micros before, Micros asked, Micros longest_wait) {
     const Micros carried = std::exchange(behind_, false) ? unseen_ : 0;
     const Micros overrun = std::max<Micros>(0, now_ - asked - longest_wait);
     unseen_ = carried + asked - before + overrun + std::exchange(last_overrun_, overrun);
-    if (unpolled_since_ > 0) unseen_ = std::max(unseen_, now_ - unpolled_since_);
-    if (!poll_failed_) unpolled_since_ = 0;
-    else if (unpolled_since_ == 0) unpolled_since_ = now_ - unseen_;
+    if (unpolled_since_ > 0)
+        unseen_ = std::max(unseen_, now_ - unpolled_since_);
+    if (!poll_failed_)
+        unpolled_since_ = 0;
+    else if (unpolled_since_ == 0)
+        unpolled_since_ = now_ - unseen_;
 }
 
 void PollLoop::turn(Micros longest) {
@@ -198,26 +222,33 @@
     // What was left over from the last turn may take back what waits to go out.
     for (const auto& socket : std::exchange(to_offer_, {})) {
         socket->offering = false;
-        if (socket->fd >= 0) socket->deliver();
+        if (socket->fd >= 0)
+            socket->deliver();
     }
     refresh();
-    if (!hear_first(before)) flush();
+    if (!hear_first(before))
+        flush();
     refresh();
     Micros longest_wait = to_flush_.empty() && to_offer_.empty() ? longest : 0;
-    if (!due_.empty()) longest_wait = std::min(longest_wait, std::max<Micros>(0, due_.begin()->first - now_));
+    if (!due_.empty())
+        longest_wait = std::min(longest_wait, std::max<Micros>(0, due_.begin()->first - now_));
     const Micros asked = now_;
     const std::size_t n = wait(longest_wait);
     refresh();
     reckon_unseen(before, asked, longest_wait);
     ready_.reserve(n);
     for (std::size_t i = 0, left = n; i < polled_.size() && left > 0; ++i)
-        if (polled_[i].revents != 0) ready_.emplace_back(watched_[i], polled_[i].revents), --left;
-    std::stable_partition(ready_.begin(), ready_.end(), [](const auto& ready) { return ready.first->heard_first(); });
+        if (polled_[i].revents != 0)
+            ready_.emplace_back(watched_[i], polled_[i].revents), --left;
+    std::stable_partition(ready_.begin(), ready_.end(), [](const auto& ready) {
+        return ready.first->heard_first();
+    });
     // What has come is heard before any timer rings: after a stall of this process, an answer that is already
     // there must not lose against its time-out.
     auto ready = std::exchange(ready_, {});
     for (const auto& [what, events] : ready)
-        if (what->fd >= 0) what->on_ready(events);
+        if (what->fd >= 0)
+            what->on_ready(events);
     ready.clear();
     ready_ = std::move(ready);  // keeps its memory
     ring();
@@ -225,7 +256,8 @@
 
 void PollLoop::run() {
     stopping_ = false;
-    while (!stopping_) turn(kSecondMicros);
+    while (!stopping_)
+        turn(kSecondMicros);
     flush();
 }
 
--- a/src/net/poll_loop.hpp
+++ b/src/net/poll_loop.hpp
@@ -13,8 +13,8 @@
 
 namespace gatetiller::net {
 
-// Blocked signals wait for whoever receives them. To be called before anything that takes time, so that none of them
-// ends the process by its default action.
+// Blocked signals wait for whoever receives them. To be called before anything that takes time, so that none
+// of them ends the process by its default action.
 void block_signals(const std::vector<int>& signals);
 
 class PollLoop final : public Loop {
@@ -30,25 +30,35 @@
     PollLoop(const PollLoop&) = delete;
     PollLoop& operator=(const PollLoop&) = delete;
 
-    Micros now() const override { return now_; }
-    Micros unseen() const override { return unseen_; }
+    Micros now() const override {
+        return now_;
+    }
+    Micros unseen() const override {
+        return unseen_;
+    }
     Micros wall() const override;
     TimerId after(Micros delay, std::function<void()> call) override;
     void cancel(TimerId timer) override;
-    std::size_t timers() const override { return timers_.size(); }
+    std::size_t timers() const override {
+        return timers_.size();
+    }
     Result<std::unique_ptr<Listener>> listen(const Address& at,
                                              std::function<void(std::unique_ptr<Stream>)> accepted) override;
     std::unique_ptr<Stream> connect(const Address& to, StreamEvents& events, Micros time_out) override;
     Result<std::unique_ptr<Datagrams>> datagrams(const Address& at, Datagrams::Received received) override;
 
-    // Calls `then` for each of these signals from the loop's turns, also for those that came while they were blocked.
-    // They are blocked for the whole process, so this comes before any thread starts.
+    // Calls `then` for each of these signals from the loop's turns, also for those that came while they were
+    // blocked. They are blocked for the whole process, so this comes before any thread starts.
     Result<bool> on_signals(const std::vector<int>& signals, std::function<void(int)> then);
 
-    void run();                        // until stop()
-    void stop() { stopping_ = true; }  // after the present turn
-    bool stopped() const { return stopping_; }
-    void turn(Micros longest);         // one turn, waiting no longer than this
+    void run();  // until stop()
+    void stop() {
+        stopping_ = true;
+    }  // after the present turn
+    bool stopped() const {
+        return stopping_;
+    }
+    void turn(Micros longest);  // one turn, waiting no longer than this
 
 private:
     struct Watched;
@@ -74,12 +84,12 @@
 
     Limits limits_;
     Micros now_ = 0, unseen_ = 0;
-    Micros last_overrun_ = 0;  // of the last turn's wait past its limit
+    Micros last_overrun_ = 0;    // of the last turn's wait past its limit
     Micros unpolled_since_ = 0;  // polls have failed since then; 0: the last one did not
     bool poll_failed_ = false;   // the last one, for some descriptors at least
     bool stopping_ = false;
     bool heard_first_ = false;  // what had come was heard before sending, in the last turn
-    bool behind_ = false;  // a listener left connections for the next turn
+    bool behind_ = false;       // a listener left connections for the next turn
     TimerId last_timer_ = 0;
     std::set<std::pair<Micros, TimerId>> due_;
     std::map<TimerId, std::pair<Micros, std::function<void()>>> timers_;
--- a/src/net/poll_watched.hpp
+++ b/src/net/poll_watched.hpp
@@ -1,5 +1,5 @@
-// What PollLoop polls: sockets of streams, listeners, datagram sockets and the descriptor of signals. Internal to
-// src/net.
+// What PollLoop polls: sockets of streams, listeners, datagram sockets and the descriptor of signals.
+// Internal to src/net.
 #pragma once
 
 #include <poll.h>
@@ -19,14 +19,22 @@
     Watched(const Watched&) = delete;
     Watched& operator=(const Watched&) = delete;
     virtual void on_ready(short events) = 0;
-    virtual short wanted() const { return POLLIN; }  // the events that it is polled for
-    // Whether it is heard before all else that came up in the same poll: what it tells may forbid what others do next.
-    virtual bool heard_first() const { return false; }
-    virtual void on_resumed() {}                     // a pause is over
+    virtual short wanted() const {
+        return POLLIN;
+    }  // the events that it is polled for
+    // Whether it is heard before all else that came up in the same poll: what it tells may forbid what others
+    // do next.
+    virtual bool heard_first() const {
+        return false;
+    }
+    virtual void on_resumed() {}  // a pause is over
 
-    void watch() { loop.watch(shared_from_this(), wanted()); }
+    void watch() {
+        loop.watch(shared_from_this(), wanted());
+    }
     void update_wanted() {
-        if (fd >= 0 && pause_timer == 0) loop.want(*this, wanted());
+        if (fd >= 0 && pause_timer == 0)
+            loop.want(*this, wanted());
     }
     // The kernel lacks something and yet says that the descriptor is ready: it is not polled for so long.
     void pause(Micros span);
@@ -76,7 +84,9 @@
     void end(Closed how);
     void end_later(Micros delay, Closed how);
     void cancel_timers();
-    bool may_write() const { return fd >= 0 && !connecting && !out.empty(); }
+    bool may_write() const {
+        return fd >= 0 && !connecting && !out.empty();
+    }
 
     StreamEvents* owner = nullptr;
     Buffer in, out;
@@ -88,7 +98,7 @@
     Micros starved_since = 0;  // reading has failed since then for want of something here; 0: it has not
     bool connecting = false, reading = true, flushing = false, offering = false, broken = false;
     bool was_reset = false, finishing = false, shut = false;
-    bool send_failed = false;  // for good: the connection is over once what has come is read
+    bool send_failed = false;   // for good: the connection is over once what has come is read
     TimerId connect_timer = 0;  // of connecting, or of its end
     TimerId write_timer = 0;    // until it the kernel lacks memory for what is written
 
@@ -100,11 +110,17 @@
 
 struct PollLoop::ListeningSocket final : Watched {
     using Watched::Watched;
-    enum class Took { one, none, not_now };  // not_now: descriptors or memory are lacking
+    enum class Took {
+        one,
+        none,
+        not_now
+    };  // not_now: descriptors or memory are lacking
     void on_ready(short) override;
     Took accept_one();
     bool somebody_waits() const;
-    short wanted() const override { return accepting ? POLLIN : 0; }
+    short wanted() const override {
+        return accepting ? POLLIN : 0;
+    }
 
     Address address;
     std::function<void(std::unique_ptr<Stream>)> accepted;
@@ -115,7 +131,9 @@
 struct PollLoop::DatagramSocket final : Watched {
     using Watched::Watched;
     void on_ready(short) override;
-    bool heard_first() const override { return true; }
+    bool heard_first() const override {
+        return true;
+    }
 
     Address address;
     Datagrams::Received received;
@@ -126,7 +144,9 @@
 struct PollLoop::SignalDescriptor final : Watched {
     using Watched::Watched;
     void on_ready(short) override;
-    bool heard_first() const override { return true; }
+    bool heard_first() const override {
+        return true;
+    }
     std::function<void(int)> then;
 };
 
@@ -134,21 +154,41 @@
 public:
     explicit SocketStream(std::shared_ptr<Socket> socket) : socket_(std::move(socket)) {}
     ~SocketStream() override;
-    void events(StreamEvents& to) override { socket_->owner = &to; }
+    void events(StreamEvents& to) override {
+        socket_->owner = &to;
+    }
     SendId send(std::string bytes) override;
-    std::size_t unsent() const override { return socket_->out.size(); }
-    Written written(SendId id) const override { return socket_->written(id); }
-    std::optional<std::size_t> unacknowledged() const override { return socket_->unacknowledged(); }
-    bool take_back(SendId id) override { return socket_->take_back(id); }
-    bool replace(SendId id, std::string bytes) override { return socket_->replace(id, bytes); }
-    void drop_unsent() override { socket_->drop_unsent(); }
-    void discard() override { socket_->discard(); }
-    void finish() override { socket_->finish(); }
+    std::size_t unsent() const override {
+        return socket_->out.size();
+    }
+    Written written(SendId id) const override {
+        return socket_->written(id);
+    }
+    std::optional<std::size_t> unacknowledged() const override {
+        return socket_->unacknowledged();
+    }
+    bool take_back(SendId id) override {
+        return socket_->take_back(id);
+    }
+    bool replace(SendId id, std::string bytes) override {
+        return socket_->replace(id, bytes);
+    }
+    void drop_unsent() override {
+        socket_->drop_unsent();
+    }
+    void discard() override {
+        socket_->discard();
+    }
+    void finish() override {
+        socket_->finish();
+    }
     bool read_now() override;
     void read(bool on) override;
     Micros starved() const override;
     void offer() override;
-    const std::string& peer() const override { return socket_->peer; }
+    const std::string& peer() const override {
+        return socket_->peer;
+    }
 
 private:
     std::shared_ptr<Socket> socket_;
--- a/src/net/system_error.cpp
+++ b/src/net/system_error.cpp
@@ -6,11 +6,15 @@
 
 TransferError transfer_error(int error) {
     switch (error) {
-        case EINTR: return TransferError::interrupted;
-        case EAGAIN: return TransferError::not_ready;
+        case EINTR:
+            return TransferError::interrupted;
+        case EAGAIN:
+            return TransferError::not_ready;
         case ENOBUFS:
-        case ENOMEM: return TransferError::lacks_memory;
-        default: return TransferError::connection_over;
+        case ENOMEM:
+            return TransferError::lacks_memory;
+        default:
+            return TransferError::connection_over;
     }
 }
 
@@ -18,7 +22,8 @@
     switch (error) {
         case EINPROGRESS:
         case EALREADY:
-        case EINTR: return ConnectError::in_progress;
+        case EINTR:
+            return ConnectError::in_progress;
         case EMFILE:
         case ENFILE:
         case ENOBUFS:
@@ -29,24 +34,30 @@
         case ENETUNREACH:
         case ENETDOWN:
         case EACCES:
-        case EPERM: return ConnectError::local;
-        default: return ConnectError::refused;
+        case EPERM:
+            return ConnectError::local;
+        default:
+            return ConnectError::refused;
     }
 }
 
 AcceptError accept_error(int error) {
     switch (error) {
-        case EAGAIN: return AcceptError::none_waits;
+        case EAGAIN:
+            return AcceptError::none_waits;
         case EMFILE:
         case ENFILE:
         case ENOBUFS:
-        case ENOMEM: return AcceptError::lacks_resources;
+        case ENOMEM:
+            return AcceptError::lacks_resources;
         case EBADF:
         case EINVAL:
-        case ENOTSOCK: return AcceptError::listener_broken;
-        // Linux passes errors pending on the new socket on as errors of accept, and they are to be treated like a
-        // connection that isn't there any more (accept(2)).
-        default: return AcceptError::of_one_connection;
+        case ENOTSOCK:
+            return AcceptError::listener_broken;
+        // Linux passes errors pending on the new socket on as errors of accept, and they are to be treated
+        // like a connection that isn't there any more (accept(2)).
+        default:
+            return AcceptError::of_one_connection;
     }
 }
 
@@ -62,8 +73,10 @@
         case EADDRINUSE:
         case EADDRNOTAVAIL:
         case ENETDOWN:
-        case ENODEV: return true;
-        default: return false;
+        case ENODEV:
+            return true;
+        default:
+            return false;
     }
 }
 
--- a/src/net/system_error.hpp
+++ b/src/net/system_error.hpp
@@ -1,5 +1,5 @@
-// What a failed system call proves, by its errno: whether it passes, whether this machine or the peer is the cause,
-// and whether a connection is over. Pure functions of the numbers that Linux documents.
+// What a failed system call proves, by its errno: whether it passes, whether this machine or the peer is the
+// cause, and whether a connection is over. Pure functions of the numbers that Linux documents.
 #pragma once
 
 namespace gatetiller::net {
@@ -14,8 +14,8 @@
 
 enum class ConnectError {
     in_progress,  // the kernel goes on by itself, also where a signal interrupted the call
-    local,        // this machine lacks something (descriptors, memory, ports, a route): says nothing of the peer
-    refused,      // the peer, or the way to it
+    local,    // this machine lacks something (descriptors, memory, ports, a route): says nothing of the peer
+    refused,  // the peer, or the way to it
 };
 ConnectError connect_error(int error);
 
--- a/src/net/tap.cpp
+++ b/src/net/tap.cpp
@@ -5,7 +5,9 @@
 class TapLoop::Tapped final : public Stream, public StreamEvents {
 public:
     Tapped(TapLoop& loop, std::uint64_t number) : loop_(loop), number_(number) {}
-    ~Tapped() override { tell_closed(); }
+    ~Tapped() override {
+        tell_closed();
+    }
     void take(std::unique_ptr<Stream> below) {
         below_ = std::move(below);
         peer_ = below_->peer();
@@ -19,33 +21,65 @@
         loop_.tell(number_, TapEvent::What::sent, peer_, bytes);
         return below_->send(std::move(bytes));
     }
-    std::size_t unsent() const override { return below_->unsent(); }
-    Written written(SendId id) const override { return below_->written(id); }
-    std::optional<std::size_t> unacknowledged() const override { return below_->unacknowledged(); }
+    std::size_t unsent() const override {
+        return below_->unsent();
+    }
+    Written written(SendId id) const override {
+        return below_->written(id);
+    }
+    std::optional<std::size_t> unacknowledged() const override {
+        return below_->unacknowledged();
+    }
     // What was told as sent stays so: the sink hears of no retreat.
-    bool take_back(SendId) override { return false; }
-    void finish() override { below_->finish(); }
-    bool replace(SendId, std::string) override { return false; }
-    void drop_unsent() override { below_->drop_unsent(); }
-    void discard() override { below_->discard(); }
-    bool read_now() override { return below_->read_now(); }
-    void read(bool on) override { below_->read(on); }
-    Micros starved() const override { return below_->starved(); }
-    void offer() override { below_->offer(); }
-    const std::string& peer() const override { return peer_; }
+    bool take_back(SendId) override {
+        return false;
+    }
+    void finish() override {
+        below_->finish();
+    }
+    bool replace(SendId, std::string) override {
+        return false;
+    }
+    void drop_unsent() override {
+        below_->drop_unsent();
+    }
+    void discard() override {
+        below_->discard();
+    }
+    bool read_now() override {
+        return below_->read_now();
+    }
+    void read(bool on) override {
+        below_->read(on);
+    }
+    Micros starved() const override {
+        return below_->starved();
+    }
+    void offer() override {
+        below_->offer();
+    }
+    const std::string& peer() const override {
+        return peer_;
+    }
 
     void on_connected() override {
         loop_.tell(number_, TapEvent::What::connected, peer_);
         owner_->on_connected();
     }
     void on_data(Buffer& in) override {
-        if (in.size() > seen_) loop_.tell(number_, TapEvent::What::received, peer_, in.view().substr(seen_));
+        if (in.size() > seen_)
+            loop_.tell(number_, TapEvent::What::received, peer_, in.view().substr(seen_));
         const std::weak_ptr<char> alive = alive_;
         owner_->on_data(in);
-        if (!alive.expired()) seen_ = in.size();  // what its owner left is not new when it comes again
+        if (!alive.expired())
+            seen_ = in.size();  // what its owner left is not new when it comes again
+    }
+    void on_sending(std::size_t most) override {
+        owner_->on_sending(most);
+    }
+    void on_sent() override {
+        owner_->on_sent();
     }
-    void on_sending(std::size_t most) override { owner_->on_sending(most); }
-    void on_sent() override { owner_->on_sent(); }
     void on_closed(Closed how) override {
         tell_closed();
         owner_->on_closed(how);
@@ -53,7 +87,8 @@
 
 private:
     void tell_closed() {
-        if (!std::exchange(closed_, true)) loop_.tell(number_, TapEvent::What::closed, peer_);
+        if (!std::exchange(closed_, true))
+            loop_.tell(number_, TapEvent::What::closed, peer_);
     }
 
     TapLoop& loop_;
--- a/src/net/tap.hpp
+++ b/src/net/tap.hpp
@@ -8,7 +8,14 @@
 namespace gatetiller::net {
 
 struct TapEvent {
-    enum class What { accepted, connecting, connected, sent, received, closed };
+    enum class What {
+        accepted,
+        connecting,
+        connected,
+        sent,
+        received,
+        closed
+    };
     Micros at = 0;
     std::uint64_t stream = 0;  // a number for each
     What what = What::sent;
@@ -21,14 +28,24 @@
     using Sink = std::function<void(const TapEvent&)>;
     TapLoop(Loop& below, Sink sink) : below_(below), sink_(std::move(sink)) {}
 
-    Micros now() const override { return below_.now(); }
-    Micros unseen() const override { return below_.unseen(); }
-    Micros wall() const override { return below_.wall(); }
+    Micros now() const override {
+        return below_.now();
+    }
+    Micros unseen() const override {
+        return below_.unseen();
+    }
+    Micros wall() const override {
+        return below_.wall();
+    }
     TimerId after(Micros delay, std::function<void()> call) override {
         return below_.after(delay, std::move(call));
     }
-    void cancel(TimerId timer) override { below_.cancel(timer); }
-    std::size_t timers() const override { return below_.timers(); }
+    void cancel(TimerId timer) override {
+        below_.cancel(timer);
+    }
+    std::size_t timers() const override {
+        return below_.timers();
+    }
     Result<std::unique_ptr<Listener>> listen(const Address& at,
                                              std::function<void(std::unique_ptr<Stream>)> accepted) override;
     std::unique_ptr<Stream> connect(const Address& to, StreamEvents& events, Micros time_out) override;
--- a/src/node/clients.cpp
+++ b/src/node/clients.cpp
@@ -16,8 +16,10 @@
 
 // The planted faults of closing: whether one of them would close a connection with these facts.
 bool closes_wrongly(const decide::ClientFacts& facts) {
-    if (facts.closing) return false;
-    if (planted("close_with_request_open") && facts.open > 0) return true;
+    if (facts.closing)
+        return false;
+    if (planted("close_with_request_open") && facts.open > 0)
+        return true;
     return planted("close_with_answer_unsent") && facts.open == 0 && facts.unsent;
 }
 
@@ -36,7 +38,8 @@
         for (int calls = 0; !facts.closing && !malformed; ++calls) {
             std::string_view frame;
             const auto framing = thrift::next_frame(in, kFrameMost, frame);
-            if (framing == thrift::Framing::none) break;
+            if (framing == thrift::Framing::none)
+                break;
             if (calls == kCallsATurn) {
                 facts.half_since = 0;
                 offered = true;
@@ -51,16 +54,25 @@
             auto call = thrift::read_call(frame);
             in.take(thrift::kFrameHead + frame.size());
             facts.last_active = clients.loop_.now();
-            if (call) take(std::move(*call));
-            else close_with(0, thrift::Fault::protocol, call.error());
-            if (here.expired()) return;
+            if (call)
+                take(std::move(*call));
+            else
+                close_with(0, thrift::Fault::protocol, call.error());
+            if (here.expired())
+                return;
         }
-        if (malformed) return in.take(in.size());
-        if (facts.closing) return;
-        if (in.empty()) facts.half_since = 0;
-        else if (facts.half_since == 0) facts.half_since = clients.loop_.now();
+        if (malformed)
+            return in.take(in.size());
+        if (facts.closing)
+            return;
+        if (in.empty())
+            facts.half_since = 0;
+        else if (facts.half_since == 0)
+            facts.half_since = clients.loop_.now();
+    }
+    void on_closed(net::Closed) override {
+        clients.drop(id, decide::CloseReason::peer_ended);
     }
-    void on_closed(net::Closed) override { clients.drop(id, decide::CloseReason::peer_ended); }
 
     void take(thrift::Call call) {
         using What = thrift::Call::What;
@@ -70,16 +82,19 @@
                 stream->send(thrift::answer(call.method, call.seq, {}));
                 return;
             case What::give_up:
-                if (numbers.end(call.given_up)) clients.events_.given_up(id, call.given_up);
+                if (numbers.end(call.given_up))
+                    clients.events_.given_up(id, call.given_up);
                 return;
             case What::unknown:
                 stream->send(thrift::exception(call.method, call.seq, thrift::Fault::unknown_method,
                                                "no such method: " + call.method));
                 return;
-            case What::process: break;
+            case What::process:
+                break;
         }
         switch (numbers.take(call.seq)) {
-            case decide::ClientNumbers::Verdict::taken: break;
+            case decide::ClientNumbers::Verdict::taken:
+                break;
             case decide::ClientNumbers::Verdict::not_climbing:
                 return close_with(call.seq, thrift::Fault::bad_sequence, "sequence numbers must climb");
             case decide::ClientNumbers::Verdict::too_many:
@@ -110,19 +125,22 @@
         return {now.open, now.unsent, now.unread};
     }
 
-    // Nothing that comes from here on can be read. What was taken before is still owed its answer; a request whose number
-    // was used again has this one.
+    // Nothing that comes from here on can be read. What was taken before is still owed its answer; a request
+    // whose number was used again has this one.
     void close_with(std::int32_t seq, thrift::Fault fault, const std::string& why) {
         ++clients.counters_.malformed;
         stream->send(thrift::exception("process", seq, fault, why));
         malformed = true;
         facts.half_since = 0;
-        if (numbers.end(seq)) clients.events_.given_up(id, seq);
+        if (numbers.end(seq))
+            clients.events_.given_up(id, seq);
         close_if_answered();
     }
     void close_if_answered() {
-        if (!malformed || facts.closing || numbers.open() > 0) return;
-        if (const auto permit = clients.may_close(*this, decide::CloseReason::malformed)) close(*permit);
+        if (!malformed || facts.closing || numbers.open() > 0)
+            return;
+        if (const auto permit = clients.may_close(*this, decide::CloseReason::malformed))
+            close(*permit);
     }
 
     // Graceful: what was said goes out, what still comes is read and dropped.
@@ -137,9 +155,9 @@
     std::unique_ptr<net::Stream> stream;
     decide::ClientFacts facts;  // but for those open, which `numbers` knows
     decide::ClientNumbers numbers;
-    Micros waited = 0;  // in the kernel's queue, at most
-    bool offered = false;     // whole messages wait for the next turn
-    bool malformed = false;   // what still comes is dropped; it is closed once what was taken is answered
+    Micros waited = 0;       // in the kernel's queue, at most
+    bool offered = false;    // whole messages wait for the next turn
+    bool malformed = false;  // what still comes is dropped; it is closed once what was taken is answered
     Micros left_since = 0, waiting_since = 0;  // they have waited since then; those read now have
     Micros unread_until = 0;  // more had come than was read at once: until it is read, or so long
     std::shared_ptr<char> alive = std::make_shared<char>();
@@ -149,14 +167,20 @@
     : loop_(loop), bounds_(bounds), events_(std::move(events)) {}
 
 Clients::~Clients() {
-    for (const auto timer : {timer_, resume_, caught_up_}) loop_.cancel(timer);
+    for (const auto timer : {timer_, resume_, caught_up_})
+        loop_.cancel(timer);
 }
 
 Result<net::Address> Clients::listen(const net::Address& at) {
-    auto listener = loop_.listen(at, [this](std::unique_ptr<net::Stream> s) { accepted(std::move(s)); });
-    if (!listener) return listener.failure();
+    auto listener = loop_.listen(at, [this](std::unique_ptr<net::Stream> s) {
+        accepted(std::move(s));
+    });
+    if (!listener)
+        return listener.failure();
     listener_ = std::move(*listener);
-    timer_ = loop_.after(kSweep, [this] { sweep(); });
+    timer_ = loop_.after(kSweep, [this] {
+        sweep();
+    });
     return listener_->address();
 }
 
@@ -167,12 +191,14 @@
     auto& c =
         connections_.emplace(id, std::make_unique<Connection>(*this, id, std::move(stream))).first->second;
     c->stream->events(*c);
-    if (waiting_since_ == 0) return;
+    if (waiting_since_ == 0)
+        return;
     c->waited = loop_.now() - waiting_since_;
     loop_.cancel(caught_up_);
     caught_up_ = loop_.after(kCaughtUp, [this] {
         caught_up_ = 0;
-        if (resume_ == 0) waiting_since_ = 0;
+        if (resume_ == 0)
+            waiting_since_ = 0;
     });
 }
 
@@ -180,10 +206,12 @@
 // number.
 void Clients::make_room() {
     while (connections_.size() >= bounds_.clients)
-        if (!close_one()) return;
+        if (!close_one())
+            return;
     // A little ahead of need, so that nobody's last bytes cross a close that can't wait for them.
     const std::size_t spare = bounds_.clients / kSpareShare;
-    if (connections_.size() + spare < bounds_.clients) return;
+    if (connections_.size() + spare < bounds_.clients)
+        return;
     const auto [leaver, id] = next_to_leave();
     if (leaver && leaver->at <= loop_.now() && !connections_.at(id)->facts.closing)
         close_at_rest(id, decide::CloseReason::made_room);
@@ -192,7 +220,8 @@
 std::pair<std::optional<decide::Leaver>, Clients::Id> Clients::next_to_leave() const {
     std::vector<decide::ClientFacts> facts;
     std::vector<Id> ids;
-    for (const auto& [id, c] : connections_) facts.push_back(c->facts_now()), ids.push_back(id);
+    for (const auto& [id, c] : connections_)
+        facts.push_back(c->facts_now()), ids.push_back(id);
     const auto leaver = decide::makes_room(facts, loop_.now(), times_);
     return {leaver, leaver ? ids[leaver->who] : 0};
 }
@@ -201,20 +230,25 @@
     const auto [leaver, id] = next_to_leave();
     const Micros now = loop_.now(), at = leaver ? leaver->at : now + times_.to_speak;
     if (at <= now) {
-        // It may be asking right now: what has come already is read first, and a close over unread bytes would
-        // be a reset.
-        if (!at_rest_now(id)) return true;
+        // It may be asking right now: what has come already is read first, and a close over unread bytes
+        // would be a reset.
+        if (!at_rest_now(id))
+            return true;
         ++counters_.evicted;
         drop(id, decide::CloseReason::made_room);
         return true;
     }
     ++counters_.waits;
-    if (resume_ != 0) return false;
-    if (waiting_since_ == 0) waiting_since_ = now;
-    if (listener_) listener_->accept(false);
+    if (resume_ != 0)
+        return false;
+    if (waiting_since_ == 0)
+        waiting_since_ = now;
+    if (listener_)
+        listener_->accept(false);
     resume_ = loop_.after(at - now, [this] {
         resume_ = 0;
-        if (listener_) listener_->accept(true);
+        if (listener_)
+            listener_->accept(true);
     });
     return false;
 }
@@ -222,12 +256,16 @@
 // Reads what has come. Whether the connection still stands and may be closed.
 bool Clients::at_rest_now(Id id) {
     const auto found = connections_.find(id);
-    if (found == connections_.end()) return false;
-    if (found->second->facts.closing) return true;
+    if (found == connections_.end())
+        return false;
+    if (found->second->facts.closing)
+        return true;
     const bool read_all = found->second->stream->read_now();
     const auto still = connections_.find(id);
-    if (still == connections_.end() || still->second->facts.closing) return false;
-    if (!read_all) still->second->unread_until = loop_.now() + kReadsOn;
+    if (still == connections_.end() || still->second->facts.closing)
+        return false;
+    if (!read_all)
+        still->second->unread_until = loop_.now() + kReadsOn;
     const auto facts = still->second->facts_now();
     const auto at = decide::may_leave_at(facts, times_);
     return (at && *at <= loop_.now()) || decide::overdue(facts, loop_.now(), times_);
@@ -246,67 +284,87 @@
 }
 
 void Clients::close_at_rest(Id id, decide::CloseReason reason) {
-    if (!at_rest_now(id)) return;
+    if (!at_rest_now(id))
+        return;
     auto& c = *connections_.at(id);
-    if (c.facts.closing) return;
-    if (planted("close_over_unread_bytes")) c.unread_until = loop_.now() + 1;
-    if (const auto permit = may_close(c, reason)) c.close(*permit);
+    if (c.facts.closing)
+        return;
+    if (planted("close_over_unread_bytes"))
+        c.unread_until = loop_.now() + 1;
+    if (const auto permit = may_close(c, reason))
+        c.close(*permit);
 }
 
 void Clients::accept_again() {
     loop_.cancel(std::exchange(resume_, 0));
-    if (listener_) listener_->accept(true);
+    if (listener_)
+        listener_->accept(true);
 }
 
 void Clients::wind_down() {
     std::vector<Id> resting;
     for (const auto& [id, c] : connections_) {
         const auto facts = c->facts_now();
-        if (closes_wrongly(facts)) (void)may_close(*c, decide::CloseReason::wind_down);
+        if (closes_wrongly(facts))
+            (void)may_close(*c, decide::CloseReason::wind_down);
         const auto at = decide::may_leave_at(facts, times_);
-        if (!c->facts.closing && at && *at <= loop_.now()) resting.push_back(id);
+        if (!c->facts.closing && at && *at <= loop_.now())
+            resting.push_back(id);
     }
-    for (const Id id : resting) close_at_rest(id, decide::CloseReason::wind_down);
+    for (const Id id : resting)
+        close_at_rest(id, decide::CloseReason::wind_down);
 }
 
 void Clients::close_listener(bool now) {
-    if (!listener_) return;
+    if (!listener_)
+        return;
     // Past the table's number there may be no descriptor for them.
     const std::size_t room = bounds_.clients - std::min(bounds_.clients, connections_.size());
-    if (listener_->accept_waiting(room) || now) listener_.reset();
+    if (listener_->accept_waiting(room) || now)
+        listener_.reset();
 }
 
 void Clients::reply(Id id, std::int32_t seq, std::string frame) {
     const auto found = connections_.find(id);
-    if (found == connections_.end() || !found->second->numbers.end(seq)) return;
+    if (found == connections_.end() || !found->second->numbers.end(seq))
+        return;
     Connection& c = *found->second;
     c.facts.last_active = loop_.now();
     c.stream->send(std::move(frame));
-    if (c.stream->unsent() > bounds_.unsent_bytes) return drop(id, decide::CloseReason::reads_nothing);
+    if (c.stream->unsent() > bounds_.unsent_bytes)
+        return drop(id, decide::CloseReason::reads_nothing);
     c.close_if_answered();
 }
 
 void Clients::drop(Id id, decide::CloseReason reason) {
     const auto found = connections_.find(id);
-    if (found == connections_.end()) return;
+    if (found == connections_.end())
+        return;
     // One that is being closed gracefully was permitted then.
-    if (!found->second->facts.closing && !may_close(*found->second, reason)) return;
+    if (!found->second->facts.closing && !may_close(*found->second, reason))
+        return;
     const auto kept = std::move(found->second);
     connections_.erase(found);
-    for (const auto left : kept->numbers.end_all()) events_.given_up(id, left);
+    for (const auto left : kept->numbers.end_all())
+        events_.given_up(id, left);
 }
 
 void Clients::sweep() {
-    timer_ = loop_.after(kSweep, [this] { sweep(); });
+    timer_ = loop_.after(kSweep, [this] {
+        sweep();
+    });
     std::vector<Id> late;
     for (const auto& [id, c] : connections_) {
         const auto facts = c->facts_now();
-        if (closes_wrongly(facts)) (void)may_close(*c, decide::CloseReason::overdue);
-        if (decide::overdue(facts, loop_.now(), times_)) late.push_back(id);
+        if (closes_wrongly(facts))
+            (void)may_close(*c, decide::CloseReason::overdue);
+        if (decide::overdue(facts, loop_.now(), times_))
+            late.push_back(id);
     }
     for (const Id id : late) {
         const auto found = connections_.find(id);
-        if (found == connections_.end()) continue;
+        if (found == connections_.end())
+            continue;
         if (found->second->facts.closing) {
             drop(id, decide::CloseReason::lingered);
             continue;
--- a/src/node/clients.hpp
+++ b/src/node/clients.hpp
@@ -1,7 +1,7 @@
 // The client side of a front node: Thrift connections, their requests by number, and the bounds on them.
-// Whoever is malformed is told so and closed here, once what was taken before is answered; what is whole goes to
-// the handler. Connections are closed gracefully where a descriptor can be spared for it, and never while an answer
-// is owed or on its way.
+// Whoever is malformed is told so and closed here, once what was taken before is answered; what is whole goes
+// to the handler. Connections are closed gracefully where a descriptor can be spared for it, and never while
+// an answer is owed or on its way.
 #pragma once
 
 #include <array>
@@ -32,7 +32,8 @@
         std::function<void(Id, thrift::Call, Micros unseen)> request;
         std::function<void(Id, std::int32_t seq)> given_up;  // no answer is owed any more
         // A connection is closed, by whom this front says; for logs.
-        std::function<void(Id, const std::string& peer, decide::CloseReason, const decide::ClosingFacts&)> closed;
+        std::function<void(Id, const std::string& peer, decide::CloseReason, const decide::ClosingFacts&)>
+            closed;
         std::function<void(decide::Invariant, Id)> violated;  // a guard refused what was about to be done
     };
     Clients(net::Loop& loop, decide::NodeBounds bounds, Events events);
@@ -43,17 +44,25 @@
     Result<net::Address> listen(const net::Address& at);
     // The answer to an open request, as a whole frame; passed over where the client has gone.
     void reply(Id id, std::int32_t seq, std::string frame);
-    void bound(const decide::NodeBounds& bounds) { bounds_ = bounds; }  // for whoever comes from now on
-    // At a planned restart. From the first call of wind_down() on connections at rest are closed, as are others
-    // once they are; to be called again and again, as is close_listener(): it takes in whoever waits in the listen
-    // backlog first, as far as the table has room, so that the machine's acceptance is nobody's last word. `now`:
-    // the listener closes whoever still waits.
+    void bound(const decide::NodeBounds& bounds) {
+        bounds_ = bounds;
+    }  // for whoever comes from now on
+    // At a planned restart. From the first call of wind_down() on connections at rest are closed, as are
+    // others once they are; to be called again and again, as is close_listener(): it takes in whoever waits
+    // in the listen backlog first, as far as the table has room, so that the machine's acceptance is nobody's
+    // last word. `now`: the listener closes whoever still waits.
     void accept_again();
     void wind_down();
     void close_listener(bool now);
-    bool listens() const { return listener_ != nullptr; }
-    std::size_t connections() const { return connections_.size(); }
-    const ClientCounters& counters() const { return counters_; }
+    bool listens() const {
+        return listener_ != nullptr;
+    }
+    std::size_t connections() const {
+        return connections_.size();
+    }
+    const ClientCounters& counters() const {
+        return counters_;
+    }
 
 private:
     struct Connection;
--- a/src/node/config.cpp
+++ b/src/node/config.cpp
@@ -19,7 +19,8 @@
 };
 
 const Json& member(const Json& object, const char* name) {
-    if (!object.is_object() || !object.contains(name)) throw Wrong(std::string(name) + " is missing");
+    if (!object.is_object() || !object.contains(name))
+        throw Wrong(std::string(name) + " is missing");
     return object.at(name);
 }
 
@@ -35,20 +36,23 @@
 template <typename T>
 T positive(const Json& object, const char* name) {
     const auto got = value<double>(object, name, "a number");
-    if (!(got > 0 && got < 1e15)) throw Wrong(std::string(name) + " must be a number over 0");
+    if (!(got > 0 && got < 1e15))
+        throw Wrong(std::string(name) + " must be a number over 0");
     return static_cast<T>(got);
 }
 
 net::Address address(const Json& object, const char* name) {
     const auto parsed = net::Address::parse(value<std::string>(object, name, "host:port"));
-    if (!parsed) throw Wrong(std::string(name) + ": " + parsed.error());
+    if (!parsed)
+        throw Wrong(std::string(name) + ": " + parsed.error());
     return *parsed;
 }
 
 decide::ListedEngine engine_of(const Json& json) {
     decide::ListedEngine e;
     e.name = value<std::string>(json, "instanceId", "text");
-    for (char& c : e.name) c = lower(c);
+    for (char& c : e.name)
+        c = lower(c);
     e.address = address(json, "hostPort").text();
     e.zone = json.value("zone", "");
     e.kind = json.value("machineType", "");
@@ -56,10 +60,14 @@
     e.share = json.value("weight", 1.0);
     e.started = json.value("startedAtMs", std::int64_t{0}) * kMillisecond;
     const auto state = json.value("lifecycle", std::string("active"));
-    if (state == "active") e.state = EngineState::on;
-    else if (state == "leaving") e.state = EngineState::fading;
-    else if (state == "left") e.state = EngineState::off;
-    else throw Wrong("lifecycle must be active, leaving or left, not " + state);
+    if (state == "active")
+        e.state = EngineState::on;
+    else if (state == "leaving")
+        e.state = EngineState::fading;
+    else if (state == "left")
+        e.state = EngineState::off;
+    else
+        throw Wrong("lifecycle must be active, leaving or left, not " + state);
     return e;
 }
 
@@ -68,11 +76,15 @@
     s.known_number = positive<std::uint64_t>(known, "offset");
     for (const Json& event : member(known, "batch")) {
         const Json& topology = member(event, "topology");
-        if (topology.value("reset", false)) s.known.clear();
+        if (topology.value("reset", false))
+            s.known.clear();
         for (const Json& instance : member(topology, "instances")) {
             auto e = engine_of(instance);
-            std::erase_if(s.known, [&](const auto& k) { return k.name == e.name; });
-            if (e.state != EngineState::off) s.known.push_back(std::move(e));
+            std::erase_if(s.known, [&](const auto& k) {
+                return k.name == e.name;
+            });
+            if (e.state != EngineState::off)
+                s.known.push_back(std::move(e));
         }
     }
 }
@@ -94,9 +106,11 @@
     const Json& settings = member(json, "settings");
     s.settings_text = settings.dump();
     auto module = platform::parse_settings(s.settings_text);
-    if (!module) throw Wrong(module.error());
+    if (!module)
+        throw Wrong(module.error());
     s.module = std::move(*module);
-    if (s.module.classes.empty()) throw Wrong("settings.classes names no class");
+    if (s.module.classes.empty())
+        throw Wrong("settings.classes names no class");
     const Json policy = settings.value("policy_limits", Json::object());
     s.idle_close = policy.value("idle_close_us", Micros{0});
     s.connect_time_out = policy.value("connect_timeout_us", Micros{250 * kMillisecond});
@@ -111,7 +125,9 @@
         return from(Json::parse(text));
     } catch (const Json::parse_error& error) {
         return Error{std::string("configuration: ") + error.what(), EAGAIN};
-    } catch (const std::exception& error) { return Error{std::string("configuration: ") + error.what()}; }
+    } catch (const std::exception& error) {
+        return Error{std::string("configuration: ") + error.what()};
+    }
 }
 
 Result<NodeSettings> load_config(const std::string& file) {
--- a/src/node/config.hpp
+++ b/src/node/config.hpp
@@ -28,8 +28,8 @@
     std::string settings_text;  // as they stood in the file, to see whether another file changes them
 };
 
-// Errors name the member and what would be right. One that may pass has a code: text that is no JSON (EAGAIN) may be half
-// written, a file may not be readable for a moment.
+// Errors name the member and what would be right. One that may pass has a code: text that is no JSON (EAGAIN)
+// may be half written, a file may not be readable for a moment.
 Result<NodeSettings> read_config(const std::string& text);
 Result<NodeSettings> load_config(const std::string& file);
 
