--- a/src/node/engine_link.cpp
+++ b/src/node/engine_link.cpp
@@ -17,8 +17,8 @@
 // A request that has waited longer than this to go out is written anew, with the time that is then left.
 constexpr Micros kFresh = 10 * kMillisecond;
 
-// A request that has gone out in part for longer than this is cut off and tried anew: the time left that stands in its
-// first bytes is no longer true.
+// A request that has gone out in part for longer than this is cut off and tried anew: the time left that
+// stands in its first bytes is no longer true.
 constexpr Micros kBegunMost = 120 * kMillisecond;
 
 // Without a word for so long a request may lie unread at a proxy or an engine that hangs.
@@ -31,10 +31,12 @@
     bool any = false;
     for (const auto part : split(gauges, ';')) {
         const std::size_t colon = part.find(':');
-        if (colon == std::string_view::npos) continue;
+        if (colon == std::string_view::npos)
+            continue;
         const auto member = platform::report_field(part.substr(0, colon));
         const auto value = to_number<double>(part.substr(colon + 1));
-        if (member && value) report.*member = *value, any = true;
+        if (member && value)
+            report.*member = *value, any = true;
     }
     return any ? std::optional(report) : std::nullopt;
 }
@@ -47,19 +49,25 @@
         ++link.pool_.open;
     }
     ~Connection() override {
-        if (link.pool_.trace) trace("closed with " + std::to_string(unsent_bytes()) + " bytes unsent");
+        if (link.pool_.trace)
+            trace("closed with " + std::to_string(unsent_bytes()) + " bytes unsent");
         --link.pool_.open;
     }
 
-    std::string name() const { return "connection " + std::to_string(number) + " to " + link.address_.text(); }
-    std::size_t unsent_bytes() const { return stream ? stream->unsent() : 0; }
+    std::string name() const {
+        return "connection " + std::to_string(number) + " to " + link.address_.text();
+    }
+    std::size_t unsent_bytes() const {
+        return stream ? stream->unsent() : 0;
+    }
     void trace(const std::string& what) const {
         link.pool_.trace(name() + " " + what + " open=" + std::to_string(open.size()) +
                          " ms=" + std::to_string((link.loop_.now() - opened_at) / kMillisecond));
     }
     void on_connected() override {
         up = true;
-        if (link.pool_.trace) trace("is up");
+        if (link.pool_.trace)
+            trace("is up");
     }
 
     void on_data(Buffer& in) override {
@@ -68,13 +76,15 @@
         std::size_t size = 0;
         for (;;) {
             const auto reading = resp::read_array(in.view(), kAnswer, words, size);
-            if (reading == resp::Reading::none) return;
+            if (reading == resp::Reading::none)
+                return;
             if (reading == resp::Reading::spoilt || words.size() != 4)
                 return spoil("an answer that can't be read");
             // Copied, since what it leads to may destroy this connection with its buffer.
             const std::string id(words[0]), word(words[1]), fields(words[2]), body(words[3]);
             in.take(size);
-            if (!take(id, word, fields, body) || here.expired()) return;
+            if (!take(id, word, fields, body) || here.expired())
+                return;
         }
     }
     void on_closed(net::Closed how) override {
@@ -85,36 +95,46 @@
                 return end_all(LinkEnd::never_up, true, "no connection");
             case net::Closed::local:
                 ++link.pool_.lacked;
-                return end_all(LinkEnd::lacked_locally, true, "this machine lacks something for a connection");
+                return end_all(LinkEnd::lacked_locally, true,
+                               "this machine lacks something for a connection");
             case net::Closed::by_peer:
-            case net::Closed::reset: break;
+            case net::Closed::reset:
+                break;
         }
         ++link.pool_.broken;
         end_all(LinkEnd::broken, true, "the connection ended");
     }
     // Requests that waited, as far as they may go out now: each must bear the time that is left to it.
     void on_sending(std::size_t most) override {
-        std::erase_if(unsent, [&](const Exchange* e) { return stream->written(e->asked_) == net::Written::whole; });
+        std::erase_if(unsent, [&](const Exchange* e) {
+            return stream->written(e->asked_) == net::Written::whole;
+        });
         auto waiting = unsent;  // what may not begin any more leaves it
-        const bool one_has_begun = !waiting.empty() && stream->written(waiting.front()->asked_) == net::Written::part;
+        const bool one_has_begun =
+            !waiting.empty() && stream->written(waiting.front()->asked_) == net::Written::part;
         if (one_has_begun) {
             if (link.loop_.now() - waiting.front()->written_at_ > kBegunMost)
                 return cut_off("its first part had gone out too long ago");
             waiting.erase(waiting.begin());
         }
         std::size_t bytes = 0;
-        for (auto e = waiting.begin(); e != waiting.end() && bytes < most; ++e) bytes += prepare(**e);
+        for (auto e = waiting.begin(); e != waiting.end() && bytes < most; ++e)
+            bytes += prepare(**e);
+    }
+    void on_sent() override {
+        unsent.clear();
     }
-    void on_sent() override { unsent.clear(); }
 
     // Its size as it will go out; nothing where it may not.
     std::size_t prepare(Exchange& e) {
-        if (e.events_.may_begin(number)) return renew(e);
+        if (e.events_.may_begin(number))
+            return renew(e);
         withdraw(e);
         return 0;
     }
     std::size_t renew(Exchange& e) {
-        if (link.loop_.now() - e.written_at_ < kFresh) return e.size_;
+        if (link.loop_.now() - e.written_at_ < kFresh)
+            return e.size_;
         if (const auto request = e.events_.request()) {
             auto bytes = resp::array({"do", e.id_, request->fields, request->body});
             e.size_ = bytes.size(), e.written_at_ = link.loop_.now();
@@ -127,14 +147,18 @@
     }
     // It may not begin any more. Told in a later turn, as the stream is at its writing.
     void withdraw(Exchange& e) {
-        if (!stream->take_back(e.asked_)) return;
+        if (!stream->take_back(e.asked_))
+            return;
         e.asked_ = 0;
-        for (const auto change : std::exchange(e.changes_, {})) stream->take_back(change);
+        for (const auto change : std::exchange(e.changes_, {}))
+            stream->take_back(change);
         std::erase(unsent, &e);
         link.loop_.after(0, [this, here = std::weak_ptr<char>(alive), id = e.id_] {
-            if (here.expired()) return;
+            if (here.expired())
+                return;
             const auto found = open.find(id);
-            if (found == open.end() || found->second->asked_ != 0) return;
+            if (found == open.end() || found->second->asked_ != 0)
+                return;
             ExchangeEnd end;
             end.how = How::unsent, end.why = "it waited until it might not begin any more";
             finish(*found->second, std::move(end));
@@ -151,23 +175,27 @@
         given += bytes.size();
         return stream->send(std::move(bytes));
     }
-    // Of a request a part has gone out, and the rest must not follow it. What else is open here ends too, each with what
-    // that proves; in a later turn, as the caller is still at it.
+    // Of a request a part has gone out, and the rest must not follow it. What else is open here ends too,
+    // each with what that proves; in a later turn, as the caller is still at it.
     void cut_off(const char* why) {
         stream->drop_unsent();
         link.loop_.after(0, [this, here = std::weak_ptr<char>(alive), why] {
-            if (!here.expired()) end_all(LinkEnd::broken, true, why);
+            if (!here.expired())
+                end_all(LinkEnd::broken, true, why);
         });
     }
 
     // False: this connection is no more.
     bool take(const std::string& id, const std::string& word, const std::string& text,
               const std::string& body) {
-        if (word == "PONG") return true;
+        if (word == "PONG")
+            return true;
         decide::AnswerFields fields;
-        if (!fields.read(text)) return spoil("fields that can't be read"), false;
+        if (!fields.read(text))
+            return spoil("fields that can't be read"), false;
         const auto found = open.find(id);
-        if (found == open.end()) return ++link.pool_.unasked, true;
+        if (found == open.end())
+            return ++link.pool_.unasked, true;
         Exchange& e = *found->second;
         e.heard_ = true;
         ExchangeEnd end;
@@ -175,17 +203,23 @@
         if (word == "INFO") {
             const auto value = to_number<double>(fields.find("amount"));
             const auto note = fields.find("res");
-            if (!value) return true;  // no note in it
+            if (!value)
+                return true;  // no note in it
             const std::weak_ptr<char> here = alive;
-            if (note == "so_far") e.events_.on_note(NoteTopic::progress, *value);
-            else if (note == "lacking") e.events_.on_note(NoteTopic::spills, *value);
-            else if (note == "waiting") e.events_.on_note(NoteTopic::waits, *value);
+            if (note == "so_far")
+                e.events_.on_note(NoteTopic::progress, *value);
+            else if (note == "lacking")
+                e.events_.on_note(NoteTopic::spills, *value);
+            else if (note == "waiting")
+                e.events_.on_note(NoteTopic::waits, *value);
             return !here.expired();
         }
         if (word == "HIT") {
-            if (e.pages_.begun()) return ++link.pool_.unasked, true;
+            if (e.pages_.begun())
+                return ++link.pool_.unasked, true;
             const auto pages = to_number<std::size_t>(fields.find("chunks"));
-            if (!e.pages_.begin(pages.value_or(1), body)) return spoil("a page that can't be read"), false;
+            if (!e.pages_.begin(pages.value_or(1), body))
+                return spoil("a page that can't be read"), false;
             e.served_.work_ms = to_number<double>(fields.find("spent")).value_or(0);
             e.served_.needed_mb = to_number<double>(fields.find("wanted")).value_or(0);
             e.served_.report = end.report;
@@ -193,19 +227,24 @@
                 say(resp::array({"page", id, std::to_string(n)}));
         } else if (word == "PART") {
             switch (e.pages_.take(to_number<std::size_t>(fields.find("at")).value_or(0), body)) {
-                case decide::ResultPages::Took::page: break;
-                case decide::ResultPages::Took::not_asked: return ++link.pool_.unasked, true;
-                case decide::ResultPages::Took::spoilt: return spoil("a page that can't be read"), false;
+                case decide::ResultPages::Took::page:
+                    break;
+                case decide::ResultPages::Took::not_asked:
+                    return ++link.pool_.unasked, true;
+                case decide::ResultPages::Took::spoilt:
+                    return spoil("a page that can't be read"), false;
             }
         } else if (word == "SHED" || word == "LATE" || word == "FAULT") {
-            if (word != "FAULT" && e.pages_.begun()) return spoil("an end after a result"), false;
+            if (word != "FAULT" && e.pages_.begun())
+                return spoil("an end after a result"), false;
             end.how = word == "SHED" ? How::shed : word == "LATE" ? How::late : How::fault;
             end.why = body.substr(0, 80);
             return finish(e, std::move(end));
         } else {
             return spoil("an answer of an unknown kind"), false;
         }
-        if (!e.pages_.whole()) return true;
+        if (!e.pages_.whole())
+            return true;
         e.served_.how = How::served;
         e.served_.rows = e.pages_.rows();
         return finish(e, std::move(e.served_));
@@ -218,7 +257,8 @@
         release(e);
         const std::weak_ptr<char> here = alive;
         e.events_.on_end(std::move(end));
-        if (here.expired()) return false;
+        if (here.expired())
+            return false;
         return tidy();
     }
     void release(Exchange& e) {
@@ -227,8 +267,8 @@
         e.on_ = nullptr;
         used = link.loop_.now();
     }
-    // Whatever still comes under its id must not count for another attempt, and one whose answer never comes serves no
-    // further use.
+    // Whatever still comes under its id must not count for another attempt, and one whose answer never comes
+    // serves no further use.
     void give_up(Exchange& e) {
         gave_up_silent = gave_up_silent || silent(e);
         release(e);
@@ -237,21 +277,28 @@
     }
     // Closes what is of no further use. False: this connection is no more.
     bool tidy() {
-        if (!retired || !open.empty()) return true;
-        if (holds_unacknowledged() || gave_up_silent) discard();
+        if (!retired || !open.empty())
+            return true;
+        if (holds_unacknowledged() || gave_up_silent)
+            discard();
         link.over(*this);
         return false;
     }
     // Whether the kernel still holds bytes for an engine that may be cut off, or read nothing, for long.
-    bool holds_unacknowledged() const { return stream && stream->unacknowledged().value_or(0) > 0; }
+    bool holds_unacknowledged() const {
+        return stream && stream->unacknowledged().value_or(0) > 0;
+    }
     // The same of a request: of what the kernel holds, what was given to it later is the last.
     bool holds_unacknowledged(const Exchange& e) const {
         const std::size_t behind = given - std::min(given, e.ends_at_);
         const std::size_t behind_in_kernel = behind - std::min(behind, unsent_bytes());
         return stream && stream->unacknowledged().value_or(0) > behind_in_kernel;
     }
-    // Nothing has been heard of it for so long that it may lie unread somewhere on its way, acknowledged or not.
-    bool silent(const Exchange& e) const { return !e.heard_ && link.loop_.now() - e.written_at_ > kSilent; }
+    // Nothing has been heard of it for so long that it may lie unread somewhere on its way, acknowledged or
+    // not.
+    bool silent(const Exchange& e) const {
+        return !e.heard_ && link.loop_.now() - e.written_at_ > kSilent;
+    }
     // Of what was given up nothing may begin any more. A reset gives up as much as an `undo` does.
     void discard() {
         ++link.pool_.discarded;
@@ -261,20 +308,23 @@
         ++link.pool_.spoilt;
         end_all(LinkEnd::broken, false, why);
     }
-    // `over`: the stream has ended, and nothing more of it goes out. Else what was begun may still go out whole
-    // when it is closed.
+    // `over`: the stream has ended, and nothing more of it goes out. Else what was begun may still go out
+    // whole when it is closed.
     void end_all(LinkEnd link_end, bool stream_over, const char* why) {
-        if (link.pool_.trace) trace(std::string("ends: ") + why);
+        if (link.pool_.trace)
+            trace(std::string("ends: ") + why);
         std::vector<std::pair<Events*, How>> told;
         for (const auto& [id, e] : std::exchange(open, {})) {
-            const auto handed = stream->take_back(e->asked_)                                   ? Handed::nothing
-                                : stream_over && stream->written(e->asked_) != net::Written::whole ? Handed::part
-                                                                                                    : Handed::whole;
+            const auto handed = stream->take_back(e->asked_) ? Handed::nothing
+                                : stream_over && stream->written(e->asked_) != net::Written::whole
+                                    ? Handed::part
+                                    : Handed::whole;
             told.emplace_back(&e->events_, decide::proved_by_end(link_end, handed));
             e->on_ = nullptr;
         }
         unsent.clear();
-        if (holds_unacknowledged()) discard();  // not where the stream has ended: nothing of it is held any more
+        if (holds_unacknowledged())
+            discard();  // not where the stream has ended: nothing of it is held any more
         stream.reset();
         link.over(*this);  // `this` is no more: only what was copied counts from here
         for (const auto& [events, how] : told) {
@@ -290,7 +340,8 @@
     bool up = false;
     std::unique_ptr<net::Stream> stream;
     std::map<std::string, Exchange*> open;
-    std::vector<Exchange*> unsent;  // of those open, what the kernel has not taken whole, as far as is known; in order
+    std::vector<Exchange*>
+        unsent;  // of those open, what the kernel has not taken whole, as far as is known; in order
     std::set<std::string> ids;  // ever asked here: a second attempt under one of them goes elsewhere
     Micros used;
     bool retired = false;
@@ -300,8 +351,10 @@
 };
 
 bool Exchange::take_back() {
-    if (!on_ || !on_->stream->take_back(asked_)) return false;
-    for (const auto change : changes_) on_->stream->take_back(change);  // behind it, so as little written
+    if (!on_ || !on_->stream->take_back(asked_))
+        return false;
+    for (const auto change : changes_)
+        on_->stream->take_back(change);  // behind it, so as little written
     Connection& c = *on_;
     c.ids.erase(id_);
     c.release(*this);
@@ -310,27 +363,32 @@
 }
 
 bool Exchange::withhold() {
-    if (take_back()) return true;
-    if (!on_ || on_->stream->written(asked_) != net::Written::part) return false;
+    if (take_back())
+        return true;
+    if (!on_ || on_->stream->written(asked_) != net::Written::part)
+        return false;
     on_->cut_off("cut off in the middle of a request given up");
     on_->give_up(*this);
     return true;
 }
 
 bool Exchange::discard_unacknowledged() {
-    if (!on_ || on_->open.size() != 1 || !on_->holds_unacknowledged(*this)) return false;
+    if (!on_ || on_->open.size() != 1 || !on_->holds_unacknowledged(*this))
+        return false;
     on_->give_up(*this);  // which closes the connection, as nothing else is open there
     return true;
 }
 
 Exchange::~Exchange() {
-    if (!on_ || withhold()) return;
+    if (!on_ || withhold())
+        return;
     on_->say(resp::array({pages_.begun() ? "forget" : "undo", id_}));
     on_->give_up(*this);
 }
 
 std::string Exchange::state() const {
-    if (!on_) return "over";
+    if (!on_)
+        return "over";
     const auto written = on_->stream->written(asked_);
     const char* const gone = written == net::Written::whole  ? "gone out whole"
                              : written == net::Written::part ? "gone out in part"
@@ -350,40 +408,52 @@
 
 EngineLink::~EngineLink() {
     for (auto& c : connections_)
-        for (auto& [id, e] : c->open) e->on_ = nullptr;
+        for (auto& [id, e] : c->open)
+            e->on_ = nullptr;
 }
 
 void EngineLink::end_all(const char* why) {
-    while (!connections_.empty()) connections_.front()->end_all(LinkEnd::broken, false, why);
+    while (!connections_.empty())
+        connections_.front()->end_all(LinkEnd::broken, false, why);
 }
 
 void EngineLink::end_unacknowledged(const char* why) {
     std::vector<Exchange::Connection*> stuck;
     for (const auto& c : connections_) {
-        const bool holds = std::any_of(c->open.begin(), c->open.end(),
-                                       [&](const auto& open) { return c->holds_unacknowledged(*open.second); });
-        if (holds) stuck.push_back(c.get());
+        const bool holds = std::any_of(c->open.begin(), c->open.end(), [&](const auto& open) {
+            return c->holds_unacknowledged(*open.second);
+        });
+        if (holds)
+            stuck.push_back(c.get());
     }
     for (auto* const c : stuck) {
-        const bool still = std::any_of(connections_.begin(), connections_.end(), [&](const auto& kept) { return kept.get() == c; });
-        if (still) c->end_all(LinkEnd::broken, false, why);
+        const bool still = std::any_of(connections_.begin(), connections_.end(), [&](const auto& kept) {
+            return kept.get() == c;
+        });
+        if (still)
+            c->end_all(LinkEnd::broken, false, why);
     }
 }
 
 std::size_t EngineLink::open() const {
     std::size_t n = 0;
-    for (const auto& c : connections_) n += c->open.size();
+    for (const auto& c : connections_)
+        n += c->open.size();
     return n;
 }
 
 Exchange::Connection* EngineLink::choose(const std::string& id) {
     std::vector<decide::LinkFacts> facts;
     facts.reserve(connections_.size());
-    for (const auto& c : connections_) facts.push_back(c->facts(id));
+    for (const auto& c : connections_)
+        facts.push_back(c->facts(id));
     const auto choice = decide::connection_for(facts, loop_.now(), limits_);
     auto* const use = choice.use ? connections_[*choice.use].get() : nullptr;
-    const auto room = [&] { return pool_.open < pool_.most || (pool_.make_room && pool_.make_room()); };
-    if (use && !(choice.new_if_room && room())) return use;
+    const auto room = [&] {
+        return pool_.open < pool_.most || (pool_.make_room && pool_.make_room());
+    };
+    if (use && !(choice.new_if_room && room()))
+        return use;
     connections_.push_back(std::make_unique<Exchange::Connection>(*this));
     auto& fresh = *connections_.back();
     fresh.stream = loop_.connect(address_, fresh, limits_.connect_time_out);
@@ -393,7 +463,8 @@
 std::unique_ptr<Exchange> EngineLink::ask(const decide::AttemptPermit&, const std::string& id,
                                           Exchange::Events& events) {
     const auto request = events.request();
-    if (!request) return nullptr;
+    if (!request)
+        return nullptr;
     auto* c = choose(id);
     std::unique_ptr<Exchange> e(new Exchange(id, events));
     e->on_ = c;
@@ -404,22 +475,27 @@
 }
 
 void EngineLink::over(Exchange::Connection& c) {
-    const auto at = std::find_if(connections_.begin(), connections_.end(),
-                                 [&](const auto& held) { return held.get() == &c; });
-    if (at == connections_.end()) return;
+    const auto at = std::find_if(connections_.begin(), connections_.end(), [&](const auto& held) {
+        return held.get() == &c;
+    });
+    if (at == connections_.end())
+        return;
     const auto kept = std::move(*at);  // destroyed when this returns
     connections_.erase(at);
 }
 
 void EngineLink::close_idle() {
-    std::erase_if(connections_,
-                  [&](const auto& c) { return decide::stale(c->facts(""), loop_.now(), limits_); });
+    std::erase_if(connections_, [&](const auto& c) {
+        return decide::stale(c->facts(""), loop_.now(), limits_);
+    });
 }
 
 bool EngineLink::drop_one_idle() {
-    const auto at =
-        std::find_if(connections_.begin(), connections_.end(), [](const auto& c) { return c->open.empty(); });
-    if (at == connections_.end()) return false;
+    const auto at = std::find_if(connections_.begin(), connections_.end(), [](const auto& c) {
+        return c->open.empty();
+    });
+    if (at == connections_.end())
+        return false;
     connections_.erase(at);
     return true;
 }
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -19,43 +19,56 @@
 constexpr Micros kAnswerReserve = 5 * kMillisecond;  // for an answer's way to its client
 constexpr Micros kTick = kSecondMicros;
 constexpr int kStatusTicks = 5;
-constexpr Micros kListOld = 2 * kSecondMicros;  // without a word of the name service
+constexpr Micros kListOld = 2 * kSecondMicros;    // without a word of the name service
 constexpr Micros kRepeatWay = 20 * kMillisecond;  // of a repeat to its engine
 constexpr Micros kDrainLook = 20 * kMillisecond;
 constexpr Micros kDiscardBefore = 100 * kMillisecond;  // the end of a drained engine's grace
-constexpr std::size_t kEnginesShown = 40;  // in the status
-constexpr double kWorkLearnt = 0.02;       // of a request, for the mean work
+constexpr std::size_t kEnginesShown = 40;              // in the status
+constexpr double kWorkLearnt = 0.02;                   // of a request, for the mean work
 
 // A refusal, with when to come back where there is something to say.
 std::string refusal(std::int32_t seq, Micros come_back) {
     thrift::Fields hint;
-    if (come_back > 0) hint["pause"] = std::to_string(std::max<Micros>(1, come_back / kMillisecond));
+    if (come_back > 0)
+        hint["pause"] = std::to_string(std::max<Micros>(1, come_back / kMillisecond));
     return thrift::rejected(seq, hint);
 }
 
 // Within which a repeat may go out, so that it arrives while the engines still know its key.
-Micros repeat_window(const ClassSettings& c) { return std::max<Micros>(0, c.window - kRepeatWay); }
+Micros repeat_window(const ClassSettings& c) {
+    return std::max<Micros>(0, c.window - kRepeatWay);
+}
 
-// What the module is told of the settings: windows of repeats that leave time for a repeat's way to its engine, as it must
-// arrive within them; the rest as it is, but for faults planted by the soak.
+// What the module is told of the settings: windows of repeats that leave time for a repeat's way to its
+// engine, as it must arrive within them; the rest as it is, but for faults planted by the soak.
 Settings module_settings(Settings s) {
-    for (ClassSettings& c : s.classes) c.window = repeat_window(c);
-    if (planted("send_over_attempt_cap")) s.attempts_cap += 20;
-    if (planted("cold_engine_taken_for_warm")) s.warm_up = 0;
+    for (ClassSettings& c : s.classes)
+        c.window = repeat_window(c);
+    if (planted("send_over_attempt_cap"))
+        s.attempts_cap += 20;
+    if (planted("cold_engine_taken_for_warm"))
+        s.warm_up = 0;
     for (ClassSettings& c : s.classes) {
-        if (planted("repeat_of_once") && c.effect == Effect::once) c.effect = Effect::repeatable;
-        if (planted("repeat_past_key_window")) c.window = 3600 * kSecondMicros;
-        if (planted("repeat_outside_key_scope")) c.key_scope = Scope::all;
-        if (planted("send_against_placement")) c.azs_open.reset();
+        if (planted("repeat_of_once") && c.effect == Effect::once)
+            c.effect = Effect::repeatable;
+        if (planted("repeat_past_key_window"))
+            c.window = 3600 * kSecondMicros;
+        if (planted("repeat_outside_key_scope"))
+            c.key_scope = Scope::all;
+        if (planted("send_against_placement"))
+            c.azs_open.reset();
     }
     return s;
 }
 
 const char* reason_text(EndReason reason) {
     switch (reason) {
-        case EndReason::out_of_time: return "out_of_time";
-        case EndReason::worthless: return "worthless";
-        case EndReason::no_tries_left: return "no_tries_left";
+        case EndReason::out_of_time:
+            return "out_of_time";
+        case EndReason::worthless:
+            return "worthless";
+        case EndReason::no_tries_left:
+            return "no_tries_left";
     }
     return "unknown";
 }
@@ -65,9 +78,13 @@
 struct Node::Attempt final : Exchange::Events {
     Attempt(Node& n, Running& r, int no, EngineId e)
         : node(n), running(r), number(no), engine(e), sent(n.loop_.now()) {}
-    ~Attempt() override { node.loop_.cancel(timer), node.loop_.cancel(window); }
+    ~Attempt() override {
+        node.loop_.cancel(timer), node.loop_.cancel(window);
+    }
     void on_note(NoteTopic topic, double value) override;
-    void on_end(decide::ExchangeEnd end) override { node.on_end(*this, std::move(end)); }
+    void on_end(decide::ExchangeEnd end) override {
+        node.on_end(*this, std::move(end));
+    }
     std::optional<Request> request() override;
     bool may_begin(std::uint64_t connection) override;
 
@@ -76,9 +93,9 @@
     int number;
     EngineId engine;
     Micros sent;
-    Micros until = 0;  // when its time is up
+    Micros until = 0;                    // when its time is up
     net::TimerId timer = 0, window = 0;  // for its whole time; for a repeat's beginning
-    Micros noted = 0;  // when its last note came; for the log
+    Micros noted = 0;                    // when its last note came; for the log
     int notes = 0;
     bool out = false, over = false;  // out: it is the one that the request's life counts
     std::unique_ptr<Exchange> exchange;
@@ -100,11 +117,14 @@
     decide::Life life;
     bool client_left = false;
 
-    Attempt* out() { return life.out() ? attempts.back().get() : nullptr; }
+    Attempt* out() {
+        return life.out() ? attempts.back().get() : nullptr;
+    }
 };
 
 void Node::Attempt::on_note(NoteTopic topic, double value) {
-    if (over) return;
+    if (over)
+        return;
     ++notes, noted = node.loop_.now();
     node.driver_.post(Note{running.id, number, engine, topic, value});
 }
@@ -114,30 +134,44 @@
       settings_(std::move(settings)),
       deps_(std::move(deps)),
       bounds_(decide::bounds_of(settings_.sockets, settings_.memory_mb)),
-      driver_(loop, settings_.seed, module_settings(settings_.module), [this](const Action& a) { carry_out(a); }),
-      clients_(
-          loop, bounds_,
-          {[this](Clients::Id c, thrift::Call call, Micros unseen) { requested(c, std::move(call), unseen); },
-           [this](Clients::Id c, std::int32_t seq) { given_up(c, seq); },
-           [this](Clients::Id c, const std::string& peer, decide::CloseReason reason,
-                  const decide::ClosingFacts& facts) {
-               if (deps_.trace)
-                   deps_.trace("client " + std::to_string(c) + " " + peer + " closed: " + decide::name_of(reason) +
-                               " open=" + std::to_string(facts.open) + (facts.unsent ? " unsent" : "") +
-                               (facts.unread ? " unread" : ""));
-           },
-           [this](decide::Invariant i, Clients::Id c) { count(i, "client " + std::to_string(c)); }}),
+      driver_(loop, settings_.seed, module_settings(settings_.module),
+              [this](const Action& a) {
+                  carry_out(a);
+              }),
+      clients_(loop, bounds_,
+               {[this](Clients::Id c, thrift::Call call, Micros unseen) {
+                    requested(c, std::move(call), unseen);
+                },
+                [this](Clients::Id c, std::int32_t seq) {
+                    given_up(c, seq);
+                },
+                [this](Clients::Id c, const std::string& peer, decide::CloseReason reason,
+                       const decide::ClosingFacts& facts) {
+                    if (deps_.trace)
+                        deps_.trace("client " + std::to_string(c) + " " + peer + " closed: " +
+                                    decide::name_of(reason) + " open=" + std::to_string(facts.open) +
+                                    (facts.unsent ? " unsent" : "") + (facts.unread ? " unread" : ""));
+                },
+                [this](decide::Invariant i, Clients::Id c) {
+                    count(i, "client " + std::to_string(c));
+                }}),
       dns_(loop, kService, settings_.seed, {},
-           {[this](const roster::DnsSource::Heard& heard) { heard_list(heard); },
-            [this](std::uint32_t number) { return list_.confirm(number, loop_.now()); },
+           {[this](const roster::DnsSource::Heard& heard) {
+                heard_list(heard);
+            },
+            [this](std::uint32_t number) {
+                return list_.confirm(number, loop_.now());
+            },
             [this](const std::string& why) {
-                if (deps_.trace) deps_.trace("name service: " + why + ", held: " + list_text());
+                if (deps_.trace)
+                    deps_.trace("name service: " + why + ", held: " + list_text());
                 ++bad_lists_;
             },
             [this](std::uint16_t id, int unanswered) {
                 if (deps_.trace && unanswered > 0)
-                    deps_.trace("name service: asked again with id " + std::to_string(id) + ", unanswered before " +
-                                std::to_string(unanswered) + ", held: " + list_text());
+                    deps_.trace("name service: asked again with id " + std::to_string(id) +
+                                ", unanswered before " + std::to_string(unanswered) +
+                                ", held: " + list_text());
             }}),
       guard_(settings_.module),
       wall_offset_(loop.wall() - loop.now()),
@@ -145,13 +179,15 @@
     pool_.most = bounds_.engines;
     pool_.trace = deps_.trace;
     pool_.make_room = [this] {
-        return std::any_of(engines_.begin(), engines_.end(),
-                           [](const auto& e) { return e.second.link && e.second.link->drop_one_idle(); });
+        return std::any_of(engines_.begin(), engines_.end(), [](const auto& e) {
+            return e.second.link && e.second.link->drop_one_idle();
+        });
     };
 }
 
 Node::~Node() {
-    for (const auto timer : {free_timer_, tick_timer_, drain_timer_, discard_timer_}) loop_.cancel(timer);
+    for (const auto timer : {free_timer_, tick_timer_, drain_timer_, discard_timer_})
+        loop_.cancel(timer);
 }
 
 Result<net::Address> Node::start() {
@@ -162,18 +198,24 @@
     net::Address from = settings_.listen;
     from.port = 0;
     if (!discovering_) {
-        if (auto asked = dns_.start(from, settings_.dns); !asked) return asked.failure();
+        if (auto asked = dns_.start(from, settings_.dns); !asked)
+            return asked.failure();
         discovering_ = true;
     }
     auto bound = clients_.listen(settings_.listen);
-    if (!bound) return bound;
+    if (!bound)
+        return bound;
     std::string classes;
-    const auto ms = [](Micros span) { return std::to_string(span / kMillisecond); };
+    const auto ms = [](Micros span) {
+        return std::to_string(span / kMillisecond);
+    };
     for (const auto& c : settings_.module.classes)
         classes += " " + c.name + "(aim " + ms(c.aim) + " ms, deadline " + ms(c.deadline) + " ms)";
     deps_.log("classes" + classes + "; notes every " + ms(settings_.module.note_period) + " ms");
     deps_.log(bounds_text());
-    tick_timer_ = loop_.after(kTick, [this] { tick(); });
+    tick_timer_ = loop_.after(kTick, [this] {
+        tick();
+    });
     return bound;
 }
 
@@ -185,10 +227,12 @@
 }
 
 void Node::reload(const NodeSettings& s) {
-    if (s.dns != settings_.dns) deps_.log("the name service is asked at " + s.dns.text() + " from now on");
+    if (s.dns != settings_.dns)
+        deps_.log("the name service is asked at " + s.dns.text() + " from now on");
     settings_.dns = s.dns;
     dns_.move(s.dns);
-    if (!s.known.empty()) take_change(list_.take(s.known_number, s.known, loop_.now(), wall_now()));
+    if (!s.known.empty())
+        take_change(list_.take(s.known_number, s.known, loop_.now(), wall_now()));
     if (s.sockets != settings_.sockets || s.memory_mb != settings_.memory_mb) {
         settings_.sockets = s.sockets, settings_.memory_mb = s.memory_mb;
         bounds_ = decide::bounds_of(s.sockets, s.memory_mb);
@@ -208,16 +252,18 @@
     if (deps_.trace)
         deps_.trace("name service: list " + std::to_string(heard.number) + " of " +
                     std::to_string(heard.engines.size()) + " engines asked " +
-                    std::to_string((loop_.now() - heard.asked) / kMillisecond) + " ms ago, held: " + list_text());
+                    std::to_string((loop_.now() - heard.asked) / kMillisecond) +
+                    " ms ago, held: " + list_text());
     auto change = list_.take(heard.number, heard.engines, loop_.now(), wall_now(), heard.asked);
     if (heard.number < held && list_.number() == heard.number)
-        deps_.log("the name service's numbering has started anew: list " + std::to_string(held) + " was held, " +
-                  std::to_string(heard.number) + " is now");
+        deps_.log("the name service's numbering has started anew: list " + std::to_string(held) +
+                  " was held, " + std::to_string(heard.number) + " is now");
     take_change(std::move(change));
 }
 
 void Node::take_change(std::optional<ListChange> change) {
-    if (!change) return;
+    if (!change)
+        return;
     decide::LinkLimits limits;
     limits.connections = std::max<std::size_t>(1, bounds_.engines / 2);  // the pool bounds them all together
     limits.streams = static_cast<std::size_t>(settings_.streams);
@@ -226,38 +272,47 @@
     std::vector<std::unique_ptr<EngineLink>> moved;
     for (const auto& [id, listed] : list_.engines()) {
         Engine& e = engines_[id];
-        if (e.link && e.address == listed.address) continue;
+        if (e.link && e.address == listed.address)
+            continue;
         const auto at = net::Address::parse(listed.address);
-        if (!at) continue;
+        if (!at)
+            continue;
         e.name = listed.name, e.address = listed.address;
-        if (e.link) moved.push_back(std::move(e.link));
+        if (e.link)
+            moved.push_back(std::move(e.link));
         e.link = std::make_unique<EngineLink>(loop_, *at, limits, pool_);
     }
-    for (auto& [id, e] : engines_) e.listed = list_.engines().contains(id);
+    for (auto& [id, e] : engines_)
+        e.listed = list_.engines().contains(id);
     note_change(*change);
     if (planted("send_past_drain_grace"))
-        for (EngineEntry& entry : change->engines) entry.state = EngineState::on;
+        for (EngineEntry& entry : change->engines)
+            entry.state = EngineState::on;
     driver_.post(std::move(*change));
     // After the module knows: what ends here is tried again by the new list.
-    for (const auto& link : moved) link->end_all("the engine has another address");
+    for (const auto& link : moved)
+        link->end_all("the engine has another address");
     // What still waits to go out to one that takes nothing new would begin after its grace.
     std::vector<Attempt*> waiting;
     for (const auto& [id, r] : running_) {
         Attempt* const out = r->out();
-        if (out && list_.state(out->engine) != EngineState::on) waiting.push_back(out);
+        if (out && list_.state(out->engine) != EngineState::on)
+            waiting.push_back(out);
     }
-    for (Attempt* a : waiting) recall(*a);
+    for (Attempt* a : waiting)
+        recall(*a);
     discard_for_drained();
 }
 
-// What the kernel still holds for a drained engine would begin after its grace. Its connections to it are reset shortly
-// before that, and what was out there is tried again by the new list where it may be.
+// What the kernel still holds for a drained engine would begin after its grace. Its connections to it are
+// reset shortly before that, and what was out there is tried again by the new list where it may be.
 void Node::discard_for_drained() {
     const Micros grace = std::max<Micros>(0, settings_.module.drain_grace - kDiscardBefore);
     std::vector<EngineId> due;
     Micros next = 0;
     for (auto& [id, e] : engines_) {
-        if (!e.to_discard || e.draining_since == 0) continue;
+        if (!e.to_discard || e.draining_since == 0)
+            continue;
         const Micros at = e.draining_since + grace;
         if (at > loop_.now()) {
             next = next == 0 ? at : std::min(next, at);
@@ -274,25 +329,33 @@
         });
     for (const EngineId id : due)
         if (const auto found = engines_.find(id); found != engines_.end() && found->second.link)
-            found->second.link->end_unacknowledged("the engine drains and has not acknowledged what was sent");
+            found->second.link->end_unacknowledged(
+                "the engine drains and has not acknowledged what was sent");
 }
 
 // The wall clock as it stood at the start, moved on by the monotonic one: a later step of it changes nothing.
-Micros Node::wall_now() const { return loop_.now() + wall_offset_; }
+Micros Node::wall_now() const {
+    return loop_.now() + wall_offset_;
+}
 
 void Node::note_change(const ListChange& change) {
     const bool each = change.form == ListForm::incr && change.engines.size() <= kEnginesShown;
-    if (!each) deps_.log("list " + std::to_string(list_.number()) + ": " + std::to_string(change.engines.size()) + " engines");
+    if (!each)
+        deps_.log("list " + std::to_string(list_.number()) + ": " + std::to_string(change.engines.size()) +
+                  " engines");
     for (const EngineEntry& entry : change.engines) {
         Engine& e = engines_[entry.id];
         e.kind = entry.kind, e.zone = entry.zone, e.cell = entry.cell, e.came_up = entry.came_up;
         const bool drains = entry.state != EngineState::on;
-        if (!drains) e.draining_since = 0;
-        else if (e.draining_since == 0) e.draining_since = loop_.now(), e.to_discard = true;
+        if (!drains)
+            e.draining_since = 0;
+        else if (e.draining_since == 0)
+            e.draining_since = loop_.now(), e.to_discard = true;
         const char* const state = entry.state == EngineState::on       ? " is on"
                                   : entry.state == EngineState::fading ? " drains"
                                                                        : " is gone";
-        if (!each) continue;
+        if (!each)
+            continue;
         const Micros up_for = (loop_.now() - entry.came_up) / kMillisecond;
         deps_.log("engine " + e.name + state +
                   (entry.came_up > 0 ? ", up for " + std::to_string(up_for) + " ms" : ""));
@@ -313,7 +376,8 @@
     };
     auto checked = decide::check_request(call.fields, call.body, settings_.module);
     if (!checked) {
-        if (deps_.trace) deps_.trace("turned away: " + checked.error());
+        if (deps_.trace)
+            deps_.trace("turned away: " + checked.error());
         return turned_away("malformed", thrift::exception("process", call.seq, thrift::Fault::invalid_type,
                                                           checked.error()));
     }
@@ -321,10 +385,14 @@
     const decide::NodeHolding holding{running_.size(), statement_bytes_, running_.contains(checked->id),
                                       draining_since_ > 0 ? loop_.now() - draining_since_ : 0};
     switch (decide::admit(holding, call.body.size(), bounds_, restart_)) {
-        case decide::NodeAdmission::taken: break;
-        case decide::NodeAdmission::twice: return turned_away("twice", refusal(call.seq, pause));
-        case decide::NodeAdmission::no_room: return turned_away("no_room", refusal(call.seq, pause));
-        case decide::NodeAdmission::ending: return turned_away("ending", refusal(call.seq, 0));
+        case decide::NodeAdmission::taken:
+            break;
+        case decide::NodeAdmission::twice:
+            return turned_away("twice", refusal(call.seq, pause));
+        case decide::NodeAdmission::no_room:
+            return turned_away("no_room", refusal(call.seq, pause));
+        case decide::NodeAdmission::ending:
+            return turned_away("ending", refusal(call.seq, 0));
     }
     const Micros left = decide::time_left(checked->patience, unseen, kAnswerReserve);
     auto r = std::make_unique<Running>();
@@ -343,7 +411,8 @@
     if (deps_.trace)
         deps_.trace(r->id + " " + r->cls->name + " taken from client " + std::to_string(client) +
                     " left_ms=" + std::to_string(left / kMillisecond));
-    if (planted("send_past_deadline")) d.time_left += kSecondMicros;
+    if (planted("send_past_deadline"))
+        d.time_left += kSecondMicros;
     asked_[{client, call.seq}] = r->id;
     running_.emplace(r->id, std::move(r));
     driver_.post(std::move(d));
@@ -351,22 +420,27 @@
 
 void Node::given_up(Clients::Id client, std::int32_t seq) {
     const auto found = asked_.find({client, seq});
-    if (found == asked_.end()) return;
+    if (found == asked_.end())
+        return;
     Running* r = find(found->second);
     asked_.erase(found);
-    if (!r || !r->life.take(Happening::left)) return;
+    if (!r || !r->life.take(Happening::left))
+        return;
     r->client_left = true;
     ++ended_["given_up"];
-    if (deps_.trace) deps_.trace(r->id + " " + r->cls->name + " given up by client " + std::to_string(client));
+    if (deps_.trace)
+        deps_.trace(r->id + " " + r->cls->name + " given up by client " + std::to_string(client));
     driver_.post(Gone{r->id});
-    if (planted("send_after_client_left")) send_again(*r);
+    if (planted("send_after_client_left"))
+        send_again(*r);
     // Whether or not the module may call it off: nothing begins for a client that has gone.
     if (Attempt* const out = r->out()) {
         withhold(*out);
         if (!out->over && out->exchange && out->exchange->discard_unacknowledged())
             complete(*out, Outcome::econnreset, r->life.finished());
     }
-    if (r->life.freeable()) free_later(r->id);
+    if (r->life.freeable())
+        free_later(r->id);
 }
 
 std::string Node::name_of(EngineId id) const {
@@ -376,26 +450,32 @@
 
 // The client's one final answer.
 void Node::finish(Running& r, std::string frame, const char* how, std::optional<EndReason> reason) {
-    if (!r.life.take(Happening::answer)) return;
+    if (!r.life.take(Happening::answer))
+        return;
     r.life.take(Happening::final_given);
     ++ended_[how];
-    if (reason) ++ended_[std::string(how) + ":" + reason_text(*reason)];
+    if (reason)
+        ++ended_[std::string(how) + ":" + reason_text(*reason)];
     if (deps_.trace)
-        deps_.trace(r.id + " " + r.cls->name + " " + how + (reason ? std::string(" for ") + reason_text(*reason) : "") +
-                    " at " +
+        deps_.trace(r.id + " " + r.cls->name + " " + how +
+                    (reason ? std::string(" for ") + reason_text(*reason) : "") + " at " +
                     (r.attempts.empty() ? "-" : name_of(r.attempts.back()->engine)) +
                     " attempts=" + std::to_string(r.attempts.size()) +
                     " ms=" + std::to_string((loop_.now() - r.arrived) / kMillisecond) +
                     " left_ms=" + std::to_string((r.deadline - loop_.now()) / kMillisecond));
     asked_.erase({r.client, r.seq});
     const bool lost = planted("lost_answer") && r.deadline % 50 == 0;
-    if (!lost) clients_.reply(r.client, r.seq, std::move(frame));
-    if (planted("send_after_final")) send_again(r);
-    if (r.life.freeable()) free_later(r.id);
+    if (!lost)
+        clients_.reply(r.client, r.seq, std::move(frame));
+    if (planted("send_after_final"))
+        send_again(r);
+    if (r.life.freeable())
+        free_later(r.id);
 }
 
 void Node::send_again(const Running& r) {
-    if (!r.attempts.empty()) send(Send{r.id, r.attempts.front()->engine, kSecondMicros});
+    if (!r.attempts.empty())
+        send(Send{r.id, r.attempts.front()->engine, kSecondMicros});
 }
 
 void Node::refuse(Running& r, Micros come_back, const char* how, std::optional<EndReason> reason) {
@@ -405,12 +485,14 @@
 // Not at once: the calls that led here still stand on the request.
 void Node::free_later(const std::string& id) {
     to_free_.push_back(id);
-    if (free_timer_ != 0) return;
+    if (free_timer_ != 0)
+        return;
     free_timer_ = loop_.after(0, [this] {
         free_timer_ = 0;
         for (const auto& done : std::exchange(to_free_, {})) {
             const auto found = running_.find(done);
-            if (found == running_.end()) continue;
+            if (found == running_.end())
+                continue;
             statement_bytes_ -= found->second->body.size();
             running_.erase(found);
         }
@@ -420,17 +502,21 @@
 // ---- Actions of the module
 
 void Node::carry_out(const Action& action) {
-    std::visit(Overloaded{[&](const Send& a) { send(a); },
+    std::visit(Overloaded{[&](const Send& a) {
+                              send(a);
+                          },
                           [&](const Terms& a) {
                               Running* r = find(a.id);
-                              if (!r) return;
+                              if (!r)
+                                  return;
                               r->grant_mb = a.grant_mb;
                               const bool changed = std::exchange(r->priority, a.priority) != a.priority;
                               if (Attempt* out = r->out(); out && out->exchange && changed)
                                   out->exchange->priority(a.priority);
                           },
                           [&](const Refuse& a) {
-                              if (Running* r = find(a.id)) refuse(*r, a.come_back, "refused", a.reason);
+                              if (Running* r = find(a.id))
+                                  refuse(*r, a.come_back, "refused", a.reason);
                           },
                           [&](const Fail& a) {
                               if (Running* r = find(a.id))
@@ -455,25 +541,30 @@
 
 void Node::send(const Send& action) {
     Running* r = find(action.id);
-    if (!r) return;
+    if (!r)
+        return;
     r->attempts.push_back(
         std::make_unique<Attempt>(*this, *r, static_cast<int>(r->attempts.size()), action.engine));
     Attempt& a = *r->attempts.back();
     const Micros until = r->deadline - a.sent;
     const Micros limit = action.time_out > 0 ? std::min(action.time_out, until) : until;
     a.until = a.sent + limit;
-    const auto found = planted("send_to_unlisted_engine") && a.number > 0 ? engines_.end() : engines_.find(action.engine);
-    if (planted("send_to_unlisted_engine") && a.number > 0) a.engine = 0;
+    const auto found =
+        planted("send_to_unlisted_engine") && a.number > 0 ? engines_.end() : engines_.find(action.engine);
+    if (planted("send_to_unlisted_engine") && a.number > 0)
+        a.engine = 0;
     const auto cold = found == engines_.end() ? std::nullopt : cold_requests(found->second);
     const auto facts = facts_of(a);
     const auto permit = guard_.permit(facts, *r->cls, cold);
-    if (found != engines_.end()) ++found->second.out;
+    if (found != engines_.end())
+        ++found->second.out;
     if (!permit) {
         count(*guard_.forbids(facts, *r->cls, cold), text_of(a));
         return complete(a, Outcome::skipped, r->life.finished());
     }
     a.out = r->life.take(Happening::sent);
-    if (!found->second.link) return complete(a, Outcome::econnrefused, false);
+    if (!found->second.link)
+        return complete(a, Outcome::econnrefused, false);
     a.timer = loop_.after(limit, [this, &a] {
         a.timer = 0;
         complete(a, Outcome::etimedout, a.running.life.finished());
@@ -485,12 +576,16 @@
             withhold(a);
         });
     const int times = planted("send_over_cold_budget") ? 400 : 1;
-    if (facts.target.cold) found->second.sent.insert(found->second.sent.end(), static_cast<std::size_t>(times), a.sent);
+    if (facts.target.cold)
+        found->second.sent.insert(found->second.sent.end(), static_cast<std::size_t>(times), a.sent);
     if (deps_.trace)
-        deps_.trace(text_of(a) + " sent limit_ms=" + std::to_string(limit / kMillisecond) + " " + list_text());
+        deps_.trace(text_of(a) + " sent limit_ms=" + std::to_string(limit / kMillisecond) + " " +
+                    list_text());
     a.exchange = found->second.link->ask(*permit, r->id, a);
-    if (!a.exchange) return complete(a, Outcome::skipped, r->life.finished());
-    if (planted("send_while_attempt_out") && a.number == 0) send(action);
+    if (!a.exchange)
+        return complete(a, Outcome::skipped, r->life.finished());
+    if (planted("send_while_attempt_out") && a.number == 0)
+        send(action);
 }
 
 // The request as it goes out now: `ms` is what is left of its time at this moment.
@@ -498,14 +593,17 @@
     const Running& r = running;
     const Micros left = until - (planted("stale_deadline") ? sent : node.loop_.now());
     const bool wanted = !r.life.finished() || planted("send_after_client_left");
-    if (over || left <= 0 || !wanted) return std::nullopt;
+    if (over || left <= 0 || !wanted)
+        return std::nullopt;
     std::string fields =
         "kind=" + r.cls->name + ",ms=" + std::to_string(std::max<Micros>(1, left / kMillisecond));
-    if (!r.token.empty()) fields += ",token=" + r.token;
+    if (!r.token.empty())
+        fields += ",token=" + r.token;
     const Settings& module = node.settings_.module;
     if (module.grants && r.grant_mb > 0)
         fields += ",reserve=" + std::to_string(static_cast<std::int64_t>(std::ceil(r.grant_mb)));
-    if (module.priorities) fields += ",level=" + std::to_string(r.priority);
+    if (module.priorities)
+        fields += ",level=" + std::to_string(r.priority);
     return Request{std::move(fields), r.body};
 }
 
@@ -515,19 +613,22 @@
            " list_age_ms=" + std::to_string((loop_.now() - list_.heard()) / kMillisecond);
 }
 
-// By what holds at this moment and not when the attempt was decided: a connection that came up late, or a stall of this
-// process, lies between the two.
+// By what holds at this moment and not when the attempt was decided: a connection that came up late, or a
+// stall of this process, lies between the two.
 bool Node::Attempt::may_begin(std::uint64_t connection) {
     auto facts = node.facts_of(*this);
     facts.attempt_out = false;  // it is the one that is out
     const bool drained = node.list_.state(engine) != EngineState::on && !planted("send_past_drain_grace");
     const auto forbidden = node.guard_.forbids(facts, *running.cls, std::nullopt);
-    const bool may = !over && !drained && (!forbidden || planted("guard_off") || planted("send_after_client_left"));
+    const bool may =
+        !over && !drained && (!forbidden || planted("guard_off") || planted("send_after_client_left"));
     if (node.deps_.trace)
-        node.deps_.trace(node.text_of(*this) + (may ? " begins" : " may not begin any more") + " on connection " +
-                         std::to_string(connection) + (forbidden ? std::string(": ") + decide::name_of(*forbidden) : "") +
-                         " waited_ms=" + std::to_string((node.loop_.now() - sent) / kMillisecond) + " draining_ms=" +
-                         std::to_string(facts.target.draining_for / kMillisecond) + " " + node.list_text());
+        node.deps_.trace(node.text_of(*this) + (may ? " begins" : " may not begin any more") +
+                         " on connection " + std::to_string(connection) +
+                         (forbidden ? std::string(": ") + decide::name_of(*forbidden) : "") +
+                         " waited_ms=" + std::to_string((node.loop_.now() - sent) / kMillisecond) +
+                         " draining_ms=" + std::to_string(facts.target.draining_for / kMillisecond) + " " +
+                         node.list_text());
     return may;
 }
 
@@ -559,8 +660,9 @@
     target.listed = true;
     target.draining_for = e.draining_since > 0 ? now - e.draining_since : 0;
     target.cold = e.came_up > 0 && now < e.came_up + settings_.module.warm_up;
-    target.cold_sent = static_cast<double>(
-        std::count_if(e.sent.begin(), e.sent.end(), [&](Micros at) { return at > window_begins; }));
+    target.cold_sent = static_cast<double>(std::count_if(e.sent.begin(), e.sent.end(), [&](Micros at) {
+        return at > window_begins;
+    }));
     target.kind = e.kind, target.zone = e.zone, target.cell = e.cell;
     return target;
 }
@@ -583,10 +685,12 @@
 }
 
 void Node::complete(Attempt& a, Outcome outcome, bool finished, decide::ExchangeEnd* end) {
-    if (std::exchange(a.over, true)) return;
+    if (std::exchange(a.over, true))
+        return;
     loop_.cancel(std::exchange(a.timer, 0)), loop_.cancel(std::exchange(a.window, 0));
     const std::string state = deps_.trace && a.exchange ? a.exchange->state() : "";
-    if (a.exchange && a.exchange->take_back()) outcome = Outcome::skipped;
+    if (a.exchange && a.exchange->take_back())
+        outcome = Outcome::skipped;
     a.exchange.reset();  // gives it up at the engine, where it is not over
     Running& r = a.running;
     if (!never_ran(outcome) && !r.ran_since) {
@@ -595,8 +699,10 @@
             r.ran_zone = found->second.zone, r.ran_cell = found->second.cell;
     }
     ++attempts_ended_[decide::name_of(outcome)];
-    if (a.out) r.life.take(Happening::attempt_over);
-    if (const auto found = engines_.find(a.engine); found != engines_.end()) --found->second.out;
+    if (a.out)
+        r.life.take(Happening::attempt_over);
+    if (const auto found = engines_.find(a.engine); found != engines_.end())
+        --found->second.out;
     Completed c{r.id, a.number, a.engine, outcome, loop_.now() - a.sent, finished, 0, 0, std::nullopt};
     if (end) {
         c.report = end->report;
@@ -611,22 +717,27 @@
             (end ? " " + end->why : "") + (state.empty() ? "" : " " + state));
     }
     driver_.post(std::move(c));
-    if (r.life.freeable()) free_later(r.id);
+    if (r.life.freeable())
+        free_later(r.id);
 }
 
 void Node::recall(Attempt& a) {
-    if (!a.over && a.exchange && a.exchange->take_back()) complete(a, Outcome::skipped, a.running.life.finished());
+    if (!a.over && a.exchange && a.exchange->take_back())
+        complete(a, Outcome::skipped, a.running.life.finished());
 }
 
 void Node::withhold(Attempt& a) {
-    if (!a.over && a.exchange && a.exchange->withhold()) complete(a, Outcome::skipped, a.running.life.finished());
+    if (!a.over && a.exchange && a.exchange->withhold())
+        complete(a, Outcome::skipped, a.running.life.finished());
 }
 
 void Node::on_end(Attempt& a, decide::ExchangeEnd end) {
-    if (a.over) return;
+    if (a.over)
+        return;
     Running& r = a.running;
     const Outcome outcome = decide::outcome_of(end.how);
-    if (end.how != How::served || r.life.finished()) return complete(a, outcome, r.life.finished(), &end);
+    if (end.how != How::served || r.life.finished())
+        return complete(a, outcome, r.life.finished(), &end);
     std::string frame = thrift::answer("process", r.seq, end.rows);
     finish(r, std::move(frame), "served");
     complete(a, outcome, true, &end);
@@ -635,36 +746,48 @@
 // ---- Operating it
 
 void Node::tick() {
-    tick_timer_ = loop_.after(kTick, [this] { tick(); });
+    tick_timer_ = loop_.after(kTick, [this] {
+        tick();
+    });
     for (auto it = engines_.begin(); it != engines_.end();) {
         if (!it->second.listed && it->second.out == 0) {
             it = engines_.erase(it);
             continue;
         }
-        if (it->second.link) it->second.link->close_idle();
+        if (it->second.link)
+            it->second.link->close_idle();
         auto& sent = it->second.sent;
-        while (!sent.empty() && sent.front() <= loop_.now() - settings_.module.overload_for) sent.pop_front();
+        while (!sent.empty() && sent.front() <= loop_.now() - settings_.module.overload_for)
+            sent.pop_front();
         ++it;
     }
     look_at_list_age();
-    if (++ticks_ % kStatusTicks == 0) deps_.log(status());
+    if (++ticks_ % kStatusTicks == 0)
+        deps_.log(status());
 }
 
-// Told once for each silence. The list held stays in force, however old (docs/incidents/drain-told-and-not-held.md).
+// Told once for each silence. The list held stays in force, however old
+// (docs/incidents/drain-told-and-not-held.md).
 void Node::look_at_list_age() {
     const bool old = loop_.now() - list_.heard() > kListOld;
-    if (old == std::exchange(list_is_old_, old)) return;
-    deps_.log((old ? "no word of the name service, the list held stays: " : "the name service is heard again: ") + list_text());
+    if (old == std::exchange(list_is_old_, old))
+        return;
+    deps_.log(
+        (old ? "no word of the name service, the list held stays: " : "the name service is heard again: ") +
+        list_text());
 }
 
 // name:module/sockets/connections of each; of a large fleet, those with most attempts out.
 std::string Node::engines_text() const {
     std::vector<const Engine*> shown;
-    for (const auto& [id, e] : engines_) shown.push_back(&e);
+    for (const auto& [id, e] : engines_)
+        shown.push_back(&e);
     const std::size_t all = shown.size();
     if (all > kEnginesShown) {
         std::partial_sort(shown.begin(), shown.begin() + kEnginesShown, shown.end(),
-                          [](const Engine* a, const Engine* b) { return a->out > b->out; });
+                          [](const Engine* a, const Engine* b) {
+                              return a->out > b->out;
+                          });
         shown.resize(kEnginesShown);
     }
     std::string text;
@@ -678,14 +801,18 @@
 std::string Node::status() const {
     std::string ended, attempts, closed;
     std::size_t out = 0;
-    for (const auto& [id, e] : engines_) out += e.out;
-    for (const auto& [how, n] : ended_) ended += " " + how + "=" + std::to_string(n);
-    for (const auto& [how, n] : attempts_ended_) attempts += (attempts.empty() ? "" : ",") + how + ":" + std::to_string(n);
+    for (const auto& [id, e] : engines_)
+        out += e.out;
+    for (const auto& [how, n] : ended_)
+        ended += " " + how + "=" + std::to_string(n);
+    for (const auto& [how, n] : attempts_ended_)
+        attempts += (attempts.empty() ? "" : ",") + how + ":" + std::to_string(n);
     const auto& c = clients_.counters();
     for (std::size_t i = 0; i < c.closed.size(); ++i)
         if (c.closed[i] > 0)
-            closed += (closed.empty() ? "" : ",") + std::string(decide::name_of(static_cast<decide::CloseReason>(i))) +
-                      ":" + std::to_string(c.closed[i]);
+            closed += (closed.empty() ? "" : ",") +
+                      std::string(decide::name_of(static_cast<decide::CloseReason>(i))) + ":" +
+                      std::to_string(c.closed[i]);
     return "requests=" + std::to_string(running_.size()) +
            " clients=" + std::to_string(clients_.connections()) + " " + list_text() +
            " engines(module/sockets/connections)=" + engines_text() + ended +
@@ -695,15 +822,16 @@
            " opened=" + std::to_string(pool_.opened) + " no_connection=" + std::to_string(pool_.refused) +
            " lacked=" + std::to_string(pool_.lacked) + " renewed=" + std::to_string(pool_.renewed) +
            " broken=" + std::to_string(pool_.broken) + " spoilt=" + std::to_string(pool_.spoilt) +
-           " discarded=" + std::to_string(pool_.discarded) +
-           " unasked=" + std::to_string(pool_.unasked) + " bad_lists=" + std::to_string(bad_lists_) +
+           " discarded=" + std::to_string(pool_.discarded) + " unasked=" + std::to_string(pool_.unasked) +
+           " bad_lists=" + std::to_string(bad_lists_) +
            (deps_.log_lines_lost ? " log_lost=" + std::to_string(deps_.log_lines_lost()) : "") +
            " connections=" + std::to_string(pool_.open) + " attempts_out=" + std::to_string(out) +
            " timers=" + std::to_string(loop_.timers()) + " violations=" + violations_.text();
 }
 
 void Node::drain(std::function<void()> done) {
-    if (draining_since_ > 0) return;
+    if (draining_since_ > 0)
+        return;
     draining_since_ = loop_.now();
     drained_ = std::move(done);
     clients_.accept_again();
@@ -713,34 +841,43 @@
 
 void Node::look_drained() {
     const Micros since = loop_.now() - draining_since_;
-    if (since >= restart_.last_answers) end_all();
-    if (since >= restart_.takes_new) clients_.wind_down();
-    if (since >= restart_.stays) clients_.close_listener(since >= restart_.leaves);
-    const bool settled = since >= restart_.stays && !clients_.listens() && running_.empty() && clients_.connections() == 0;
+    if (since >= restart_.last_answers)
+        end_all();
+    if (since >= restart_.takes_new)
+        clients_.wind_down();
+    if (since >= restart_.stays)
+        clients_.close_listener(since >= restart_.leaves);
+    const bool settled =
+        since >= restart_.stays && !clients_.listens() && running_.empty() && clients_.connections() == 0;
     if (settled || since >= restart_.leaves) {
         deps_.log("drained: " + status());
         return drained_();
     }
-    drain_timer_ = loop_.after(kDrainLook, [this] { look_drained(); });
+    drain_timer_ = loop_.after(kDrainLook, [this] {
+        look_drained();
+    });
 }
 
 // What is left is told so while its client can still hear it, and may come again where that is harmless.
 void Node::end_all() {
     std::vector<std::string> left;
     for (const auto& [id, r] : running_)
-        if (!r->life.finished()) left.push_back(id);
+        if (!r->life.finished())
+            left.push_back(id);
     for (const auto& id : left) {
         Running& r = *running_.at(id);
         if (decide::last_word(*r.cls, r.ran_since.has_value() || r.out()) == decide::LastWord::refused)
             refuse(r, 0, "ending");
-        else finish(r, thrift::crashed(r.seq, {}), "failed");
+        else
+            finish(r, thrift::crashed(r.seq, {}), "failed");
         driver_.post(Gone{id});  // the module calls off what is out
     }
 }
 
 std::vector<std::pair<std::size_t, std::size_t>> Node::out_by_engine() const {
     std::vector<std::pair<std::size_t, std::size_t>> out;
-    for (const auto& [id, e] : engines_) out.emplace_back(e.out, e.link ? e.link->open() : 0);
+    for (const auto& [id, e] : engines_)
+        out.emplace_back(e.out, e.link ? e.link->open() : 0);
     return out;
 }
 
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -23,7 +23,7 @@
 namespace gatetiller::node {
 
 struct NodeDeps {
-    std::function<void(const std::string&)> log;    // what an operator reads
+    std::function<void(const std::string&)> log;  // what an operator reads
     // One line for each state change of a request, a connection or the list, with its reason; may be absent.
     std::function<void(const std::string&)> trace;
     std::function<std::uint64_t()> log_lines_lost = nullptr;  // of the log, where it could not be written
@@ -36,23 +36,32 @@
     Node(const Node&) = delete;
     Node& operator=(const Node&) = delete;
 
-    // The address that clients connect to. Where it fails it may be called again, and goes on where it failed.
+    // The address that clients connect to. Where it fails it may be called again, and goes on where it
+    // failed.
     Result<net::Address> start();
-    bool has_list() const { return !list_.engines().empty() || list_.number() > 0; }
-    bool listens() const { return clients_.listens(); }
+    bool has_list() const {
+        return !list_.engines().empty() || list_.number() > 0;
+    }
+    bool listens() const {
+        return clients_.listens();
+    }
     // A new configuration file: the name service's address and the machine's limits. What the module was told
     // at the start (settings, seed) and the address listened on need a restart; a change of them is logged.
     void reload(const NodeSettings& settings);
     // A planned restart: goes on serving while clients still come, refuses after that, ends what it has.
     // `done` once nothing is left. A second call changes nothing.
     void drain(std::function<void()> done);
-    std::size_t requests() const { return running_.size(); }
+    std::size_t requests() const {
+        return running_.size();
+    }
     // By engine: attempts that the module counts as out, and those out on the sockets.
     std::vector<std::pair<std::size_t, std::size_t>> out_by_engine() const;
-    // One line: what the module reckons with and what the sockets hold, by engine (of a large fleet the busiest
-    // alone), and the counts.
+    // One line: what the module reckons with and what the sockets hold, by engine (of a large fleet the
+    // busiest alone), and the counts.
     std::string status() const;
-    const decide::ViolationCounts& violations() const { return violations_; }
+    const decide::ViolationCounts& violations() const {
+        return violations_;
+    }
     void count(decide::Invariant invariant, const std::string& what);  // a guard refused; told in the log
 
 private:
@@ -93,8 +102,10 @@
     void withhold(Attempt& a);
     void complete(Attempt& a, Outcome outcome, bool finished, decide::ExchangeEnd* end = nullptr);
     void on_end(Attempt& a, decide::ExchangeEnd end);
-    void finish(Running& r, std::string frame, const char* how, std::optional<EndReason> reason = std::nullopt);
-    void refuse(Running& r, Micros come_back, const char* how, std::optional<EndReason> reason = std::nullopt);
+    void finish(Running& r, std::string frame, const char* how,
+                std::optional<EndReason> reason = std::nullopt);
+    void refuse(Running& r, Micros come_back, const char* how,
+                std::optional<EndReason> reason = std::nullopt);
     void free_later(const std::string& id);
     void tick();
     void look_at_list_age();
@@ -118,7 +129,7 @@
     std::map<std::pair<Clients::Id, std::int32_t>, std::string> asked_;  // which request a client's number is
     std::size_t statement_bytes_ = 0;
     std::vector<std::string> to_free_;
-    std::map<std::string, std::uint64_t> ended_;  // counts by how
+    std::map<std::string, std::uint64_t> ended_;           // counts by how
     std::map<std::string, std::uint64_t> attempts_ended_;  // counts by outcome
     decide::AttemptGuard guard_;
     decide::ViolationCounts violations_;
--- a/src/platform/settings.cpp
+++ b/src/platform/settings.cpp
@@ -9,7 +9,8 @@
 template <typename T, std::size_t N>
 T named(const std::pair<std::string_view, T> (&table)[N], std::string_view word, std::string_view field) {
     for (const auto& [name, value] : table)
-        if (name == word) return value;
+        if (name == word)
+            return value;
     throw std::runtime_error("unknown word in " + std::string(field) + ": '" + std::string(word) + "'");
 }
 
@@ -42,7 +43,8 @@
 
 template <typename T>
 void at(const Json& array, std::size_t index, T& into) {
-    if (array.is_array() && index < array.size() && !array[index].is_null()) into = array[index].get<T>();
+    if (array.is_array() && index < array.size() && !array[index].is_null())
+        into = array[index].get<T>();
 }
 
 template <typename T>
@@ -135,7 +137,8 @@
 
 std::optional<double> Report::*report_field(std::string_view name) {
     for (const auto& [known, member] : kReportFields)
-        if (known == name) return member;
+        if (known == name)
+            return member;
     return nullptr;
 }
 
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -40,19 +40,19 @@
 constexpr double kKnee = 1.5;  // threads a core, of all fronts, past which an engine is under pressure
 
 // Pressure and weight.
-constexpr double kSlowPressure = 2;  // latency over best at which an engine is under pressure
-constexpr double kBusyShare = 0.9;   // reported share of cores, disks or memory that counts as busy
-constexpr Micros kFullRest = kSecond;  // rest of a full engine: about a long query's run
-constexpr Micros kReportLife = 3 * kSecond;                        // a load report is young for so long
+constexpr double kSlowPressure = 2;          // latency over best at which an engine is under pressure
+constexpr double kBusyShare = 0.9;           // reported share of cores, disks or memory that counts as busy
+constexpr Micros kFullRest = kSecond;        // rest of a full engine: about a long query's run
+constexpr Micros kReportLife = 3 * kSecond;  // a load report is young for so long
 constexpr double kMemoryFill = 0.95, kReckoned = 0.75;  // share that is full; sure part of what others hold
 constexpr double kGrant = 1.25, kGrantFree = 3;  // grant over the estimate; the latter where it is free
 constexpr double kLearn = 0.03;                  // step of what a class costs: about the last thirty answers
-constexpr double kEnoughEstimates = 30;  // with fewer, the mean of a class's work is mostly too low
-constexpr Micros kAimsHeard = 2;  // aims after its first query a class's answers tell of long ones too
-constexpr double kSeedAnswers = 3;        // with fewer, usual work without estimates stays at its seed
-constexpr double kQuiet = 0.3;                   // latencies in the lower 30% hold little contention
-constexpr double kOtherZone = 1.5;               // weight of an engine in another zone, where crossing costs
-constexpr double kCalm = 1.3, kStrained = 1.7;    // run time over a calm one: the part of C grows, shrinks
+constexpr double kEnoughEstimates = 30;          // with fewer, the mean of a class's work is mostly too low
+constexpr Micros kAimsHeard = 2;    // aims after its first query a class's answers tell of long ones too
+constexpr double kSeedAnswers = 3;  // with fewer, usual work without estimates stays at its seed
+constexpr double kQuiet = 0.3;      // latencies in the lower 30% hold little contention
+constexpr double kOtherZone = 1.5;  // weight of an engine in another zone, where crossing costs
+constexpr double kCalm = 1.3, kStrained = 1.7;       // run time over a calm one: the part of C grows, shrinks
 constexpr double kLateLeast = 0.1, kLateMost = 0.3;  // share of attempts late by themselves, likewise
 constexpr double kReachDown = 0.7, kCalmCreep = 1.002;  // a second: part; calm (doubles in 6 minutes)
 constexpr int kForLoad = 2, kMoves = 2;  // a note says that it waits for a load; moves from behind one
@@ -69,8 +69,8 @@
 constexpr double kErrorStep = 0.15, kErrorTrial = 0.1, kErrorShun = 0.25;  // two errors in a row shun
 constexpr Micros kShunFirst = 500 * kMs, kShunMost = 4 * kSecond;
 constexpr Micros kSilentAfter = 600 * kMs;  // a note so long overdue means silence
-constexpr Micros kStall = 200 * kMs;  // no event, timers included: the front stood still
-constexpr double kTimeOutRuns = 6;    // usual runs that a trial may take where nothing can be called off
+constexpr Micros kStall = 200 * kMs;        // no event, timers included: the front stood still
+constexpr double kTimeOutRuns = 6;  // usual runs that a trial may take where nothing can be called off
 constexpr double kLost = 4;  // usual runs, after which a short query without an answer is sent again in time
 constexpr double kRunaway = 3;  // an attempt with more than this many usual runs still to go is called off
 
@@ -84,8 +84,12 @@
 
 // ---- Algorithm 1: the generalized exponential F(x) = (1 - exp(-x/omega))^phi, paper section 3.1 and 3.2
 
-double mean_factor(double phi) { return boost::math::digamma(phi + 1) - boost::math::digamma(1.0); }
-double variance_factor(double phi) { return boost::math::trigamma(1.0) - boost::math::trigamma(phi + 1); }
+double mean_factor(double phi) {
+    return boost::math::digamma(phi + 1) - boost::math::digamma(1.0);
+}
+double variance_factor(double phi) {
+    return boost::math::trigamma(1.0) - boost::math::trigamma(phi + 1);
+}
 
 double cdf(double x, double phi, double omega) {
     return x <= 0 ? 0 : std::exp(phi * std::log1p(-std::exp(-x / omega)));
@@ -114,15 +118,18 @@
         mean = (low + high) / 2;
         const double by_aim = cdf(aim, phi, mean / factor), by_end = cdf(deadline, phi, mean / factor);
         const double eta = ((by_end - by_aim) * kHalf + (1 - by_end)) / target;
-        if (eta >= kZeta && eta <= kTheta) break;
+        if (eta >= kZeta && eta <= kTheta)
+            break;
         (eta < kZeta ? low : high) = mean;
     }
     return mean;
 }
 
 double next_alpha(double alpha, double worst, double best, double mean_cv) {
-    if (worst > kTheta) alpha *= 1 + kBeta;
-    else if (worst < kTheta && best < kZeta) alpha -= kGamma / std::max(mean_cv, kCvLow);
+    if (worst > kTheta)
+        alpha *= 1 + kBeta;
+    else if (worst < kTheta && best < kZeta)
+        alpha -= kGamma / std::max(mean_cv, kCvLow);
     return std::clamp(alpha, kAlphaLow, kAlphaHigh);
 }
 
@@ -130,7 +137,11 @@
 
 namespace {
 
-enum class Side { sensitive, best_effort, behind };
+enum class Side {
+    sensitive,
+    best_effort,
+    behind
+};
 
 struct Attempt {
     int engine = -1;
@@ -139,8 +150,12 @@
     double grant = 0;                          // memory asked for; 0: left to the engine
     bool sensitive = false;
     double progress = 0;
-    double expected() const { return std::max(work / threads, 1.0 * kMs); }
-    double slowness(double lasts) const { return std::clamp(lasts / expected(), 0.2, 20.0); }
+    double expected() const {
+        return std::max(work / threads, 1.0 * kMs);
+    }
+    double slowness(double lasts) const {
+        return std::clamp(lasts / expected(), 0.2, 20.0);
+    }
     Micros heard = 0;  // its last note
     double blame = 0;  // what its error has cost its engine of trust
     bool open = true, spilled = false, failed = false, counted = true;  // counted in this front's part
@@ -165,12 +180,16 @@
     Micros rank = 0;           // and at which place: least first
     bool shed = false;
     bool attempt_out() const {
-        return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.open; });
+        return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) {
+            return a.open;
+        });
     }
 };
 
 struct Engine {
-    bool takes() const { return listed && entry.state == EngineState::on; }
+    bool takes() const {
+        return listed && entry.state == EngineState::on;
+    }
     EngineEntry entry;
     bool listed = false;
     double cores = 1, memory = 0;
@@ -184,15 +203,15 @@
     double errors = 0;  // recent share of errors
     double lot = 1;     // this front's draw for a cold engine's budget
     Micros shun_until = 0, shun_for = 0, full_until = 0, alive = 0, probed = 0, lot_until = 0;
-    bool down = false;  // the last word was that it takes no connection
+    bool down = false;                 // the last word was that it takes no connection
     std::map<int, Micros> turns_away;  // by class: turned away without a crowd, it rests until then
 };
 
 struct ClassState {
-    double cost_ratio = 1, memory_ratio = 1;            // true over estimate
-    double work = 0, raw = 0;                           // usual work and estimate of it
-    Micros since = 0;  // its first query without an estimate came
-    double estimates = 0;  // told
+    double cost_ratio = 1, memory_ratio = 1;     // true over estimate
+    double work = 0, raw = 0;                    // usual work and estimate of it
+    Micros since = 0;                            // its first query without an estimate came
+    double estimates = 0;                        // told
     double ratio = 1, calm = kNever, heard = 0;  // run time over expected: usual, calm; answers heard
     bool sensitive = false;
 };
@@ -220,7 +239,9 @@
 bool holds(const std::optional<std::vector<std::string>>& list, const std::string& name) {
     return !list || std::find(list->begin(), list->end(), name) != list->end();
 }
-void approach(double& value, double seen, double step = kSmooth) { value += step * (seen - value); }
+void approach(double& value, double seen, double step = kSmooth) {
+    value += step * (seen - value);
+}
 
 }  // namespace
 
@@ -257,20 +278,28 @@
     double crowd = kKnee, pace = 1, drag = 1, fleet_cores = 0;
     // This front's part of C where nothing reports: in even parts; and what moves it.
     double reach = 1, strain = 1, late = 0;  // late: share of attempts that missed their aim by themselves
-    bool bound = false;  // since the last move a request waited for the part
+    bool bound = false;                      // since the last move a request waited for the part
     double out_threads = 0, probe_credit = 1, shortest_aim = kNever;
     int out_of_side[2] = {0, 0};
 
-    double run_time(const Request& r) const { return r.cost / s.classes[r.cls].threads; }
-    Stream& stream_of(const Request& r) { return streams[r.cls * tenants.size() + r.tenant]; }
-    double uniform() { return static_cast<double>(rng() >> 11) * 0x1p-53; }
+    double run_time(const Request& r) const {
+        return r.cost / s.classes[r.cls].threads;
+    }
+    Stream& stream_of(const Request& r) {
+        return streams[r.cls * tenants.size() + r.tenant];
+    }
+    double uniform() {
+        return static_cast<double>(rng() >> 11) * 0x1p-53;
+    }
 
     Front(Micros at, std::uint64_t seed, Settings settings) : s(std::move(settings)), now(at), rng(seed) {
-        if (s.classes.empty() || s.siblings < 1) throw std::invalid_argument("no classes or no fronts");
+        if (s.classes.empty() || s.siblings < 1)
+            throw std::invalid_argument("no classes or no fronts");
         for (const ClassSettings& c : s.classes)
             if (c.threads <= 0 || c.deadline <= 0 || c.aim <= 0 || c.aim > c.deadline)
                 throw std::invalid_argument("class " + c.name + ": aim, deadline or threads don't fit");
-            else shortest_aim = std::min(shortest_aim, static_cast<double>(c.aim));
+            else
+                shortest_aim = std::min(shortest_aim, static_cast<double>(c.aim));
         classes.resize(s.classes.size());
         tenants.resize(std::max<std::size_t>(1, s.tenants.size()));
         for (std::size_t t = 0; t < s.tenants.size(); ++t)
@@ -280,13 +309,16 @@
     }
 
     void start() {
-        if (s.ask_discovery) actions.push_back(Observe{}), asked = now;
+        if (s.ask_discovery)
+            actions.push_back(Observe{}), asked = now;
         actions.push_back(SetTimer{kTick, 0});
     }
 
     // ---- The guard: the only path that sends, refuses or fails keeps the seven rules
 
-    bool is_cold(const Engine& e) const { return e.entry.came_up > 0 && now < e.entry.came_up + s.warm_up; }
+    bool is_cold(const Engine& e) const {
+        return e.entry.came_up > 0 && now < e.entry.came_up + s.warm_up;
+    }
 
     // What a query is taken to cost a cold engine. While nothing has told its work it may take as long as
     // its aim: a front that has just started must not push one over by a guess, nor by its first answers,
@@ -298,7 +330,8 @@
         const ClassSettings& c = s.classes[r.cls];
         if (k.raw > 0) {
             const double usual_work = std::max(k.work, k.raw * k.cost_ratio);
-            if (k.estimates >= kEnoughEstimates) return (r.cost + usual_work) / 2;
+            if (k.estimates >= kEnoughEstimates)
+                return (r.cost + usual_work) / 2;
             return std::max(r.cost, usual_work * (1 + 1 / std::sqrt(k.estimates)));
         }
         const bool answered = k.heard >= kSeedAnswers && now >= k.since + kAimsHeard * c.aim;
@@ -318,24 +351,30 @@
     }
 
     bool may_try_again(const Request& r) const {
-        if (r.finished || r.streaming || now >= r.deadline) return false;
+        if (r.finished || r.streaming || now >= r.deadline)
+            return false;
         const bool spent = static_cast<int>(r.attempts.size()) >= s.attempts_cap;
-        if (spent || r.attempt_out()) return false;  // no second copy, though may_duplicate may allow one
+        if (spent || r.attempt_out())
+            return false;       // no second copy, though may_duplicate may allow one
         if (r.bound_to >= 0) {  // something may have run
-            if (s.classes[r.cls].effect == Effect::once) return false;
+            if (s.classes[r.cls].effect == Effect::once)
+                return false;
             if (s.classes[r.cls].effect == Effect::by_key && now >= r.bound_since + s.classes[r.cls].window)
                 return false;
         }
         if (!r.attempts.empty() && s.extra_free && s.extra_per_request) {
             const double allowed = *s.extra_free + *s.extra_per_request * static_cast<double>(taken.size());
-            if (static_cast<double>(further.size() + 1) > allowed) return false;
+            if (static_cast<double>(further.size() + 1) > allowed)
+                return false;
         }
         return true;
     }
 
     bool has_turn(const Request& r) const {
-        if (!r.in_line) return true;
-        if (requests[lines.at(r.key).front()].seq != r.seq) return false;
+        if (!r.in_line)
+            return true;
+        if (requests[lines.at(r.key).front()].seq != r.seq)
+            return false;
         const auto rest = rests.find(r.key);  // for later requests, not for further tries of this one
         return !r.attempts.empty() || rest == rests.end() || now >= rest->second;
     }
@@ -343,34 +382,42 @@
     bool may_send(const Request& r, int index) const {
         const Engine& e = engines[index];
         const ClassSettings& c = s.classes[r.cls];
-        if (!e.takes()) return false;
-        if (!holds(c.served_on, e.entry.kind) || !holds(c.azs_open, e.entry.zone)) return false;
+        if (!e.takes())
+            return false;
+        if (!holds(c.served_on, e.entry.kind) || !holds(c.azs_open, e.entry.zone))
+            return false;
         if (r.bound_to >= 0 && c.effect == Effect::by_key) {
             const EngineEntry& first = engines[r.bound_to].entry;
-            if (c.key_scope != Scope::all && first.zone != e.entry.zone) return false;
-            if (c.key_scope == Scope::cell && first.cell != e.entry.cell) return false;
+            if (c.key_scope != Scope::all && first.zone != e.entry.zone)
+                return false;
+            if (c.key_scope == Scope::cell && first.cell != e.entry.cell)
+                return false;
         }
         if (is_cold(e)) {
             const double work = e.cold.empty() ? first_cold_work(r) : cold_work(r);
             const double budget = cold_budget(e), part = budget / s.siblings;
             double sum = work;
-            for (const auto& [at, sent] : e.cold) sum += sent;
+            for (const auto& [at, sent] : e.cold)
+                sum += sent;
             // A part smaller than a query is drawn for: so many fronts may send one that all parts are used.
             const bool drawn = e.cold.empty() && work <= kLotMost * budget && e.lot * work <= part;
-            if (sum > part && !drawn) return false;
+            if (sum > part && !drawn)
+                return false;
         }
         return may_try_again(r);
     }
 
     bool may_refuse(const Request& r) const {
         const ClassSettings& c = s.classes[r.cls];
-        if (c.effect == Effect::repeatable || (r.bound_to < 0 && !r.attempt_out())) return true;
+        if (c.effect == Effect::repeatable || (r.bound_to < 0 && !r.attempt_out()))
+            return true;
         return c.effect == Effect::by_key && c.key_scope == Scope::all;
     }
 
     void send(int slot, int index) {
         Request& r = requests[slot];
-        if (!may_send(r, index)) return;
+        if (!may_send(r, index))
+            return;
         Engine& e = engines[index];
         unqueue(slot);
         const double most = s.largest_share * e.memory;
@@ -383,8 +430,10 @@
             r.priority = priority;
         }
         actions.push_back(Send{r.id, e.entry.id, time_out(r, e)});
-        if (!r.attempts.empty()) further.push_back(now);
-        if (is_cold(e)) e.cold.emplace_back(now, cold_work(r));
+        if (!r.attempts.empty())
+            further.push_back(now);
+        if (is_cold(e))
+            e.cold.emplace_back(now, cold_work(r));
         const double width = s.classes[r.cls].threads;
         r.attempts.push_back({index, now, r.cost, width, r.memory, grant, classes[r.cls].sensitive});
         out_threads += width, ++out_of_side[classes[r.cls].sensitive];
@@ -394,7 +443,8 @@
 
     void end(int slot, EndReason reason) {
         Request& r = requests[slot];
-        if (r.finished) return;
+        if (r.finished)
+            return;
         unqueue(slot);
         if (may_refuse(r)) {
             const double hint = static_cast<double>(s.max_retry_after) * (0.5 + 0.5 * uniform());
@@ -417,26 +467,32 @@
         const Request& r = requests[slot];
         if (s.may_cancel && !r.streaming)
             for (std::size_t i = 0; i < r.attempts.size(); ++i)
-                if (r.attempts[i].open) actions.push_back(Cancel{r.id, static_cast<int>(i)});
+                if (r.attempts[i].open)
+                    actions.push_back(Cancel{r.id, static_cast<int>(i)});
         free_if_over(slot);
     }
 
     // ---- Estimates and streams
 
-    bool learns_need() const { return !s.cost_in_answers && s.when_short != WhenShort::swap; }
+    bool learns_need() const {
+        return !s.cost_in_answers && s.when_short != WhenShort::swap;
+    }
 
     // Where needs aren't told, notes of spilling do: what was granted and missing. Guards against estimates
     // too low. Harm: an engine that gives less makes needs look larger, to an even part of its memory for C.
     void learn_need(const Request& r, Attempt& a, double missing) {
-        if (std::exchange(a.spilled, true) || !learns_need() || a.grant <= 0 || r.raw_memory <= 0) return;
+        if (std::exchange(a.spilled, true) || !learns_need() || a.grant <= 0 || r.raw_memory <= 0)
+            return;
         const Engine& e = engines[a.engine];
-        if (a.grant > e.memory * a.threads / (kThreadsPerCore * e.cores)) return;
+        if (a.grant > e.memory * a.threads / (kThreadsPerCore * e.cores))
+            return;
         approach(classes[r.cls].memory_ratio, std::min((a.grant + missing) / r.raw_memory, 20.0));
     }
 
     void learn(Request& r, const Attempt& a, const Completed& c) {
         ClassState& k = classes[r.cls];
-        if (learns_need() && a.grant > 0 && !a.spilled) k.memory_ratio *= 1 - kLearn * kQuiet;
+        if (learns_need() && a.grant > 0 && !a.spilled)
+            k.memory_ratio *= 1 - kLearn * kQuiet;
         if (c.work_ms > 0) {
             if (r.raw_cost > 0)
                 approach(k.cost_ratio, std::clamp(c.work_ms * kMs / r.raw_cost, 0.05, 20.0), kLearn);
@@ -458,10 +514,13 @@
         const double told = c.work_ms * kMs, known = told > 0 ? told : r.raw_cost;
         const double base = known > 0 ? known : static_cast<double>(s.classes[r.cls].aim);
         double ratio = static_cast<double>(std::max<Micros>(c.taken, 1)) * a.threads / base;
-        if (k.heard > 0) ratio = std::min(ratio, kRunaway * k.ratio);
+        if (k.heard > 0)
+            ratio = std::min(ratio, kRunaway * k.ratio);
         approach(k.ratio, ratio, std::max(kLearn, 1 / ++k.heard));
-        if (known <= 0 && k.heard > kSeedAnswers) k.work = k.ratio * base;  // nothing else tells it
-        if (k.heard < kFewSamples && told <= 0) return;
+        if (known <= 0 && k.heard > kSeedAnswers)
+            k.work = k.ratio * base;  // nothing else tells it
+        if (k.heard < kFewSamples && told <= 0)
+            return;
         k.calm = told > 0 ? 1 : std::min(k.calm, k.ratio);
         approach(strain, ratio / k.calm);
     }
@@ -470,9 +529,12 @@
     // strain or, with costs not told and strain so relative, attempts are late by themselves. Guards against
     // uneven fronts and jams that came before any calm. Harm: strain of a few slow engines shrinks it too.
     void move_reach() {
-        if (s.reports != ReportSource::none) return;
-        for (ClassState& k : classes) k.calm *= kCalmCreep;
-        if (strain > kStrained || late > kLateMost) reach = std::max(1.0, reach * kReachDown);
+        if (s.reports != ReportSource::none)
+            return;
+        for (ClassState& k : classes)
+            k.calm *= kCalmCreep;
+        if (strain > kStrained || late > kLateMost)
+            reach = std::max(1.0, reach * kReachDown);
         else if (bound && strain < kCalm && late < kLateLeast)
             reach = std::min(reach * (1 + kBeta), 1.0 * s.siblings);
         bound = false;
@@ -510,7 +572,8 @@
         for (std::size_t k = 0; k < classes.size(); ++k) {
             const double limit = kSensitiveRun * (classes[k].sensitive ? 1 + kSwitch : 1 - kSwitch);
             classes[k].sensitive = classes[k].work / s.classes[k].threads < limit;
-            for (std::size_t t = 0; t < tenants.size(); ++t) fit_stream(streams[k * tenants.size() + t], k);
+            for (std::size_t t = 0; t < tenants.size(); ++t)
+                fit_stream(streams[k * tenants.size() + t], k);
         }
     }
 
@@ -518,30 +581,35 @@
         double worst = -1, best = 1e9, cv = 0, count = 0;
         for (std::size_t i = 0; i < streams.size(); ++i) {
             const Stream& t = streams[i];
-            if (!classes[i / tenants.size()].sensitive || !t.enough) continue;
+            if (!classes[i / tenants.size()].sensitive || !t.enough)
+                continue;
             worst = std::max(worst, t.eta), best = std::min(best, t.eta);
             cv += t.cv, count += 1;
         }
-        if (count > 0 && first_all > kSeedCount) alpha = next_alpha(alpha, worst, best, cv / count);
+        if (count > 0 && first_all > kSeedCount)
+            alpha = next_alpha(alpha, worst, best, cv / count);
     }
 
     // ---- Health
 
     // Left alone for doubling waits, then tried with one request at a time.
     void shun(Engine& e) {
-        if (now < e.shun_until) return;
+        if (now < e.shun_until)
+            return;
         e.shun_for = std::clamp(e.shun_for * 2, kShunFirst, kShunMost);
         e.shun_until = now + e.shun_for;
         e.errors = std::max(e.errors, kErrorShun);
     }
 
     void take_report(Engine& e, const std::optional<Report>& report) {
-        if (e.alive = now; !report) return;
+        if (e.alive = now; !report)
+            return;
         e.report = *report, e.reported = heard = now;
         auto& there = e.report.concurrent;  // where not told, from its cores: busy is at the knee
         if (const auto busy = report->load_share; !there && busy)
             there = *busy / kBusyShare * kKnee * e.cores / usual.threads + report->depth.value_or(0);
-        if (there) approach(crowd, *there * usual.threads / e.cores, kCrowdStep);
+        if (there)
+            approach(crowd, *there * usual.threads / e.cores, kCrowdStep);
         e.out_at_report = static_cast<int>(e.out.size());
     }
 
@@ -559,11 +627,14 @@
     // where many engines fail at once, each is found out later.
     void blame(Engine& e, Request& r, Attempt& a) {
         a.failed = true;
-        const auto elsewhere = [&](const Attempt& b) { return b.failed && b.engine != a.engine; };
+        const auto elsewhere = [&](const Attempt& b) {
+            return b.failed && b.engine != a.engine;
+        };
         if (std::none_of(r.attempts.begin(), r.attempts.end(), elsewhere)) {
             a.blame = kErrorStep * (1 - e.errors);
             e.errors += a.blame;
-            if (e.errors >= kErrorShun) shun(e);
+            if (e.errors >= kErrorShun)
+                shun(e);
             return;
         }
         for (Attempt& b : r.attempts) {
@@ -577,30 +648,38 @@
         e.down = o == Outcome::econnrefused || (e.down && o != Outcome::done);
         if (o == Outcome::done) {
             e.errors *= 1 - kErrorStep;
-            if (e.errors < kErrorTrial) e.shun_for = 0;
+            if (e.errors < kErrorTrial)
+                e.shun_for = 0;
         } else if (o == Outcome::err) {
             blame(e, r, a);
-        } else if (o == Outcome::busy) rest(e, r.cls);
+        } else if (o == Outcome::busy)
+            rest(e, r.cls);
         const bool silent = o == Outcome::etimedout && e.alive < a.sent;  // no sign of life since
-        if (silent || o == Outcome::econnrefused || o == Outcome::econnreset) shun(e);
+        if (silent || o == Outcome::econnrefused || o == Outcome::econnreset)
+            shun(e);
     }
 
     bool ready(const Engine& e) const {
         return now >= e.shun_until && (e.errors < kErrorTrial || e.out.empty());
     }
 
-    double usual_slow() const { return std::max(1.0, pace); }  // what all share is no engine's fault
+    double usual_slow() const {
+        return std::max(1.0, pace);
+    }  // what all share is no engine's fault
 
     // ---- Pick and cap
 
     void release(Attempt& a) {
-        if (!std::exchange(a.counted, false)) return;
+        if (!std::exchange(a.counted, false))
+            return;
         out_threads -= a.threads, --out_of_side[a.sensitive];
     }
 
     bool under_pressure(const Engine& e) const {
-        if (e.slow > kSlowPressure) return true;
-        if (now - e.reported > kReportLife) return false;
+        if (e.slow > kSlowPressure)
+            return true;
+        if (now - e.reported > kReportLife)
+            return false;
         const Report& p = e.report;
         return p.load_share.value_or(0) > kBusyShare || p.disks_busy.value_or(0) > kBusyShare ||
                p.memory_granted.value_or(0) > kBusyShare || p.depth.value_or(0) >= 1;
@@ -615,28 +694,37 @@
         return told + (usual_there - told) * std::min(1.0, static_cast<double>(now - e.reported) / life);
     }
     // With no young report the fleet is taken to be at the knee: each front keeps to its part of C.
-    bool heard_lately() const { return now - heard <= kReportLife; }
-    double crowded() const { return heard_lately() ? crowd : kKnee; }
+    bool heard_lately() const {
+        return now - heard <= kReportLife;
+    }
+    double crowded() const {
+        return heard_lately() ? crowd : kKnee;
+    }
     double others(const Engine& e) const {
         return s.siblings < 2 ? 0 : std::max(0.0, reported(e) - e.out_at_report);
     }
 
     bool has_room(const Engine& e, const Request& r) {
         const auto turned = e.turns_away.find(r.cls);
-        if (turned != e.turns_away.end() && now < turned->second) return false;
+        if (turned != e.turns_away.end() && now < turned->second)
+            return false;
         // Jammed: work that no front counts any more runs on there, left by time-outs or by a dead front.
-        if (now < e.full_until || reported(e) * usual.threads > kJam * e.cores) return false;
+        if (now < e.full_until || reported(e) * usual.threads > kJam * e.cores)
+            return false;
         const double elsewhere = others(e);  // a guess if nothing was heard, which must not fill memory
         const double taken_mb = e.granted + (heard_lately() ? kReckoned * elsewhere * usual.memory : 0);
-        if (e.memory > 0 && taken_mb > 0 && taken_mb + r.memory > kMemoryFill * e.memory) return false;
+        if (e.memory > 0 && taken_mb > 0 && taken_mb + r.memory > kMemoryFill * e.memory)
+            return false;
         const double width = s.classes[r.cls].threads, threads = e.threads + width;
-        if (!under_pressure(e) && threads + elsewhere * usual.threads <= kKnee * e.cores) return true;
+        if (!under_pressure(e) && threads + elsewhere * usual.threads <= kKnee * e.cores)
+            return true;
         // Where fronts outnumber threads, C for each engine is under one query: it binds over the fleet too.
         // Sensitive queries pass while reports tell of room, best-effort ones wait while they tell of none. A
         // jammed engine reports nothing, as it answers nothing: notes that crawl tell of it too.
         const double part = kThreadsPerCore / s.siblings * reach;
         const bool quick = classes[r.cls].sensitive, room = crowded() < kKnee && drag < 2 * kSlowPressure;
-        if (!quick && crowded() > kThreadsPerCore) return false;
+        if (!quick && crowded() > kThreadsPerCore)
+            return false;
         if (!(quick && room) && out_of_side[quick] > 0 && out_threads + width > part * fleet_cores) {
             bound = true;
             return false;
@@ -666,26 +754,36 @@
 
     int pick(const Request& r) {
         int bad = 0;
-        for (const Engine& e : engines) bad += e.takes() ? (ready(e) ? -1 : 1) : 0;
+        for (const Engine& e : engines)
+            bad += e.takes() ? (ready(e) ? -1 : 1) : 0;
         std::vector<int> able;  // where most look bad the cause is likely shared, and none is shunned
         for (int i = 0; i < static_cast<int>(engines.size()); ++i)
             if (const Engine& e = engines[i];
                 (ready(e) || (bad > 0 && !e.down)) && may_send(r, i) && has_room(e, r))
                 able.push_back(i);
-        if (able.size() > 1 && !r.attempts.empty()) std::erase(able, r.attempts.back().engine);
-        if (able.empty()) return -1;
-        const auto draw = [&] { return able[rng() % able.size()]; };
+        if (able.size() > 1 && !r.attempts.empty())
+            std::erase(able, r.attempts.back().engine);
+        if (able.empty())
+            return -1;
+        const auto draw = [&] {
+            return able[rng() % able.size()];
+        };
         const int first = draw();
-        if (able.size() > 1) std::erase(able, first);
+        if (able.size() > 1)
+            std::erase(able, first);
         const int second = draw();
         return load(engines[first], r) <= load(engines[second], r) ? first : second;
     }
 
     int priority_of(const Request& r) const {
-        if (r.over_share || now > r.aim) return 0;
-        const auto dense = [&](std::size_t k) { return s.classes[k].value / std::max(classes[k].work, 1.0); };
+        if (r.over_share || now > r.aim)
+            return 0;
+        const auto dense = [&](std::size_t k) {
+            return s.classes[k].value / std::max(classes[k].work, 1.0);
+        };
         for (std::size_t k = 0; k < classes.size(); ++k)
-            if (dense(k) > dense(r.cls)) return classes[r.cls].sensitive ? 2 : 1;
+            if (dense(k) > dense(r.cls))
+                return classes[r.cls].sensitive ? 2 : 1;
         return 3;
     }
 
@@ -693,20 +791,24 @@
     Micros time_out(const Request& r, const Engine& e) const {
         const bool last = static_cast<int>(r.attempts.size()) + 1 >= s.attempts_cap;
         const bool stays = s.may_cancel || last || s.classes[r.cls].effect == Effect::once;
-        if (stays || e.errors < kErrorTrial) return r.deadline - now;
+        if (stays || e.errors < kErrorTrial)
+            return r.deadline - now;
         return std::min(r.deadline - now, static_cast<Micros>(kTimeOutRuns * run_time(r) * usual_slow()));
     }
 
     // ---- Slots: alpha splits them between earliest-due sensitive streams and best-effort tenants in turn
 
     std::set<Key>& held_with(const Request& r) {
-        if (r.side == Side::behind) return behind;
+        if (r.side == Side::behind)
+            return behind;
         return r.side == Side::sensitive ? sensitive : tenants[r.tenant].queue;
     }
 
     // Over its share or too late for its aim: waits behind both sides. By due time alone the long overdue go
     // first, and soon nothing is in time. Harm: where costs are overestimated, what is in time waits too.
-    bool gives_way(const Request& r) const { return r.shed || r.over_share || now + run_time(r) > r.aim; }
+    bool gives_way(const Request& r) const {
+        return r.shed || r.over_share || now + run_time(r) > r.aim;
+    }
 
     // Work for each unit of worth still to be had.
     double price(const Request& r) const {
@@ -717,7 +819,8 @@
 
     void queue(int slot) {
         Request& r = requests[slot];
-        if (r.queued || r.finished) return;
+        if (r.queued || r.finished)
+            return;
         r.queued = true;
         r.side = gives_way(r) ? Side::behind : classes[r.cls].sensitive ? Side::sensitive : Side::best_effort;
         r.rank = r.side == Side::behind ? static_cast<Micros>(price(r)) : r.due;
@@ -726,7 +829,8 @@
 
     void unqueue(int slot) {
         Request& r = requests[slot];
-        if (!r.queued) return;
+        if (!r.queued)
+            return;
         r.queued = false;
         held_with(r).erase({r.rank, r.seq, slot});
     }
@@ -734,11 +838,14 @@
     bool serve_from(std::set<Key>& held) {
         std::size_t looked = 0;
         for (const auto& [rank, age, slot] : held) {
-            if (++looked > kScan) break;
+            if (++looked > kScan)
+                break;
             const Request& r = requests[slot];
-            if (now < r.not_before) continue;
+            if (now < r.not_before)
+                continue;
             const int e = pick(r);
-            if (e < 0) continue;
+            if (e < 0)
+                continue;
             if (r.side == Side::best_effort)
                 tenants[r.tenant].pass +=
                     r.cost / std::max(s.tenants.empty() ? 1 : s.tenants[r.tenant].share, 0.01);
@@ -749,13 +856,16 @@
     }
 
     bool serve(Side side) {
-        if (side != Side::best_effort) return serve_from(side == Side::sensitive ? sensitive : behind);
+        if (side != Side::best_effort)
+            return serve_from(side == Side::sensitive ? sensitive : behind);
         std::vector<std::pair<double, std::size_t>> turn;  // the tenant least served for its share goes first
         for (std::size_t k = 0; k < tenants.size(); ++k)
-            if (!tenants[k].queue.empty()) turn.emplace_back(tenants[k].pass, k);
+            if (!tenants[k].queue.empty())
+                turn.emplace_back(tenants[k].pass, k);
         std::sort(turn.begin(), turn.end());
-        return std::any_of(turn.begin(), turn.end(),
-                           [&](const auto& next) { return serve_from(tenants[next.second].queue); });
+        return std::any_of(turn.begin(), turn.end(), [&](const auto& next) {
+            return serve_from(tenants[next.second].queue);
+        });
     }
 
     void dispatch() {
@@ -771,7 +881,8 @@
 
     void free_if_over(int slot) {
         Request& r = requests[slot];
-        if (!r.used || !r.finished || r.attempt_out() || r.in_line) return;
+        if (!r.used || !r.finished || r.attempt_out() || r.in_line)
+            return;
         ids.erase(r.id);
         r.used = false;
         spare.push_back(slot);
@@ -780,9 +891,12 @@
     // Decides what an unfinished request with nothing out waits for: its turn, a slot, or its end.
     void settle(int slot) {
         Request& r = requests[slot];
-        if (r.finished || r.attempt_out() || r.queued) return;
-        if (!may_try_again(r)) return end(slot, EndReason::no_tries_left);
-        if (has_turn(r)) queue(slot);
+        if (r.finished || r.attempt_out() || r.queued)
+            return;
+        if (!may_try_again(r))
+            return end(slot, EndReason::no_tries_left);
+        if (has_turn(r))
+            queue(slot);
     }
 
     // Under overload both sides would hold more than can be served in time. What costs most for its worth
@@ -797,7 +911,8 @@
         const double limit = fleet_cores / s.siblings * kBacklog * shortest_aim;
         std::sort(held.rbegin(), held.rend());
         for (const auto& [price, slot] : held) {
-            if (work <= limit) break;
+            if (work <= limit)
+                break;
             work -= requests[slot].cost;
             requests[slot].shed = true;
             unqueue(slot), queue(slot);
@@ -813,23 +928,31 @@
                 free_if_over(line.front());
                 line.pop_front();
             }
-            if (!line.empty()) settle(line.front());
+            if (!line.empty())
+                settle(line.front());
             it = line.empty() ? lines.erase(it) : std::next(it);
         }
-        std::erase_if(rests, [&](const auto& rest) { return now >= rest.second; });
+        std::erase_if(rests, [&](const auto& rest) {
+            return now >= rest.second;
+        });
         for (std::size_t i = 0; i < requests.size(); ++i) {
             Request& r = requests[i];
             const int slot = static_cast<int>(i);
-            if (!r.used || r.finished || r.streaming) continue;
+            if (!r.used || r.finished || r.streaming)
+                continue;
             const ClassSettings& c = s.classes[r.cls];
             const bool worthless = c.late_share <= 0 && now > r.aim;
             if (!r.attempt_out()) {
-                const bool out_of_time = now + kAnswerMargin >= r.deadline ||
-                                         now + static_cast<Micros>(run_time(r)) > r.deadline;
-                if (out_of_time) end(slot, EndReason::out_of_time);
-                else if (worthless) end(slot, EndReason::worthless);
-                else if (!may_try_again(r)) end(slot, EndReason::no_tries_left);
-                else if (r.queued && r.side != Side::behind && gives_way(r)) unqueue(slot), queue(slot);
+                const bool out_of_time =
+                    now + kAnswerMargin >= r.deadline || now + static_cast<Micros>(run_time(r)) > r.deadline;
+                if (out_of_time)
+                    end(slot, EndReason::out_of_time);
+                else if (worthless)
+                    end(slot, EndReason::worthless);
+                else if (!may_try_again(r))
+                    end(slot, EndReason::no_tries_left);
+                else if (r.queued && r.side != Side::behind && gives_way(r))
+                    unqueue(slot), queue(slot);
             } else if (worthless && s.may_cancel && c.effect == Effect::repeatable) {
                 end(slot, EndReason::worthless);
             } else if (s.priorities && priority_of(r) != r.priority) {
@@ -841,7 +964,8 @@
             approach(e.slow, 1, static_cast<double>(kTick) / kWindowSpan);  // what is not seen again fades
             for (const auto& [slot, n] : e.out) {  // what is stuck must not bar other engines
                 Attempt& a = requests[slot].attempts[n];
-                if (static_cast<double>(now - a.sent) > kOverdue * (a.expected() + kSecond)) release(a);
+                if (static_cast<double>(now - a.sent) > kOverdue * (a.expected() + kSecond))
+                    release(a);
                 // No word of this one while its engine lives: its answer is lost, however long it waits.
                 // Harm: an engine that notes some and forgets others loses their tries. A short query ends
                 // before any note: it is overdue by its usual run, and sent again while its aim can be met.
@@ -853,18 +977,24 @@
                 const bool overdue = s.classes[r.cls].late_share <= 0 && a.heard == 0 && a.sent >= woke &&
                                      static_cast<double>(now - a.sent) > kLost * usual_run &&
                                      now + static_cast<Micros>(run_time(r)) <= r.aim;
-                if ((lost || overdue) && may_move(r)) actions.push_back(Cancel{r.id, n});
+                if ((lost || overdue) && may_move(r))
+                    actions.push_back(Cancel{r.id, n});
             }
-            while (!e.cold.empty() && e.cold.front().first < now - s.overload_for) e.cold.pop_front();
-            if (now >= e.lot_until) e.lot = uniform(), e.lot_until = now + s.overload_for;
+            while (!e.cold.empty() && e.cold.front().first < now - s.overload_for)
+                e.cold.pop_front();
+            if (now >= e.lot_until)
+                e.lot = uniform(), e.lot_until = now + s.overload_for;
             // No note and no answer from an engine that holds work: silent. What may move is called off.
-            if (s.note_period <= 0 || e.out.empty()) continue;
+            if (s.note_period <= 0 || e.out.empty())
+                continue;
             const Micros silence = s.note_period + kSilentAfter;
             const Attempt& oldest = requests[e.out.front().first].attempts[e.out.front().second];
-            if (now - std::max({oldest.sent, e.alive, woke}) < silence) continue;
+            if (now - std::max({oldest.sent, e.alive, woke}) < silence)
+                continue;
             shun(e);
             for (const auto& [slot, n] : e.out)
-                if (may_move(requests[slot])) actions.push_back(Cancel{requests[slot].id, n});
+                if (may_move(requests[slot]))
+                    actions.push_back(Cancel{requests[slot].id, n});
         }
     }
 
@@ -876,14 +1006,18 @@
     }
 
     void on(const ListChange& c) {
-        if (c.form != ListForm::warm_copy) subscribed = c.form != ListForm::lost;
+        if (c.form != ListForm::warm_copy)
+            subscribed = c.form != ListForm::lost;
         if (c.form == ListForm::total || c.form == ListForm::warm_copy)
-            for (Engine& e : engines) e.listed = false;
+            for (Engine& e : engines)
+                e.listed = false;
         for (const EngineEntry& entry : c.engines) {
             const auto [place, fresh] = engine_index.try_emplace(entry.id, static_cast<int>(engines.size()));
-            if (fresh) engines.emplace_back().alive = now;
+            if (fresh)
+                engines.emplace_back().alive = now;
             Engine& e = engines[place->second];
-            if (fresh) e.probed = now - static_cast<Micros>((1 + uniform()) * kProbeEvery);
+            if (fresh)
+                e.probed = now - static_cast<Micros>((1 + uniform()) * kProbeEvery);
             if (entry.came_up > e.entry.came_up) {  // a fresh process: nothing known of the old one holds
                 e.shun_until = e.shun_for = e.full_until = 0;
                 e.errors = 0, e.slow = 1, e.down = false, e.turns_away.clear();
@@ -891,25 +1025,33 @@
             e.entry = entry;
             e.listed = entry.state != EngineState::off;
             for (const KindSettings& k : s.kinds)
-                if (k.name == entry.kind) e.cores = std::max(1.0, k.cores), e.memory = k.memory_mb;
+                if (k.name == entry.kind)
+                    e.cores = std::max(1.0, k.cores), e.memory = k.memory_mb;
         }
         fleet_cores = 0;
-        for (const Engine& e : engines) fleet_cores += e.listed ? e.cores : 0;
+        for (const Engine& e : engines)
+            fleet_cores += e.listed ? e.cores : 0;
     }
 
     void on(const Demand& d) {
-        const auto called = [&](const ClassSettings& c) { return c.name == d.type; };
+        const auto called = [&](const ClassSettings& c) {
+            return c.name == d.type;
+        };
         const auto type = std::find_if(s.classes.begin(), s.classes.end(), called);
-        if (type == s.classes.end() || ids.contains(d.id)) return;
+        if (type == s.classes.end() || ids.contains(d.id))
+            return;
         int slot = static_cast<int>(requests.size());
-        if (spare.empty()) requests.emplace_back();
-        else slot = spare.back(), spare.pop_back();
+        if (spare.empty())
+            requests.emplace_back();
+        else
+            slot = spare.back(), spare.pop_back();
         Request& r = requests[slot];
         r = Request{};
         r.used = true, r.id = d.id, r.seq = ++seq;
         r.cls = static_cast<int>(type - s.classes.begin());
         for (std::size_t t = 0; t < s.tenants.size(); ++t)
-            if (s.tenants[t].name == d.tenant) r.tenant = static_cast<int>(t);
+            if (s.tenants[t].name == d.tenant)
+                r.tenant = static_cast<int>(t);
         ids.emplace(r.id, slot);
         taken.push_back(now);
         probe_credit = std::min(probe_credit + kProbeShare, 2.0);
@@ -917,12 +1059,15 @@
         ClassState& k = classes[r.cls];
         if (d.cost && *d.cost > 0) {
             r.raw_cost = static_cast<double>(*d.cost);
-            if (k.raw <= 0) k.raw = k.work = r.raw_cost;
+            if (k.raw <= 0)
+                k.raw = k.work = r.raw_cost;
             approach(k.raw, r.raw_cost, std::max(kLearn, 1 / ++k.estimates));
-            if (!s.cost_in_answers) k.work = k.raw * k.cost_ratio;
+            if (!s.cost_in_answers)
+                k.work = k.raw * k.cost_ratio;
             r.cost = r.raw_cost * k.cost_ratio;
         } else {
-            if (k.work <= 0) k.work = static_cast<double>(c.aim) * c.threads / 4, k.since = now;
+            if (k.work <= 0)
+                k.work = static_cast<double>(c.aim) * c.threads / 4, k.since = now;
             r.cost = k.work;
         }
         r.raw_memory = d.memory_mb, r.memory = d.memory_mb * k.memory_ratio, r.group = d.group;
@@ -948,7 +1093,8 @@
         approach(usual.work, r.cost, step), approach(usual.memory, r.memory, step);
         approach(usual.threads, c.threads, step);
         ++first_all, first_sensitive += k.sensitive;
-        if (first_all <= kSeedCount) alpha = std::clamp(first_sensitive / first_all, kAlphaLow, kAlphaHigh);
+        if (first_all <= kSeedCount)
+            alpha = std::clamp(first_sensitive / first_all, kAlphaLow, kAlphaHigh);
         if (c.in_turn && !d.key.empty()) {
             r.key = d.key, r.in_line = true;
             lines[r.key].push_back(slot);
@@ -957,15 +1103,18 @@
     }
 
     void on(const Begun& b) {
-        if (const int slot = slot_of(b.id); slot >= 0) requests[slot].streaming = true;
+        if (const int slot = slot_of(b.id); slot >= 0)
+            requests[slot].streaming = true;
     }
 
     void on(const Completed& c) {
         const int slot = slot_of(c.id);
-        if (slot < 0) return;
+        if (slot < 0)
+            return;
         Request& r = requests[slot];
         const int count = static_cast<int>(r.attempts.size());
-        if (c.attempt < 0 || c.attempt >= count || !r.attempts[c.attempt].open) return;
+        if (c.attempt < 0 || c.attempt >= count || !r.attempts[c.attempt].open)
+            return;
         Attempt& a = r.attempts[c.attempt];
         Engine& e = engines[a.engine];
         a.open = false;
@@ -973,21 +1122,27 @@
         e.threads -= a.threads, e.granted -= a.memory;
         release(a);
         const bool lingers = c.outcome == Outcome::etimedout || c.outcome == Outcome::ecanceled;
-        if (!lingers && c.outcome != Outcome::econnrefused) e.alive = now;
-        if (c.report) take_report(e, c.report);
+        if (!lingers && c.outcome != Outcome::econnrefused)
+            e.alive = now;
+        if (c.report)
+            take_report(e, c.report);
         judge(e, c, r, a);
         const bool done = c.outcome == Outcome::done;
         if (!s.cost_in_answers && (done || (lingers && e.alive >= a.sent)))
             approach(late, !done || c.taken > r.aim - r.arrival);
-        if (!never_ran(c.outcome) && r.bound_to < 0) r.bound_to = a.engine, r.bound_since = a.sent;
+        if (!never_ran(c.outcome) && r.bound_to < 0)
+            r.bound_to = a.engine, r.bound_since = a.sent;
         if (done) {
             learn(r, a, c);
             observe_strain(r, a, c);
             observe_latency(r, a, c.taken);
         }
-        if (r.in_line && (lingers || c.outcome == Outcome::econnreset)) rests[r.key] = now + s.turn_gap;
-        if (c.finished) unqueue(slot), r.finished = true;
-        if (c.outcome == Outcome::busy) r.not_before = now + kTick;
+        if (r.in_line && (lingers || c.outcome == Outcome::econnreset))
+            rests[r.key] = now + s.turn_gap;
+        if (c.finished)
+            unqueue(slot), r.finished = true;
+        if (c.outcome == Outcome::busy)
+            r.not_before = now + kTick;
         settle(slot);
         free_if_over(slot);
     }
@@ -998,15 +1153,18 @@
             return;
         Attempt& a = requests[slot].attempts[n.attempt];
         engines[a.engine].alive = now;
-        if (!a.open) return;
+        if (!a.open)
+            return;
         a.heard = now;
         Request& r = requests[slot];
-        if (n.topic == NoteTopic::spills) learn_need(r, a, n.value);
+        if (n.topic == NoteTopic::spills)
+            learn_need(r, a, n.value);
         // Behind a load, of whatever front, it stands still: moved at once, as nothing is lost; but not where
         // three engines in a row hold one, as most do then.
         if (n.topic == NoteTopic::waits && n.value == kForLoad && n.attempt < kMoves && may_move(r))
             actions.push_back(Cancel{r.id, n.attempt});
-        if (n.topic != NoteTopic::progress) return;
+        if (n.topic != NoteTopic::progress)
+            return;
         a.progress = std::clamp(n.value, 0.0, 1.0);
         const double lasts = static_cast<double>(now - a.sent) / std::max(a.progress, 0.01);
         approach(engines[a.engine].slow, a.slowness(lasts)), approach(drag, a.slowness(lasts));
@@ -1014,8 +1172,10 @@
         // again. Without an estimate, one that would take as long again is costly by itself and let finish.
         // When all engines are slow, so is the measure. Harm: a query far over its estimate loses its tries.
         const double usual_run = std::max(run_time(r) * usual_slow(), r.shown);
-        if (!may_move(r) || lasts * (1 - a.progress) <= kRunaway * usual_run) return;
-        if (r.raw_cost <= 0 && r.shown <= 0) r.shown = lasts;
+        if (!may_move(r) || lasts * (1 - a.progress) <= kRunaway * usual_run)
+            return;
+        if (r.raw_cost <= 0 && r.shown <= 0)
+            r.shown = lasts;
         actions.push_back(Cancel{r.id, n.attempt});
     }
 
@@ -1029,7 +1189,8 @@
 
     void on(const Gone& g) {
         const int slot = slot_of(g.id);
-        if (slot < 0) return;
+        if (slot < 0)
+            return;
         unqueue(slot);
         requests[slot].finished = true;
         call_off(slot);
@@ -1040,32 +1201,44 @@
     void on(const Bell&) {
         actions.push_back(SetTimer{kTick, 0});
         sweep(), shed();
-        if (now - fitted >= kFitEvery) fitted = now, fit();
-        if (now - moved >= kAlphaEvery) moved = now, move_alpha(), move_reach();
+        if (now - fitted >= kFitEvery)
+            fitted = now, fit();
+        if (now - moved >= kAlphaEvery)
+            moved = now, move_alpha(), move_reach();
         if (s.ask_discovery && !subscribed &&
             now - asked >= static_cast<Micros>(kAskShare * static_cast<double>(s.ask_within))) {
             asked = now;
             actions.push_back(Observe{});
         }
-        if (s.may_probe && s.reports == ReportSource::probe) probe();
+        if (s.may_probe && s.reports == ReportSource::probe)
+            probe();
     }
 
     // The engine not asked for longest, at most once a second each, and within a share of the requests taken.
     void probe() {
         Engine* next = nullptr;
         for (Engine& e : engines)
-            if (e.takes() && (!next || e.probed < next->probed)) next = &e;
-        if (!next || probe_credit < 1 || now - next->probed < kProbeEvery) return;
+            if (e.takes() && (!next || e.probed < next->probed))
+                next = &e;
+        if (!next || probe_credit < 1 || now - next->probed < kProbeEvery)
+            return;
         probe_credit -= 1, next->probed = now;
         actions.push_back(Probe{next->entry.id});
     }
 
     void take(Micros at, const Event& event) {
-        if (at > now + kStall) woke = at;  // timers come more often: this front stood still and heard nothing
+        if (at > now + kStall)
+            woke = at;  // timers come more often: this front stood still and heard nothing
         now = std::max(now, at);
-        while (!taken.empty() && taken.front() <= now - s.ratio_span) taken.pop_front();
-        while (!further.empty() && further.front() < now - s.ratio_span) further.pop_front();
-        std::visit([this](const auto& e) { on(e); }, event);
+        while (!taken.empty() && taken.front() <= now - s.ratio_span)
+            taken.pop_front();
+        while (!further.empty() && further.front() < now - s.ratio_span)
+            further.pop_front();
+        std::visit(
+            [this](const auto& e) {
+                on(e);
+            },
+            event);
         dispatch();
     }
 };
@@ -1086,6 +1259,8 @@
     return std::exchange(front_->actions, {});
 }
 
-double Brain::alpha() const { return front_->alpha; }
+double Brain::alpha() const {
+    return front_->alpha;
+}
 
 }  // namespace gatetiller
--- a/src/policy/brain.hpp
+++ b/src/policy/brain.hpp
@@ -18,10 +18,26 @@
 // ---- Settings
 // -----------------------------------------------------------------------------------------------
 
-enum class Effect { repeatable, by_key, once };
-enum class Scope { all, zone, cell };        // which engines drop a keyed repeat
-enum class WhenShort { queue, trim, swap };  // what an engine does when grants pass its memory
-enum class ReportSource { none, answers, probe };
+enum class Effect {
+    repeatable,
+    by_key,
+    once
+};
+enum class Scope {
+    all,
+    zone,
+    cell
+};  // which engines drop a keyed repeat
+enum class WhenShort {
+    queue,
+    trim,
+    swap
+};  // what an engine does when grants pass its memory
+enum class ReportSource {
+    none,
+    answers,
+    probe
+};
 
 struct ClassSettings {
     std::string name;
@@ -96,7 +112,11 @@
 // ---- Events
 // -------------------------------------------------------------------------------------------------
 
-enum class EngineState { on, fading, off };
+enum class EngineState {
+    on,
+    fading,
+    off
+};
 
 struct EngineEntry {
     EngineId id = 0;
@@ -112,12 +132,26 @@
     std::optional<double> concurrent, depth, load_share, mean_ms, tps, err_ps, memory_granted, disks_busy;
 };
 
-enum class Outcome { done, err, busy, etimedout, econnrefused, econnreset, ecanceled, skipped };
+enum class Outcome {
+    done,
+    err,
+    busy,
+    etimedout,
+    econnrefused,
+    econnreset,
+    ecanceled,
+    skipped
+};
 // Whether an attempt that ended so is proved not to have run.
 constexpr bool never_ran(Outcome o) {
     return o == Outcome::busy || o == Outcome::econnrefused || o == Outcome::skipped;
 }
-enum class ListForm { incr, total, warm_copy, lost };
+enum class ListForm {
+    incr,
+    total,
+    warm_copy,
+    lost
+};
 
 struct ListChange {
     ListForm form = ListForm::incr;
@@ -149,7 +183,11 @@
     double needed_mb = 0;
     std::optional<Report> report;
 };
-enum class NoteTopic { progress = 1, spills = 2, waits = 3 };
+enum class NoteTopic {
+    progress = 1,
+    spills = 2,
+    waits = 3
+};
 struct Note {
     std::string id;
     int attempt = 0;
@@ -188,7 +226,11 @@
     double grant_mb = 0;  // 0: the engine's own choice
     int priority = 1;
 };
-enum class EndReason { out_of_time, worthless, no_tries_left };  // of a request given up on; for logs
+enum class EndReason {
+    out_of_time,
+    worthless,
+    no_tries_left
+};  // of a request given up on; for logs
 struct Refuse {
     std::string id;
     Micros come_back = 0;
--- a/src/report/calendar.hpp
+++ b/src/report/calendar.hpp
@@ -21,13 +21,23 @@
     static Result<Calendar> days(const std::string& zone, const std::string& from, const std::string& until);
     static Result<Calendar> month(const std::string& zone, const std::string& month);  // "2026-11"
 
-    Micros from() const { return starts_.front(); }
-    Micros until() const { return starts_.back(); }
-    bool holds(Micros t) const { return t >= from() && t < until(); }
+    Micros from() const {
+        return starts_.front();
+    }
+    Micros until() const {
+        return starts_.back();
+    }
+    bool holds(Micros t) const {
+        return t >= from() && t < until();
+    }
     int day_of(Micros t) const;  // from 0; for times that it holds
-    const std::vector<std::string>& dates() const { return dates_; }
+    const std::vector<std::string>& dates() const {
+        return dates_;
+    }
     Micros length(int day) const;
-    const std::string& zone() const { return zone_; }
+    const std::string& zone() const {
+        return zone_;
+    }
 
 private:
     std::string zone_;
--- a/src/report/render.cpp
+++ b/src/report/render.cpp
@@ -33,9 +33,11 @@
         total += line;
     }
     std::vector<Row> rows;
-    for (auto& [group, line] : sums) rows.push_back({group, line});
+    for (auto& [group, line] : sums)
+        rows.push_back({group, line});
     std::vector<std::string> last(by.size());
-    if (!last.empty()) last[0] = "total";
+    if (!last.empty())
+        last[0] = "total";
     rows.push_back({std::move(last), total});
     return rows;
 }
@@ -62,19 +64,26 @@
     const auto as_units = [](const std::string& text) {
         decide::Exact n = 0;
         for (const char c : text)
-            if (c >= '0' && c <= '9') n = n * 10 + (c - '0');
+            if (c >= '0' && c <= '9')
+                n = n * 10 + (c - '0');
         return n;
     };
-    for (std::size_t i = 0; i < texts.size(); ++i) sums[i % 2] += as_units(texts[i]);
+    for (std::size_t i = 0; i < texts.size(); ++i)
+        sums[i % 2] += as_units(texts[i]);
     decide::Exact scale = 1;
-    for (int i = r.decimals; i < 24; ++i) scale *= 10;
-    for (const auto sum : sums) texts.push_back(decide::decimal_text(sum * scale, r.decimals));
+    for (int i = r.decimals; i < 24; ++i)
+        scale *= 10;
+    for (const auto sum : sums)
+        texts.push_back(decide::decimal_text(sum * scale, r.decimals));
     std::vector<std::vector<std::string>> all;
     for (std::size_t i = 0; i < rows.size(); ++i) {
         const Line& l = rows[i].line;
-        const auto count = [&](RequestState s) { return l.requests[static_cast<std::size_t>(s)]; };
+        const auto count = [&](RequestState s) {
+            return l.requests[static_cast<std::size_t>(s)];
+        };
         std::int64_t requests = 0;
-        for (const auto n : l.requests) requests += n;
+        for (const auto n : l.requests)
+            requests += n;
         const Micros served = l.work[0];
         std::vector<std::string> cells = rows[i].group;
         for (const std::int64_t n :
@@ -104,7 +113,8 @@
           "repeats", "attempts", "further", "core_s", "core_s_wasted", "core_s_after_leaving", "gb_s_granted",
           "gb_s_used", "gb_spilled"})
         heads.emplace_back(head);
-    for (const char* head : {"served", "wasted", "all"}) heads.push_back(r.currency + "_" + head);
+    for (const char* head : {"served", "wasted", "all"})
+        heads.push_back(r.currency + "_" + head);
     return heads;
 }
 
@@ -112,7 +122,8 @@
     std::vector<std::size_t> widths;
     for (const auto& row : rows)
         for (std::size_t i = 0; i < row.size(); ++i) {
-            if (widths.size() <= i) widths.push_back(0);
+            if (widths.size() <= i)
+                widths.push_back(0);
             widths[i] = std::max(widths[i], row[i].size());
         }
     std::string out;
@@ -147,7 +158,8 @@
     double most = 0;
     for (const auto& bar : values) {
         double sum = 0;
-        for (const double v : bar) sum += v;
+        for (const double v : bar)
+            sum += v;
         most = std::max(most, sum);
     }
     std::string svg = fmt::format("<svg viewBox=\"0 0 {} {}\" role=\"img\">\n", kWidth, kHeight);
@@ -188,7 +200,8 @@
 std::string table_html(const std::vector<std::string>& heads,
                        const std::vector<std::vector<std::string>>& rows, std::size_t texts) {
     std::string out = "<table><thead><tr>";
-    for (const auto& head : heads) out += "<th>" + html_text(head) + "</th>";
+    for (const auto& head : heads)
+        out += "<th>" + html_text(head) + "</th>";
     out += "</tr></thead>\n<tbody>\n";
     for (const auto& row : rows) {
         out += "<tr>";
@@ -213,7 +226,8 @@
 
 std::vector<std::vector<std::string>> waste_rows(const Report& r) {
     Line total;
-    for (const auto& [key, line] : r.lines) total += line;
+    for (const auto& [key, line] : r.lines)
+        total += line;
     std::vector<std::vector<std::string>> rows;
     for (int i = 1; i < decide::kWastes; ++i)
         if (const Micros t = total.work[static_cast<std::size_t>(i)]; t > 0)
@@ -238,9 +252,11 @@
     for (const auto& [at, by] : r.clock_steps)
         out.push_back(fmt::format("the clock of a front stepped by {} ms at {}", by / kMillisecond,
                                   statement::utc_text(at)));
-    for (const auto& t : r.troubles) out.push_back("unreadable: " + t);
+    for (const auto& t : r.troubles)
+        out.push_back("unreadable: " + t);
     Line total;
-    for (const auto& [key, line] : r.lines) total += line;
+    for (const auto& [key, line] : r.lines)
+        total += line;
     if (total.unpriced > 0)
         out.push_back(fmt::format("{} attempts have no price for their time and kind", total.unpriced));
     if (total.unlogged > 0)
@@ -261,7 +277,8 @@
             return Error{"'" + std::string(part) + "' is not one of team, class, day, kind"};
         by.emplace_back(part);
     }
-    if (by.empty()) return Error{"name at least one of team, class, day, kind"};
+    if (by.empty())
+        return Error{"name at least one of team, class, day, kind"};
     return by;
 }
 
@@ -275,7 +292,8 @@
         waste.insert(waste.begin(), {"work that served nobody", "core_s"});
         out += "\n" + padded(waste, 1);
     }
-    for (const auto& text : caveats(r)) out += "\n" + text;
+    for (const auto& text : caveats(r))
+        out += "\n" + text;
     return out + (caveats(r).empty() ? "" : "\n");
 }
 
@@ -308,7 +326,8 @@
                            name_of(o.finding), o.where, statement::utc_text(o.at),
                            o.engine.empty() ? "-" : o.engine, o.id.empty() ? "-" : o.id, seconds_text(o.work),
                            seconds_text(o.seen));
-    for (const auto& text : caveats(r)) out += text + "\n";
+    for (const auto& text : caveats(r))
+        out += text + "\n";
     return out + (all_explained(r) ? "every difference is explained\n" : "NOT ALL IS EXPLAINED\n");
 }
 
@@ -316,14 +335,17 @@
     const auto teams = rows_of(r, {"team"});
     std::vector<std::string> team_labels, dates = r.calendar.dates();
     std::vector<std::vector<double>> by_team, by_day;
-    const auto core_seconds = [](Micros t) { return static_cast<double>(t) / kSecondMicros; };
+    const auto core_seconds = [](Micros t) {
+        return static_cast<double>(t) / kSecondMicros;
+    };
     for (std::size_t i = 0; i + 1 < teams.size(); ++i) {
         team_labels.push_back(teams[i].group[0]);
         by_team.push_back({core_seconds(teams[i].line.work[0]),
                            core_seconds(teams[i].line.all_work() - teams[i].line.work[0])});
     }
     std::map<std::string, std::size_t> place;
-    for (std::size_t i = 0; i < team_labels.size(); ++i) place[team_labels[i]] = i;
+    for (std::size_t i = 0; i < team_labels.size(); ++i)
+        place[team_labels[i]] = i;
     by_day.assign(dates.size(), std::vector<double>(team_labels.size(), 0));
     for (const auto& [key, line] : r.lines)
         by_day[static_cast<std::size_t>(key.day)][place[r.team_names.at(key.team)]] +=
@@ -349,7 +371,8 @@
            table_html({"cause", "core-seconds"}, waste_rows(r), 1) + "<h2>Ledger against journals</h2>\n" +
            table_html({"finding", "", "queries", "core-seconds"}, findings_rows(r), 2) +
            "<h2>To be known</h2>\n<ul>\n";
-    for (const auto& text : caveats(r)) out += "<li>" + html_text(text) + "</li>\n";
+    for (const auto& text : caveats(r))
+        out += "<li>" + html_text(text) + "</li>\n";
     return out + "</ul>\n</body></html>\n";
 }
 
--- a/src/report/report.cpp
+++ b/src/report/report.cpp
@@ -14,7 +14,8 @@
 std::string exact_text(decide::Exact amount) {
     std::string text = decide::decimal_text(amount, 24);
     text.erase(text.find_last_not_of('0') + 1);
-    if (text.back() == '.') text.pop_back();
+    if (text.back() == '.')
+        text.pop_back();
     return text;
 }
 
@@ -22,7 +23,8 @@
 std::map<std::string, std::string> kinds_of(store::Ledger& ledger) {
     std::map<std::string, std::string> kinds;
     auto s = ledger.db().prepare("SELECT name,kind FROM engines ORDER BY name,kind");
-    while (s.step()) kinds.emplace(s.text(0), s.text(1));
+    while (s.step())
+        kinds.emplace(s.text(0), s.text(1));
     return kinds;
 }
 
@@ -57,14 +59,19 @@
         std::move(calendar), settlement.currency, settlement.decimals, {}, {}, {}, {}, {}, {}, {}, {}, {}};
     store::Ledger& ledger = books.ledger();
     std::map<std::string, decide::LifeRecord> records;
-    if (auto f = books.lives(records)) return Error{f.text};
-    for (auto& [name, record] : records) record.clock_slack += settlement.clock_slack;
+    if (auto f = books.lives(records))
+        return Error{f.text};
+    for (auto& [name, record] : records)
+        record.clock_slack += settlement.clock_slack;
     std::vector<store::Life> lives;
-    if (auto f = ledger.lives(lives)) return Error{f.text};
+    if (auto f = ledger.lives(lives))
+        return Error{f.text};
     std::map<std::string, std::uint32_t> number_of_life;  // the same whatever order the lives came in
     for (const auto& [name, record] : records)
         number_of_life.emplace(name, static_cast<std::uint32_t>(number_of_life.size()));
-    std::sort(lives.begin(), lives.end(), [](const auto& a, const auto& b) { return a.name < b.name; });
+    std::sort(lives.begin(), lives.end(), [](const auto& a, const auto& b) {
+        return a.name < b.name;
+    });
     for (const auto& l : lives) {
         const auto& gaps = records[l.name].gaps;
         if (l.ended == 0 && !gaps.empty() && gaps.back().to > l.last + 1000 * 86'400 * kSecondMicros &&
@@ -91,7 +98,8 @@
             report.oddities.push_back({s.finding, where, engine, id, at, s.work, s.seen});
     };
     const auto alone = [&](const decide::LoggedQuery& q) {
-        if (!days.holds(q.created)) return;
+        if (!days.holds(q.created))
+            return;
         const auto record = q.name ? records.find(q.name->life) : records.end();
         const auto s = settle_alone(q, record == records.end() ? nullptr : &record->second);
         const auto kind = kinds.find(q.engine);
@@ -106,10 +114,13 @@
     };
     std::vector<decide::Settled> settled;
     const auto take = [&](const store::Entry& e) {
-        if (!e.whole) return alone(e.logged[0][0]);
-        for (const auto& q : e.alone) alone(q);
+        if (!e.whole)
+            return alone(e.logged[0][0]);
+        for (const auto& q : e.alone)
+            alone(q);
         const auto& r = e.whole->request;
-        if (!days.holds(r.taken)) return;
+        if (!days.holds(r.taken))
+            return;
         settled.clear();
         for (std::size_t i = 0; i < e.logged.size(); ++i) {
             const auto& a = e.whole->attempts[i];
@@ -122,17 +133,25 @@
                     repeats.repeat(number_of_life[e.whole->life->name], r.number), e.whole->attempts,
                     settled);
     };
-    if (auto f = books.each(take, [&](std::string text) { report.troubles.push_back(std::move(text)); }))
+    if (auto f = books.each(take, [&](std::string text) {
+            report.troubles.push_back(std::move(text));
+        }))
         return Error{f.text};
     report.lines = charges.lines();
     report.findings = charges.findings();
-    if (auto f = ledger.gaps(report.gaps)) return Error{f.text};
-    std::erase_if(report.gaps,
-                  [&](const auto& g) { return g.second.to < days.from() || g.second.from >= days.until(); });
-    if (auto f = ledger.clock_steps(report.clock_steps)) return Error{f.text};
-    std::erase_if(report.clock_steps, [&](const auto& step) { return !days.holds(step.first); });
+    if (auto f = ledger.gaps(report.gaps))
+        return Error{f.text};
+    std::erase_if(report.gaps, [&](const auto& g) {
+        return g.second.to < days.from() || g.second.from >= days.until();
+    });
+    if (auto f = ledger.clock_steps(report.clock_steps))
+        return Error{f.text};
+    std::erase_if(report.clock_steps, [&](const auto& step) {
+        return !days.holds(step.first);
+    });
     for (const auto& [key, line] : report.lines) {
-        if (report.team_names.contains(key.team)) continue;
+        if (report.team_names.contains(key.team))
+            continue;
         report.team_names[key.team] = teams.name_at(key.team, days.until() - 1);
         if (auto before = teams.formerly(key.team, days.from(), days.until()); !before.empty())
             report.formerly[key.team] = std::move(before);
@@ -209,23 +228,29 @@
     auto s = books.ledger().db().prepare("SELECT made,report FROM versions WHERE period=? ORDER BY row");
     s.bind(0, period);
     std::vector<Version> all;
-    while (s.step()) all.push_back({static_cast<std::int64_t>(all.size()) + 1, s.number(0), s.text(1)});
-    if (s.failure()) return Error{s.failure().text};
+    while (s.step())
+        all.push_back({static_cast<std::int64_t>(all.size()) + 1, s.number(0), s.text(1)});
+    if (s.failure())
+        return Error{s.failure().text};
     return all;
 }
 
 Result<Kept> keep_version(store::Books& books, const Report& report, Micros wall) {
     const std::string period = period_of(report.calendar);
     const auto before = versions(books, period);
-    if (!before) return Error{before.error()};
+    if (!before)
+        return Error{before.error()};
     const Json now = to_json(report);
     const std::string text = now.dump();
-    if (!before->empty() && before->back().text == text) return Kept{before->back().number, false, ""};
+    if (!before->empty() && before->back().text == text)
+        return Kept{before->back().number, false, ""};
     auto put = books.ledger().db().prepare("INSERT INTO versions(period,made,digest,report) VALUES(?,?,?,?)");
     put.bind(0, period).bind(1, wall).bind(2, std::to_string(hash_of(text))).bind(3, text);
-    if (auto f = put.run()) return Error{f.text};
+    if (auto f = put.run())
+        return Error{f.text};
     Kept kept{static_cast<std::int64_t>(before->size()) + 1, true, ""};
-    if (!before->empty()) kept.difference = difference(Json::parse(before->back().text), now);
+    if (!before->empty())
+        kept.difference = difference(Json::parse(before->back().text), now);
     return kept;
 }
 
@@ -236,8 +261,10 @@
         return j["team"].get<std::string>() + " / " + j["class"].get<std::string>() + " / " +
                j["day"].get<std::string>() + " / " + j["kind"].get<std::string>();
     };
-    for (const Json& j : before["lines"]) lines[key_of(j)].first = j;
-    for (const Json& j : after["lines"]) lines[key_of(j)].second = j;
+    for (const Json& j : before["lines"])
+        lines[key_of(j)].first = j;
+    for (const Json& j : after["lines"])
+        lines[key_of(j)].second = j;
     lines["total"] = {before["total"], after["total"]};
     std::string out;
     for (auto& [key, pair] : lines) {
@@ -256,7 +283,8 @@
         }
     }
     for (const char* part : {"teams", "gaps", "findings", "unreadable"})
-        if (before[part] != after[part]) out += std::string(part) + " differ\n";
+        if (before[part] != after[part])
+            out += std::string(part) + " differ\n";
     return out;
 }
 
--- a/src/report/settlement.cpp
+++ b/src/report/settlement.cpp
@@ -14,33 +14,41 @@
 void read_time(Reader& r, const std::string& key, const std::string& zone, Micros& to) {
     std::string text;
     r.text(key, text);
-    if (text.empty()) return;
+    if (text.empty())
+        return;
     const auto t = local_time(zone, text);
-    if (t) to = *t;
-    else r.wrong(key, t.error());
+    if (t)
+        to = *t;
+    else
+        r.wrong(key, t.error());
 }
 
 // [from, until) of a rule or a price.
 void read_span(Reader& r, const std::string& zone, Micros& from, Micros& until) {
     read_time(r, "from", zone, from);
     read_time(r, "until", zone, until);
-    if (until != 0 && until <= from) r.wrong("until", "must be after 'from'");
+    if (until != 0 && until <= from)
+        r.wrong("until", "must be after 'from'");
 }
 
 void read_price(Reader& r, const std::string& key, std::int64_t& to) {
     std::string text;
     r.text(key, text);
-    if (text.empty()) return;
+    if (text.empty())
+        return;
     const auto price = decide::read_price(text);
-    if (price) to = *price;
-    else r.wrong(key, price.error());
+    if (price)
+        to = *price;
+    else
+        r.wrong(key, price.error());
 }
 
 }  // namespace
 
 Result<Settlement> load_settlement_text(const std::string& name, const std::string& source) {
     auto text = config::evaluate(name, source);
-    if (!text) return Error{text.error()};
+    if (!text)
+        return Error{text.error()};
     config::Mistakes mistakes(name, source);
     const auto json = nlohmann::json::parse(*text);
     Settlement s;
@@ -59,7 +67,8 @@
             auto& names = s.teams[id];
             std::string always;
             r.text("name", always);
-            if (!always.empty()) names.push_back({0, always});
+            if (!always.empty())
+                names.push_back({0, always});
             r.each("names", [&](const std::string&, Reader& n) {
                 decide::TeamName one;
                 n.required({"name"});
@@ -67,8 +76,9 @@
                 read_time(n, "from", s.zone, one.from);
                 names.push_back(std::move(one));
             });
-            std::stable_sort(names.begin(), names.end(),
-                             [](const auto& a, const auto& b) { return a.from < b.from; });
+            std::stable_sort(names.begin(), names.end(), [](const auto& a, const auto& b) {
+                return a.from < b.from;
+            });
         });
         top.each("rules", [&](const std::string&, Reader& r) {
             decide::TeamRule rule;
@@ -76,7 +86,8 @@
             r.text("team", rule.team);
             if (r.has("team") && !s.teams.contains(rule.team)) {
                 std::vector<std::string> known;
-                for (const auto& [id, names] : s.teams) known.push_back(id);
+                for (const auto& [id, names] : s.teams)
+                    known.push_back(id);
                 const auto near = config::nearest(rule.team, known);
                 r.wrong("team", "'" + rule.team + "' is not among 'teams'" +
                                     (near.empty() ? "" : "; did you mean '" + near + "'?"));
@@ -100,13 +111,15 @@
         });
     }
     top.close();
-    if (!mistakes.none()) return Error{mistakes.text()};
+    if (!mistakes.none())
+        return Error{mistakes.text()};
     return s;
 }
 
 Result<Settlement> load_settlement(const std::string& file) {
     const auto text = config::whole_file(file);
-    if (!text) return Error{text.error()};
+    if (!text)
+        return Error{text.error()};
     return load_settlement_text(file, *text);
 }
 
--- a/src/resp/resp.cpp
+++ b/src/resp/resp.cpp
@@ -11,8 +11,10 @@
 Reading read_number(std::string_view bytes, std::size_t& at, char marker, std::size_t most,
                     std::size_t& value) {
     const auto line = bytes.substr(at, kLine);
-    if (line.empty()) return Reading::none;
-    if (line.front() != marker) return Reading::spoilt;
+    if (line.empty())
+        return Reading::none;
+    if (line.front() != marker)
+        return Reading::spoilt;
     const std::size_t end = line.find('\r');
     const auto digits = line.substr(1, end == std::string_view::npos ? end : end - 1);
     if (end == std::string_view::npos) {
@@ -23,8 +25,10 @@
     const auto [stop, error] = std::from_chars(digits.data(), digits.data() + digits.size(), value);
     if (digits.empty() || error != std::errc() || stop != digits.data() + digits.size() || value > most)
         return Reading::spoilt;
-    if (end + 1 >= line.size()) return line.size() == kLine ? Reading::spoilt : Reading::none;
-    if (line[end + 1] != '\n') return Reading::spoilt;
+    if (end + 1 >= line.size())
+        return line.size() == kLine ? Reading::spoilt : Reading::none;
+    if (line[end + 1] != '\n')
+        return Reading::spoilt;
     at += end + 2;
     return Reading::whole;
 }
@@ -40,15 +44,19 @@
                    std::size_t& size) {
     words.clear();
     std::size_t at = 0, count = 0;
-    if (const auto r = read_number(bytes, at, '*', limits.words, count); r != Reading::whole) return r;
+    if (const auto r = read_number(bytes, at, '*', limits.words, count); r != Reading::whole)
+        return r;
     for (std::size_t i = 0; i < count; ++i) {
         std::size_t length = 0;
         if (const auto r = read_number(bytes, at, '$', limits.word_bytes, length); r != Reading::whole)
             return r;
         const auto rest = bytes.substr(at);
-        if (rest.size() > length && rest[length] != '\r') return Reading::spoilt;
-        if (rest.size() < length + 2) return Reading::none;
-        if (rest[length + 1] != '\n') return Reading::spoilt;
+        if (rest.size() > length && rest[length] != '\r')
+            return Reading::spoilt;
+        if (rest.size() < length + 2)
+            return Reading::none;
+        if (rest[length + 1] != '\n')
+            return Reading::spoilt;
         words.push_back(rest.substr(0, length));
         at += length + 2;
     }
--- a/src/roster/last_list.cpp
+++ b/src/roster/last_list.cpp
@@ -18,13 +18,15 @@
                                      : e.state == EngineState::fading ? "fading"
                                                                       : "off"}};
     auto kept = replace_file(file, nlohmann::json{{"engines", std::move(engines)}}.dump(1) + "\n");
-    if (!kept) return Error{"the last list cannot be kept: " + kept.error(), kept.failure().code};
+    if (!kept)
+        return Error{"the last list cannot be kept: " + kept.error(), kept.failure().code};
     return true;
 }
 
 Result<std::vector<config::EngineSettings>> read_last_list(const std::string& file) {
     const auto text = config::whole_file(file);
-    if (!text) return Error{text.error()};
+    if (!text)
+        return Error{text.error()};
     return config::read_engine_list(*text, file);
 }
 
--- a/src/roster/roster.cpp
+++ b/src/roster/roster.cpp
@@ -17,33 +17,43 @@
 public:
     FileSource(net::Loop& loop, std::string file, Micros every)
         : loop_(loop), file_(std::move(file)), every_(every) {}
-    ~FileSource() override { loop_.cancel(timer_); }
+    ~FileSource() override {
+        loop_.cancel(timer_);
+    }
     void start(Events events) override {
         events_ = std::move(events);
         look();
     }
-    void ask() override { read(); }
+    void ask() override {
+        read();
+    }
 
 private:
     void look() {
         read();
-        timer_ = loop_.after(every_, [this] { look(); });
+        timer_ = loop_.after(every_, [this] {
+            look();
+        });
     }
     void read() {
         std::ifstream in(file_, std::ios::binary);
         std::ostringstream text;
-        if (in) text << in.rdbuf();
+        if (in)
+            text << in.rdbuf();
         if (!in || text.str().size() > kLargestList)
             return lose(file_ + ": cannot be read: " + std::strerror(errno));
-        if (!lost_ && text.str() == last_) return;
+        if (!lost_ && text.str() == last_)
+            return;
         auto list = config::read_engine_list(text.str(), file_);
-        if (!list) return lose(list.error());
+        if (!list)
+            return lose(list.error());
         last_ = text.str();
         lost_ = false;
         events_.list(std::move(*list));
     }
     void lose(std::string why) {
-        if (!std::exchange(lost_, true)) events_.lost(std::move(why));
+        if (!std::exchange(lost_, true))
+            events_.lost(std::move(why));
     }
 
     net::Loop& loop_;
@@ -62,13 +72,16 @@
           path_(std::move(path)),
           name_(std::move(name)),
           every_(every) {}
-    ~HttpSource() override { loop_.cancel(timer_); }
+    ~HttpSource() override {
+        loop_.cancel(timer_);
+    }
     void start(Events events) override {
         events_ = std::move(events);
         fetch();
     }
     void ask() override {
-        if (call_.active()) return;
+        if (call_.active())
+            return;
         loop_.cancel(timer_);
         asked_ = true;
         fetch();
@@ -78,28 +91,37 @@
     void fetch() {
         http::Request get{"GET", path_, 1, {}, {}, {}};
         get.headers.add("User-Agent", "gatetiller/" + name_);
-        if (!tag_.empty()) get.headers.add("If-None-Match", tag_);
-        call_ = client_.send(get, std::max(every_, kSecondMicros),
-                             [this](http::Answer a) { take(std::move(a)); });
+        if (!tag_.empty())
+            get.headers.add("If-None-Match", tag_);
+        call_ = client_.send(get, std::max(every_, kSecondMicros), [this](http::Answer a) {
+            take(std::move(a));
+        });
     }
     void take(http::Answer a) {
-        timer_ = loop_.after(every_, [this] { fetch(); });
+        timer_ = loop_.after(every_, [this] {
+            fetch();
+        });
         const bool asked = std::exchange(asked_, false);
-        if (a.reached != http::Reached::answered) return lose(a.error, asked);
+        if (a.reached != http::Reached::answered)
+            return lose(a.error, asked);
         if (a.response.status == 304) {
-            if (std::exchange(lost_, false) || asked) events_.list(last_);
+            if (std::exchange(lost_, false) || asked)
+                events_.list(last_);
             return;
         }
-        if (a.response.status != 200) return lose("status " + std::to_string(a.response.status), asked);
+        if (a.response.status != 200)
+            return lose("status " + std::to_string(a.response.status), asked);
         auto list = config::read_engine_list(a.response.body, "http list " + path_);
-        if (!list) return lose(list.error(), asked);
+        if (!list)
+            return lose(list.error(), asked);
         tag_ = a.response.headers.find("ETag").value_or("");
         lost_ = false;
         last_ = *list;
         events_.list(std::move(*list));
     }
     void lose(std::string why, bool asked) {
-        if (!std::exchange(lost_, true) || asked) events_.lost(std::move(why));
+        if (!std::exchange(lost_, true) || asked)
+            events_.lost(std::move(why));
     }
 
     net::Loop& loop_;
@@ -117,8 +139,10 @@
 
 std::unique_ptr<Source> make_source(net::Loop& loop, const config::RosterSettings& s,
                                     const std::string& name) {
-    if (s.http) return std::make_unique<HttpSource>(loop, *s.http, s.path, name, s.every);
-    if (!s.file.empty()) return std::make_unique<FileSource>(loop, s.file, s.every);
+    if (s.http)
+        return std::make_unique<HttpSource>(loop, *s.http, s.path, name, s.every);
+    if (!s.file.empty())
+        return std::make_unique<FileSource>(loop, s.file, s.every);
     return nullptr;
 }
 
--- a/src/sim/virtual_loop.cpp
+++ b/src/sim/virtual_loop.cpp
@@ -15,27 +15,34 @@
     explicit End(VirtualLoop& l) : loop(l) {}
 
     net::SendId send(std::string bytes) {
-        if (!open || finishing || bytes.empty()) return 0;
+        if (!open || finishing || bytes.empty())
+            return 0;
         early.emplace_back(++last_send, std::move(bytes));
         const net::SendId id = last_send;  // what goes out may lead to further sends
-        if (!connecting) go_out();
+        if (!connecting)
+            go_out();
         return id;
     }
     void go_out() {
-        if (owner && !early.empty()) owner->on_sending(SIZE_MAX);
-        for (auto& [id, bytes] : std::exchange(early, {})) go_out(std::move(bytes));
+        if (owner && !early.empty())
+            owner->on_sending(SIZE_MAX);
+        for (auto& [id, bytes] : std::exchange(early, {}))
+            go_out(std::move(bytes));
     }
     void go_out(std::string bytes) {
         const auto to = other.lock();
-        if (!to) return;
+        if (!to)
+            return;
         if (unsent == 0)
             loop.after(0, [self = shared_from_this()] {
                 self->unsent = 0;
-                if (self->owner) self->owner->on_sent();
+                if (self->owner)
+                    self->owner->on_sent();
             });
         unsent += bytes.size();
         to->arriving([to, bytes = std::move(bytes)] {
-            if (!to->open) return;
+            if (!to->open)
+                return;
             to->waiting.append(bytes);
             to->deliver();
         });
@@ -46,35 +53,44 @@
         loop.after(last_arrival - loop.now_, std::move(what));
     }
     bool take_back(net::SendId id) {
-        return id == 0 || std::erase_if(early, [&](const auto& kept) { return kept.first == id; }) > 0;
+        return id == 0 || std::erase_if(early, [&](const auto& kept) {
+                              return kept.first == id;
+                          }) > 0;
     }
     void finish() {
-        if (!open || std::exchange(finishing, true)) return;
+        if (!open || std::exchange(finishing, true))
+            return;
         reading = true;
         in.clear();
         say_end();
     }
     void say_end() {
         const auto to = other.lock();
-        if (std::exchange(said_end, true) || !to || !to->open) return;
+        if (std::exchange(said_end, true) || !to || !to->open)
+            return;
         to->arriving([to] {
             to->closing = Closed::by_peer;
             to->deliver();
         });
     }
     void deliver() {
-        if (!reading || !owner) return;
-        if (finishing) waiting.clear();
+        if (!reading || !owner)
+            return;
+        if (finishing)
+            waiting.clear();
         if (!waiting.empty()) {
             in.append(std::exchange(waiting, {}));
             owner->on_data(in);
         }
-        if (reading && open && closing && waiting.empty()) end(*closing);
+        if (reading && open && closing && waiting.empty())
+            end(*closing);
     }
     void end(Closed how) {
-        if (!std::exchange(open, false)) return;
+        if (!std::exchange(open, false))
+            return;
         loop.cancel(std::exchange(connect_timer, 0));
-        if (net::StreamEvents* told = std::exchange(owner, nullptr)) told->on_closed(how);
+        if (net::StreamEvents* told = std::exchange(owner, nullptr))
+            told->on_closed(how);
     }
     void drop() {
         owner = nullptr;
@@ -91,7 +107,8 @@
     std::vector<std::pair<net::SendId, std::string>> early;  // while it is coming up
     net::SendId last_send = 0;
     std::size_t unsent = 0;
-    bool open = true, reading = true, connecting = false, offering = false, finishing = false, said_end = false;
+    bool open = true, reading = true, connecting = false, offering = false, finishing = false,
+         said_end = false;
     std::optional<Closed> closing;
     Micros last_arrival = 0;
     net::TimerId connect_timer = 0;
@@ -100,46 +117,75 @@
 class VirtualLoop::EndStream final : public net::Stream {
 public:
     explicit EndStream(std::shared_ptr<End> end) : end_(std::move(end)) {}
-    ~EndStream() override { end_->drop(); }
-    void events(net::StreamEvents& to) override { end_->owner = &to; }
-    net::SendId send(std::string bytes) override { return end_->send(std::move(bytes)); }
+    ~EndStream() override {
+        end_->drop();
+    }
+    void events(net::StreamEvents& to) override {
+        end_->owner = &to;
+    }
+    net::SendId send(std::string bytes) override {
+        return end_->send(std::move(bytes));
+    }
     std::size_t unsent() const override {
         std::size_t early = 0;
-        for (const auto& [id, bytes] : end_->early) early += bytes.size();
+        for (const auto& [id, bytes] : end_->early)
+            early += bytes.size();
         return end_->unsent + early;
     }
     net::Written written(net::SendId id) const override {
-        const auto kept = std::any_of(end_->early.begin(), end_->early.end(),
-                                      [&](const auto& held) { return held.first == id; });
+        const auto kept = std::any_of(end_->early.begin(), end_->early.end(), [&](const auto& held) {
+            return held.first == id;
+        });
         return id == 0 || kept ? net::Written::nothing : net::Written::whole;
     }
-    std::optional<std::size_t> unacknowledged() const override { return std::nullopt; }
-    bool take_back(net::SendId id) override { return end_->take_back(id); }
-    void finish() override { end_->finish(); }
+    std::optional<std::size_t> unacknowledged() const override {
+        return std::nullopt;
+    }
+    bool take_back(net::SendId id) override {
+        return end_->take_back(id);
+    }
+    void finish() override {
+        end_->finish();
+    }
     bool replace(net::SendId id, std::string bytes) override {
         for (auto& [kept, held] : end_->early)
-            if (kept == id) return held = std::move(bytes), true;
+            if (kept == id)
+                return held = std::move(bytes), true;
         return false;
     }
-    void drop_unsent() override { end_->early.clear(), end_->finishing = true; }
-    void discard() override { drop_unsent(); }  // bytes on their way arrive: nothing here holds them
+    void drop_unsent() override {
+        end_->early.clear(), end_->finishing = true;
+    }
+    void discard() override {
+        drop_unsent();
+    }  // bytes on their way arrive: nothing here holds them
     bool read_now() override {
-        if (const auto kept = end_; kept->open) kept->deliver();
+        if (const auto kept = end_; kept->open)
+            kept->deliver();
         return true;
     }
     void read(bool on) override {
-        if (std::exchange(end_->reading, on) == on || !on) return;
-        end_->loop.after(0, [e = end_] { e->deliver(); });
+        if (std::exchange(end_->reading, on) == on || !on)
+            return;
+        end_->loop.after(0, [e = end_] {
+            e->deliver();
+        });
+    }
+    Micros starved() const override {
+        return 0;
     }
-    Micros starved() const override { return 0; }
     void offer() override {
-        if (end_->in.empty() || std::exchange(end_->offering, true)) return;
+        if (end_->in.empty() || std::exchange(end_->offering, true))
+            return;
         end_->loop.after(0, [e = end_] {
             e->offering = false;
-            if (e->owner && !e->in.empty()) e->owner->on_data(e->in);
+            if (e->owner && !e->in.empty())
+                e->owner->on_data(e->in);
         });
     }
-    const std::string& peer() const override { return end_->peer; }
+    const std::string& peer() const override {
+        return end_->peer;
+    }
 
 private:
     std::shared_ptr<End> end_;
@@ -152,21 +198,29 @@
     std::deque<std::shared_ptr<End>> waiting;  // as in the kernel's queue
     void take(std::shared_ptr<End> end) {
         accepted(std::make_unique<EndStream>(end));
-        end->loop.after(0, [end] { end->deliver(); });  // what came while it waited
+        end->loop.after(0, [end] {
+            end->deliver();
+        });  // what came while it waited
     }
 };
 
 class VirtualLoop::DoorListener final : public net::Listener {
 public:
     explicit DoorListener(std::shared_ptr<Door> door) : door_(std::move(door)) {}
-    const net::Address& address() const override { return door_->address; }
+    const net::Address& address() const override {
+        return door_->address;
+    }
     void accept(bool on) override {
         door_->accepting = on;
-        take_waiting([](const Door& door) { return door.accepting; });
+        take_waiting([](const Door& door) {
+            return door.accepting;
+        });
     }
     bool accept_waiting(std::size_t most) override {
         const auto door = door_;
-        take_waiting([&](const Door&) { return most-- > 0; });
+        take_waiting([&](const Door&) {
+            return most-- > 0;
+        });
         return door->waiting.empty();
     }
 
@@ -201,13 +255,15 @@
 
 void VirtualLoop::cancel(net::TimerId timer) {
     const auto found = when_.find(timer);
-    if (found == when_.end()) return;
+    if (found == when_.end())
+        return;
     due_.erase({found->second, timer});
     when_.erase(found);
 }
 
 bool VirtualLoop::step() {
-    if (due_.empty()) return false;
+    if (due_.empty())
+        return false;
     auto event = due_.extract(due_.begin());
     when_.erase(event.key().second);
     now_ = event.key().first;
@@ -231,9 +287,11 @@
     const net::Address& at, std::function<void(std::unique_ptr<net::Stream>)> accepted) {
     auto door = std::make_shared<Door>();
     door->address = at;
-    if (at.port == 0 && at.family != net::Address::Family::local) door->address.port = next_port_++;
+    if (at.port == 0 && at.family != net::Address::Family::local)
+        door->address.port = next_port_++;
     auto& place = doors_[door->address.text()];
-    if (!place.expired()) return Error{"cannot listen on " + door->address.text() + ": it is taken"};
+    if (!place.expired())
+        return Error{"cannot listen on " + door->address.text() + ": it is taken"};
     door->accepted = std::move(accepted);
     place = door;
     return std::unique_ptr<net::Listener>(std::make_unique<DoorListener>(std::move(door)));
@@ -250,25 +308,32 @@
         mine->end(Closed::too_late);
     });
     after(delay(), [this, mine, to] {
-        if (!mine->open) return;
+        if (!mine->open)
+            return;
         const auto found = doors_.find(to.text());
         const auto door = found == doors_.end() ? nullptr : found->second.lock();
         if (!door) {
-            after(delay(), [mine] { mine->end(Closed::refused); });
+            after(delay(), [mine] {
+                mine->end(Closed::refused);
+            });
             return;
         }
         auto theirs = std::make_shared<End>(*this);
         theirs->other = mine, mine->other = theirs;
         theirs->peer = "127.0.0.1:" + std::to_string(next_port_);
         mine->arriving([mine] {
-            if (!mine->open) return;
+            if (!mine->open)
+                return;
             mine->loop.cancel(std::exchange(mine->connect_timer, 0));
             mine->connecting = false;
-            if (mine->owner) mine->owner->on_connected();
+            if (mine->owner)
+                mine->owner->on_connected();
             mine->go_out();
         });
-        if (door->accepting) door->accepted(std::make_unique<EndStream>(std::move(theirs)));
-        else door->waiting.push_back(std::move(theirs));
+        if (door->accepting)
+            door->accepted(std::make_unique<EndStream>(std::move(theirs)));
+        else
+            door->waiting.push_back(std::move(theirs));
     });
     return std::make_unique<EndStream>(std::move(mine));
 }
@@ -290,7 +355,9 @@
                             post->received(from, copy);
                     });
     }
-    const net::Address& address() const override { return post_->address; }
+    const net::Address& address() const override {
+        return post_->address;
+    }
 
 private:
     VirtualLoop& loop_;
@@ -300,7 +367,8 @@
 Result<std::unique_ptr<net::Datagrams>> VirtualLoop::datagrams(const net::Address& at,
                                                                net::Datagrams::Received received) {
     auto post = std::make_shared<Post>(Post{at, std::move(received)});
-    if (at.port == 0) post->address.port = next_port_++;
+    if (at.port == 0)
+        post->address.port = next_port_++;
     auto& place = posts_[post->address.text()];
     if (!place.expired())
         return Error{"cannot receive datagrams on " + post->address.text() + ": it is taken"};
--- a/src/sim/virtual_loop.hpp
+++ b/src/sim/virtual_loop.hpp
@@ -28,12 +28,20 @@
     VirtualLoop(const VirtualLoop&) = delete;
     VirtualLoop& operator=(const VirtualLoop&) = delete;
 
-    Micros now() const override { return now_; }
-    Micros unseen() const override { return 0; }
-    Micros wall() const override { return settings_.wall + now_; }
+    Micros now() const override {
+        return now_;
+    }
+    Micros unseen() const override {
+        return 0;
+    }
+    Micros wall() const override {
+        return settings_.wall + now_;
+    }
     net::TimerId after(Micros delay, std::function<void()> call) override;
     void cancel(net::TimerId timer) override;
-    std::size_t timers() const override { return when_.size(); }
+    std::size_t timers() const override {
+        return when_.size();
+    }
     Result<std::unique_ptr<net::Listener>> listen(
         const net::Address& at, std::function<void(std::unique_ptr<net::Stream>)> accepted) override;
     std::unique_ptr<net::Stream> connect(const net::Address& to, net::StreamEvents& events,
@@ -45,8 +53,12 @@
     bool step();
     // Events until the condition holds, or none is left, or so much time has passed. Whether it holds.
     bool run(const std::function<bool()>& until, Micros longest);
-    void step_wall(Micros by) { settings_.wall += by; }
-    std::uint64_t events() const { return events_done_; }
+    void step_wall(Micros by) {
+        settings_.wall += by;
+    }
+    std::uint64_t events() const {
+        return events_done_;
+    }
 
 private:
     struct End;
--- a/src/statement/client.cpp
+++ b/src/statement/client.cpp
@@ -6,14 +6,17 @@
     Listener(net::Loop& loop, http::Client& http, EngineCallOptions options)
         : call(loop, http, options, *this) {}
     void on_document(EngineCall& c, Document d, const http::Headers& headers) override {
-        if (events.document) events.document(d);
-        if (!d.final()) return c.next();
+        if (events.document)
+            events.document(d);
+        if (!d.final())
+            return c.next();
         ClientResult r;
         r.how = ClientResult::How::answered;
         if (const auto after = headers.find("Retry-After"))
             r.retry_after = to_number<Micros>(*after).value_or(0) * kSecondMicros;
         r.last = std::move(d);
-        if (const auto end = std::exchange(events.end, nullptr)) end(r);
+        if (const auto end = std::exchange(events.end, nullptr))
+            end(r);
     }
     void on_end(EngineCall&, CallEnd how) override {
         using How = ClientResult::How;
@@ -24,7 +27,8 @@
                 : how.how == Call::late      ? How::late
                                              : How::unreachable;
         r.status = how.status, r.text = how.text, r.retry_after = how.retry_after;
-        if (const auto end = std::exchange(events.end, nullptr)) end(r);
+        if (const auto end = std::exchange(events.end, nullptr))
+            end(r);
     }
     StatementClient::Events events;
     EngineCall call;
@@ -44,7 +48,9 @@
     listener_->call.cancel();
 }
 
-void StatementClient::ask_again() { listener_->call.ask_again(); }
+void StatementClient::ask_again() {
+    listener_->call.ask_again();
+}
 
 void StatementClient::abandon() {
     listener_->events = {};
--- a/src/statement/client.hpp
+++ b/src/statement/client.hpp
@@ -12,7 +12,13 @@
 namespace gatetiller::statement {
 
 struct ClientResult {
-    enum class How { answered, turned_away, unreachable, lost, late };
+    enum class How {
+        answered,
+        turned_away,
+        unreachable,
+        lost,
+        late
+    };
     How how = How::lost;
     Document last;  // the final document where answered: with or without an error
     int status = 0;
--- a/src/statement/completed.cpp
+++ b/src/statement/completed.cpp
@@ -38,25 +38,29 @@
 Result<Micros> read_iso_span(std::string_view text) {
     double seconds = 0;
     const auto wrong = Error{"'" + std::string(text) + "' is not a duration such as PT1.5S"};
-    if (!text.starts_with("P")) return wrong;
+    if (!text.starts_with("P"))
+        return wrong;
     for (std::size_t at = 1; at < text.size();) {
         if (text[at] == 'T') {
             ++at;
             continue;
         }
         const std::size_t end = text.find_first_not_of("0123456789.-", at);
-        if (end == std::string_view::npos) return wrong;
+        if (end == std::string_view::npos)
+            return wrong;
         const auto n = to_number<double>(text.substr(at, end - at));
         const double unit = text[end] == 'D'   ? 86400
                             : text[end] == 'H' ? 3600
                             : text[end] == 'M' ? 60
                             : text[end] == 'S' ? 1
                                                : 0;
-        if (!n || unit == 0) return wrong;
+        if (!n || unit == 0)
+            return wrong;
         seconds += *n * unit;
         at = end + 1;
     }
-    if (!(seconds >= 0 && seconds < kMostSeconds)) return wrong;
+    if (!(seconds >= 0 && seconds < kMostSeconds))
+        return wrong;
     return static_cast<Micros>(std::llround(seconds * kSecondMicros));
 }
 
@@ -64,7 +68,8 @@
 
 std::string utc_text(Micros t) {
     std::int64_t day = t / kDay, y = 0;
-    if (t % kDay < 0) --day;
+    if (t % kDay < 0)
+        --day;
     const std::int64_t rest = t - day * kDay;
     int m = 0, d = 0;
     civil_from_days(day, y, m, d);
@@ -95,24 +100,30 @@
             t += (text[at] - '0') * unit;
     }
     const std::string_view zone = text.substr(at);
-    if (zone == "Z") return t;
-    if (zone.size() != 6 || (zone[0] != '+' && zone[0] != '-') || zone[3] != ':') return wrong;
+    if (zone == "Z")
+        return t;
+    if (zone.size() != 6 || (zone[0] != '+' && zone[0] != '-') || zone[3] != ':')
+        return wrong;
     const auto oh = to_number<int>(zone.substr(1, 2)), om = to_number<int>(zone.substr(4, 2));
-    if (!oh || !om || *oh > 18 || *om > 59) return wrong;
+    if (!oh || !om || *oh > 18 || *om > 59)
+        return wrong;
     const Micros offset = (*oh * 60 + *om) * 60 * kSecondMicros;
     return zone[0] == '+' ? t - offset : t + offset;
 }
 
 Result<Completed> read_completed(std::string_view text) {
     const Json j = Json::parse(text.begin(), text.end(), nullptr, false);
-    if (!j.is_object()) return Error{"not a JSON object"};
+    if (!j.is_object())
+        return Error{"not a JSON object"};
     Completed c;
     std::string wrong;
     static const Json kNone = Json::object();
     const auto part = [&](const char* name) -> const Json& {
         const auto found = j.find(name);
-        if (found == j.end() || found->is_null()) return kNone;
-        if (!found->is_object()) wrong = std::string(name) + " is not an object";
+        if (found == j.end() || found->is_null())
+            return kNone;
+        if (!found->is_object())
+            wrong = std::string(name) + " is not an object";
         return found->is_object() ? *found : kNone;
     };
     const auto find = [](const Json& in, const char* name) -> const Json* {
@@ -121,37 +132,45 @@
     };
     const auto string = [&](const Json& in, const char* name, std::string& to) {
         if (const Json* v = find(in, name)) {
-            if (v->is_string()) to = v->get<std::string>();
-            else wrong = std::string(name) + " is not a string";
+            if (v->is_string())
+                to = v->get<std::string>();
+            else
+                wrong = std::string(name) + " is not a string";
         }
     };
     const auto whole = [&](const Json& in, const char* name, std::int64_t& to) {
         if (const Json* v = find(in, name)) {
             if (v->is_number_integer() && v->get<std::int64_t>() >= 0 && v->get<std::int64_t>() < kMostBytes)
                 to = v->get<std::int64_t>();
-            else wrong = std::string(name) + " is not a number of bytes or rows";
+            else
+                wrong = std::string(name) + " is not a number of bytes or rows";
         }
     };
     const auto span = [&](const Json& in, const char* name, Micros& to) {
         const Json* v = find(in, name);
-        if (!v) return;
+        if (!v)
+            return;
         if (v->is_number() && v->get<double>() >= 0 && v->get<double>() < kMostSeconds)
             to = static_cast<Micros>(std::llround(v->get<double>() * kSecondMicros));
         else if (const auto t =
                      v->is_string() ? read_iso_span(v->get<std::string>()) : Result<Micros>(Error{"it"});
                  t)
             to = *t;
-        else wrong = std::string(name) + " is not a duration";
+        else
+            wrong = std::string(name) + " is not a duration";
     };
     const auto time = [&](const char* name, Micros& to) {
         const Json* v = find(j, name);
-        if (!v) return void(wrong = std::string(name) + " is missing");
+        if (!v)
+            return void(wrong = std::string(name) + " is missing");
         if (v->is_number() && v->get<double>() >= 0 && v->get<double>() < 1e11) {
             to = static_cast<Micros>(std::llround(v->get<double>() * kSecondMicros));
         } else {
             const auto t = v->is_string() ? read_utc(v->get<std::string>()) : Result<Micros>(Error{"it"});
-            if (t && *t >= 0) to = *t;
-            else wrong = std::string(name) + " is not a time";
+            if (t && *t >= 0)
+                to = *t;
+            else
+                wrong = std::string(name) + " is not a time";
         }
     };
     const Json &metadata = part("metadata"), &statistics = part("statistics"), &context = part("context"),
@@ -172,24 +191,31 @@
     string(context, "serverAddress", c.server);
     string(context, "environment", c.environment);
     if (const Json* tags = find(context, "clientTags")) {
-        if (!tags->is_array()) wrong = "clientTags is not an array";
+        if (!tags->is_array())
+            wrong = "clientTags is not an array";
         else
             for (const Json& tag : *tags) {
-                if (tag.is_string()) c.tags.push_back(tag.get<std::string>());
-                else wrong = "clientTags holds something else than strings";
+                if (tag.is_string())
+                    c.tags.push_back(tag.get<std::string>());
+                else
+                    wrong = "clientTags holds something else than strings";
             }
     }
     if (const Json* code = find(failure, "errorCode"); code && code->is_object())
         string(*code, "name", c.error_name), string(*code, "type", c.error_type);
     time("createTime", c.created);
     time("endTime", c.ended);
-    if (c.id.empty()) wrong = "metadata.queryId is missing";
-    if (!wrong.empty()) return Error{wrong};
+    if (c.id.empty())
+        wrong = "metadata.queryId is missing";
+    if (!wrong.empty())
+        return Error{wrong};
     return c;
 }
 
 std::string write_completed(const Completed& c) {
-    const auto seconds = [](Micros t) { return static_cast<double>(t) / kSecondMicros; };
+    const auto seconds = [](Micros t) {
+        return static_cast<double>(t) / kSecondMicros;
+    };
     Json j = {{"metadata", {{"queryId", c.id}, {"queryState", c.state}}},
               {"statistics",
                {{"cpuTime", seconds(c.cpu)},
--- a/src/statement/context.cpp
+++ b/src/statement/context.cpp
@@ -21,7 +21,8 @@
 template <typename Take>
 void each_pair(const http::Headers& headers, std::string_view name, Take take) {
     for (const auto& [key, value] : headers) {
-        if (!same_word(key, name)) continue;
+        if (!same_word(key, name))
+            continue;
         for (const auto part : split(value, ','))
             if (const std::size_t equals = part.find('='); equals != std::string_view::npos)
                 take(std::string(trimmed(part.substr(0, equals))),
@@ -54,7 +55,8 @@
         const char l = lower(c);
         if ((l >= 'a' && l <= 'z') || (c >= '0' && c <= '9') || c == '-' || c == '_' || c == '.' || c == '~')
             out += c;
-        else out += '%', out += kHex[u >> 4], out += kHex[u & 15];
+        else
+            out += '%', out += kHex[u >> 4], out += kHex[u & 15];
     }
     return out;
 }
@@ -70,15 +72,18 @@
         return std::string(headers.find(c.prefix + std::string(name)).value_or(""));
     };
     c.user = text("User");
-    if (c.user.empty()) return Error{"the header X-Trino-User is missing: set it to the user's name"};
+    if (c.user.empty())
+        return Error{"the header X-Trino-User is missing: set it to the user's name"};
     c.source = text("Source");
     c.catalog = text("Catalog");
     c.schema = text("Schema");
     c.trace_token = text("Trace-Token");
     for (const auto& [key, value] : headers) {
         if (same_word(key, c.prefix + "Client-Tags"))
-            for (const auto tag : split(value, ',')) c.tags.emplace_back(tag);
-        if (in_family(key, c.prefix)) c.passed.add(key, value);
+            for (const auto tag : split(value, ','))
+                c.tags.emplace_back(tag);
+        if (in_family(key, c.prefix))
+            c.passed.add(key, value);
     }
     each_pair(headers, c.prefix + "Session", [&](std::string name, const std::string& value) {
         c.session[std::move(name)] = url_decoded(value);
@@ -88,21 +93,28 @@
               [&](const std::string& name, const std::string& value) {
                   if (name == "CPU_TIME" || name == "EXECUTION_TIME") {
                       const auto span = parse_span(value);
-                      if (!span) wrong = name + ": " + span.error();
-                      else if (name == "CPU_TIME" || c.cpu_estimate == 0) c.cpu_estimate = *span;
+                      if (!span)
+                          wrong = name + ": " + span.error();
+                      else if (name == "CPU_TIME" || c.cpu_estimate == 0)
+                          c.cpu_estimate = *span;
                   } else if (name == "PEAK_MEMORY") {
                       const auto size = parse_bytes(value);
-                      if (!size) wrong = name + ": " + size.error();
-                      else c.memory_estimate = *size;
+                      if (!size)
+                          wrong = name + ": " + size.error();
+                      else
+                          c.memory_estimate = *size;
                   }
               });
     for (const char* name : {"query_max_run_time", "query_max_execution_time"})
         if (const auto found = c.session.find(name); found != c.session.end()) {
             const auto span = parse_span(found->second);
-            if (!span) wrong = std::string(name) + ": " + span.error();
-            else if (*span > 0) c.run_limit = c.run_limit == 0 ? *span : std::min(c.run_limit, *span);
+            if (!span)
+                wrong = std::string(name) + ": " + span.error();
+            else if (*span > 0)
+                c.run_limit = c.run_limit == 0 ? *span : std::min(c.run_limit, *span);
         }
-    if (!wrong.empty()) return Error{wrong};
+    if (!wrong.empty())
+        return Error{wrong};
     return c;
 }
 
@@ -117,14 +129,17 @@
     if (!tag.empty()) {
         std::string tags = tag;
         for (const auto& t : context.tags)
-            if (!t.starts_with(tag.substr(0, tag.find('=') + 1))) tags += "," + t;
+            if (!t.starts_with(tag.substr(0, tag.find('=') + 1)))
+                tags += "," + t;
         out.add(context.prefix + "Client-Tags", tags);
     }
     auto all = context.session;
-    for (const auto& [name, value] : set) all[name] = value;
+    for (const auto& [name, value] : set)
+        all[name] = value;
     for (const auto& [name, value] : all)
         session += (session.empty() ? "" : ",") + name + "=" + url_encoded(value);
-    if (!session.empty()) out.add(context.prefix + "Session", session);
+    if (!session.empty())
+        out.add(context.prefix + "Session", session);
     return out;
 }
 
@@ -133,7 +148,8 @@
         for (const std::string_view family : kFamilies)
             if (in_family(key, family))
                 for (const std::string_view name : kPassedBack)
-                    if (same_word(key.substr(family.size()), name)) to.add(key, value);
+                    if (same_word(key.substr(family.size()), name))
+                        to.add(key, value);
 }
 
 }  // namespace gatetiller::statement
--- a/src/statement/context.hpp
+++ b/src/statement/context.hpp
@@ -24,7 +24,8 @@
 
 Result<Context> read_context(const http::Headers& headers);
 // The headers of a statement on its way to an engine, with these session properties set over the client's
-// own. `tag`: NAME=VALUE, added to the client's tags; what the client itself sends under that name is left out.
+// own. `tag`: NAME=VALUE, added to the client's tags; what the client itself sends under that name is left
+// out.
 http::Headers engine_headers(const Context& context, const std::map<std::string, std::string>& set,
                              const std::string& tag = "");
 // Response headers of the engine's family that a gateway passes through.
--- a/src/statement/document.cpp
+++ b/src/statement/document.cpp
@@ -7,7 +7,8 @@
 namespace {
 
 std::int64_t whole(std::string_view raw) {
-    if (const auto n = to_number<std::int64_t>(raw)) return *n;
+    if (const auto n = to_number<std::int64_t>(raw))
+        return *n;
     const auto d = to_number<double>(raw);  // written with a fraction or an exponent
     return d && *d > -9e18 && *d < 9e18 ? static_cast<std::int64_t>(*d) : 0;
 }
@@ -30,28 +31,39 @@
 
 Result<Stats> read_stats(std::string_view raw) {
     auto found = members(raw);
-    if (!found) return Error{"stats: " + found.error()};
+    if (!found)
+        return Error{"stats: " + found.error()};
     Stats s;
     for (const Member& m : *found) {
-        if (m.key == "state") s.state = as_string(m.raw).value_or("");
-        else if (m.key == "queued") s.queued = m.raw == "true";
-        else if (m.key == "scheduled") s.scheduled = m.raw == "true";
-        else if (m.key == "progressPercentage") s.progress = to_number<double>(m.raw).value_or(0);
+        if (m.key == "state")
+            s.state = as_string(m.raw).value_or("");
+        else if (m.key == "queued")
+            s.queued = m.raw == "true";
+        else if (m.key == "scheduled")
+            s.scheduled = m.raw == "true";
+        else if (m.key == "progressPercentage")
+            s.progress = to_number<double>(m.raw).value_or(0);
         for (const auto& [key, member] : kNumbers)
-            if (m.key == key) s.*member = whole(m.raw);
+            if (m.key == key)
+                s.*member = whole(m.raw);
     }
     return s;
 }
 
 Result<StatementError> read_error(std::string_view raw) {
     auto found = members(raw);
-    if (!found) return Error{"error: " + found.error()};
+    if (!found)
+        return Error{"error: " + found.error()};
     StatementError e;
     for (const Member& m : *found) {
-        if (m.key == "message") e.message = as_string(m.raw).value_or("");
-        else if (m.key == "errorCode") e.code = whole(m.raw);
-        else if (m.key == "errorName") e.name = as_string(m.raw).value_or("");
-        else if (m.key == "errorType") e.type = as_string(m.raw).value_or("");
+        if (m.key == "message")
+            e.message = as_string(m.raw).value_or("");
+        else if (m.key == "errorCode")
+            e.code = whole(m.raw);
+        else if (m.key == "errorName")
+            e.name = as_string(m.raw).value_or("");
+        else if (m.key == "errorType")
+            e.type = as_string(m.raw).value_or("");
     }
     return e;
 }
@@ -60,36 +72,52 @@
 
 Result<Document> read_document(std::string_view text) {
     auto found = members(text);
-    if (!found) return Error{found.error()};
+    if (!found)
+        return Error{found.error()};
     Document d;
     for (const Member& m : *found) {
-        if (m.raw == "null") continue;  // absent, to be generous
+        if (m.raw == "null")
+            continue;  // absent, to be generous
         const auto string_into = [&](std::string& to) {
-            if (auto s = as_string(m.raw)) to = std::move(*s);
+            if (auto s = as_string(m.raw))
+                to = std::move(*s);
         };
-        if (m.key == "id") string_into(d.id);
-        else if (m.key == "infoUri") string_into(d.info_uri);
-        else if (m.key == "nextUri") string_into(d.next_uri);
-        else if (m.key == "partialCancelUri") string_into(d.partial_cancel_uri);
-        else if (m.key == "columns") d.columns = m.raw;
-        else if (m.key == "data") d.data = m.raw;
-        else if (m.key == "warnings") d.warnings = m.raw;
-        else if (m.key == "updateType") string_into(d.update_type);
-        else if (m.key == "updateCount") d.update_count = m.raw;
+        if (m.key == "id")
+            string_into(d.id);
+        else if (m.key == "infoUri")
+            string_into(d.info_uri);
+        else if (m.key == "nextUri")
+            string_into(d.next_uri);
+        else if (m.key == "partialCancelUri")
+            string_into(d.partial_cancel_uri);
+        else if (m.key == "columns")
+            d.columns = m.raw;
+        else if (m.key == "data")
+            d.data = m.raw;
+        else if (m.key == "warnings")
+            d.warnings = m.raw;
+        else if (m.key == "updateType")
+            string_into(d.update_type);
+        else if (m.key == "updateCount")
+            d.update_count = m.raw;
         else if (m.key == "stats") {
             auto stats = read_stats(m.raw);
-            if (!stats) return Error{stats.error()};
+            if (!stats)
+                return Error{stats.error()};
             d.stats = std::move(*stats);
             d.stats_text = m.raw;
         } else if (m.key == "error") {
             auto error = read_error(m.raw);
-            if (!error) return Error{error.error()};
+            if (!error)
+                return Error{error.error()};
             d.error = std::move(*error);
             d.error_text = m.raw;
         }
     }
-    if (d.id.empty()) return Error{"a document without id"};
-    if (!d.data.empty() && d.data.front() != '[') return Error{"data that is not an array"};
+    if (d.id.empty())
+        return Error{"a document without id"};
+    if (!d.data.empty() && d.data.front() != '[')
+        return Error{"data that is not an array"};
     return d;
 }
 
@@ -107,10 +135,12 @@
     out.reserve(600 + d.held_bytes());
     out.append("{\"id\":").append(json_string(d.id));
     const auto text = [&](const char* key, const std::string& value) {
-        if (!value.empty()) out.append(",\"").append(key).append("\":").append(json_string(value));
+        if (!value.empty())
+            out.append(",\"").append(key).append("\":").append(json_string(value));
     };
     const auto raw = [&](const char* key, const std::string& value) {
-        if (!value.empty()) out.append(",\"").append(key).append("\":").append(value);
+        if (!value.empty())
+            out.append(",\"").append(key).append("\":").append(value);
     };
     text("infoUri", d.info_uri);
     text("nextUri", d.next_uri);
@@ -160,7 +190,8 @@
                                 {"QUERY_QUEUE_FULL", "INSUFFICIENT_RESOURCES", 131074},
                                 {"EXCEEDED_TIME_LIMIT", "INSUFFICIENT_RESOURCES", 131075}};
     for (const Known& k : kKnown)
-        if (k.name == name) return {std::move(message), std::string(name), std::string(k.type), k.code};
+        if (k.name == name)
+            return {std::move(message), std::string(name), std::string(k.type), k.code};
     return {std::move(message), "GENERIC_INTERNAL_ERROR", "INTERNAL_ERROR", 65536};
 }
 
--- a/src/statement/document.hpp
+++ b/src/statement/document.hpp
@@ -34,8 +34,12 @@
     std::optional<StatementError> error;
     std::string error_text;  // as it came; empty: written from `error`
 
-    bool final() const { return next_uri.empty(); }
-    bool has_rows() const { return data.size() > 2; }
+    bool final() const {
+        return next_uri.empty();
+    }
+    bool has_rows() const {
+        return data.size() > 2;
+    }
     std::size_t held_bytes() const {
         return columns.size() + data.size() + error_text.size() + stats_text.size();
     }
--- a/src/statement/engine_call.cpp
+++ b/src/statement/engine_call.cpp
@@ -5,7 +5,9 @@
 EngineCall::EngineCall(net::Loop& loop, http::Client& client, EngineCallOptions options, Events& events)
     : loop_(loop), client_(client), options_(options), events_(events) {}
 
-EngineCall::~EngineCall() { loop_.cancel(again_); }
+EngineCall::~EngineCall() {
+    loop_.cancel(again_);
+}
 
 // Engines name absolute URIs by what the front called them; only the path counts, since the front knows where
 // the engine is and must not be sent elsewhere.
@@ -24,10 +26,13 @@
     call_ = client_.send(
         post, options_.answer_time_out,
         [this, cancelled, &client, head = headers_, time_out = options_.answer_time_out](http::Answer a) {
-            if (!*cancelled) return on_post(std::move(a));
-            if (a.reached != http::Reached::answered || a.response.status != 200) return;
+            if (!*cancelled)
+                return on_post(std::move(a));
+            if (a.reached != http::Reached::answered || a.response.status != 200)
+                return;
             const auto d = read_document(a.response.body);
-            if (d && !d->final()) send_delete(client, head, path_of(d->next_uri), time_out);
+            if (d && !d->final())
+                send_delete(client, head, path_of(d->next_uri), time_out);
         },
         std::move(may_begin));
 }
@@ -35,20 +40,28 @@
 void EngineCall::end(CallEnd how) {
     state_ = State::over;
     // What it still runs there is nobody's any more.
-    if (!next_.empty()) send_delete(client_, headers_, next_, options_.answer_time_out);
+    if (!next_.empty())
+        send_delete(client_, headers_, next_, options_.answer_time_out);
     events_.on_end(*this, std::move(how));
 }
 
 void EngineCall::on_post(http::Answer a) {
     using How = CallEnd::How;
     switch (a.reached) {
-        case http::Reached::never_sent: return end({How::not_sent, 0, a.error, 0});
-        case http::Reached::connect_late: return end({How::connect_late, 0, a.error, 0});
-        case http::Reached::lacked_here: return end({How::lacked_here, 0, a.error, 0});
-        case http::Reached::withdrawn: return end({How::withdrawn, 0, a.error, 0});
-        case http::Reached::broken: return end({How::lost, 0, a.error, 0});
-        case http::Reached::late: return end({How::late, 0, a.error, 0});
-        case http::Reached::answered: break;
+        case http::Reached::never_sent:
+            return end({How::not_sent, 0, a.error, 0});
+        case http::Reached::connect_late:
+            return end({How::connect_late, 0, a.error, 0});
+        case http::Reached::lacked_here:
+            return end({How::lacked_here, 0, a.error, 0});
+        case http::Reached::withdrawn:
+            return end({How::withdrawn, 0, a.error, 0});
+        case http::Reached::broken:
+            return end({How::lost, 0, a.error, 0});
+        case http::Reached::late:
+            return end({How::late, 0, a.error, 0});
+        case http::Reached::answered:
+            break;
     }
     if (a.response.status != 200) {
         const auto after = to_number<Micros>(a.response.headers.find("Retry-After").value_or(""));
@@ -65,39 +78,47 @@
     const bool final = document->final();
     if (!final) {
         next_ = path_of(document->next_uri);
-        if (next_.empty()) return end({CallEnd::How::lost, 0, "a nextUri without a path", 0});
+        if (next_.empty())
+            return end({CallEnd::How::lost, 0, "a nextUri without a path", 0});
     }
     state_ = final ? State::over : State::has_next;
     events_.on_document(*this, std::move(*document), a.response.headers);  // may destroy this
 }
 
 void EngineCall::next() {
-    if (state_ != State::has_next) return;
+    if (state_ != State::has_next)
+        return;
     state_ = State::polling;
     tries_ = 0;
     poll();
 }
 
 void EngineCall::ask_again() {
-    if (state_ == State::polling && again_ == 0) poll();
+    if (state_ == State::polling && again_ == 0)
+        poll();
 }
 
 void EngineCall::poll() {
     again_ = 0;
     http::Request get{"GET", next_, 1, headers_, {}, {}};
-    call_ = client_.send(get, options_.answer_time_out, [this](http::Answer a) { on_poll(std::move(a)); });
+    call_ = client_.send(get, options_.answer_time_out, [this](http::Answer a) {
+        on_poll(std::move(a));
+    });
 }
 
 void EngineCall::on_poll(http::Answer a) {
     const bool answered = a.reached == http::Reached::answered;
     const int status = a.response.status;
-    if (answered && status == 200) return take(a);
+    if (answered && status == 200)
+        return take(a);
     // A poll may be asked again: the engine keeps its latest document.
     const bool again = a.reached == http::Reached::broken || a.reached == http::Reached::never_sent ||
                        a.reached == http::Reached::lacked_here ||
                        (answered && (status == 502 || status == 503 || status == 504 || status == 429));
     if (again && ++tries_ < options_.poll_tries) {
-        again_ = loop_.after(options_.poll_again_after, [this] { poll(); });
+        again_ = loop_.after(options_.poll_again_after, [this] {
+            poll();
+        });
         return;
     }
     const bool late = a.reached == http::Reached::late || a.reached == http::Reached::connect_late;
@@ -112,14 +133,17 @@
     }
     loop_.cancel(std::exchange(again_, 0));
     *cancelled_ = true;
-    if (state_ == State::posting) call_.detach();
-    else send_delete(client_, headers_, next_, options_.answer_time_out);
+    if (state_ == State::posting)
+        call_.detach();
+    else
+        send_delete(client_, headers_, next_, options_.answer_time_out);
     state_ = State::over;
     call_.cancel();
 }
 
 bool EngineCall::recall() {
-    if (state_ != State::posting || !call_.withdraw()) return false;
+    if (state_ != State::posting || !call_.withdraw())
+        return false;
     state_ = State::over;
     return true;
 }
--- a/src/statement/engine_call.hpp
+++ b/src/statement/engine_call.hpp
@@ -52,17 +52,25 @@
     void start(http::Headers headers, std::string sql, std::function<bool()> may_begin = nullptr);
     void next();
     void ask_again();  // as after a lost answer: the poll in flight is let go and sent anew
-    // Asks the engine to stop. If the POST is still unanswered, the DELETE follows its answer; if nothing of it has gone out
-    // yet, nothing does.
+    // Asks the engine to stop. If the POST is still unanswered, the DELETE follows its answer; if nothing of
+    // it has gone out yet, nothing does.
     void cancel();
-    // Takes the statement back where nothing of it has gone out yet: then it never ran, and the call is over without a
-    // word. Whether that was so.
+    // Takes the statement back where nothing of it has gone out yet: then it never ran, and the call is over
+    // without a word. Whether that was so.
     bool recall();
     void drop();  // ends here without a word to the engine
-    bool over() const { return state_ == State::over; }
+    bool over() const {
+        return state_ == State::over;
+    }
 
 private:
-    enum class State { idle, posting, has_next, polling, over };
+    enum class State {
+        idle,
+        posting,
+        has_next,
+        polling,
+        over
+    };
     void on_post(http::Answer answer);
     void poll();
     void on_poll(http::Answer answer);
