--- a/src/statement/json.cpp
+++ b/src/statement/json.cpp
@@ -14,38 +14,52 @@
     Result<std::vector<Member>> object_members() {
         std::vector<Member> found;
         space();
-        if (!take('{')) return wrong("an object was expected");
+        if (!take('{'))
+            return wrong("an object was expected");
         space();
         if (!take('}')) {
             do {
                 space();
                 const std::size_t from = at_;
-                if (!string()) return wrong("a member's name was expected");
+                if (!string())
+                    return wrong("a member's name was expected");
                 auto key = as_string(text_.substr(from, at_ - from));
                 space();
-                if (!key || !take(':')) return wrong("':' was expected");
+                if (!key || !take(':'))
+                    return wrong("':' was expected");
                 space();
                 const std::size_t value = at_;
-                if (!any(1)) return wrong("a value was expected");
+                if (!any(1))
+                    return wrong("a value was expected");
                 found.push_back({std::move(*key), text_.substr(value, at_ - value)});
                 space();
             } while (take(','));
-            if (!take('}')) return wrong("',' or '}' was expected");
+            if (!take('}'))
+                return wrong("',' or '}' was expected");
         }
         space();
-        if (at_ != text_.size()) return wrong("text after the end");
+        if (at_ != text_.size())
+            return wrong("text after the end");
         return found;
     }
     bool any(int depth) {
-        if (at_ >= text_.size() || depth > kDepth) return false;
+        if (at_ >= text_.size() || depth > kDepth)
+            return false;
         switch (text_[at_]) {
-            case '"': return string();
-            case '{': return group('}', true, depth);
-            case '[': return group(']', false, depth);
-            case 't': return word("true");
-            case 'f': return word("false");
-            case 'n': return word("null");
-            default: return number();
+            case '"':
+                return string();
+            case '{':
+                return group('}', true, depth);
+            case '[':
+                return group(']', false, depth);
+            case 't':
+                return word("true");
+            case 'f':
+                return word("false");
+            case 'n':
+                return word("null");
+            default:
+                return number();
         }
     }
     void space() {
@@ -54,7 +68,8 @@
             ++at_;
     }
     bool take(char c) {
-        if (at_ >= text_.size() || text_[at_] != c) return false;
+        if (at_ >= text_.size() || text_[at_] != c)
+            return false;
         ++at_;
         return true;
     }
@@ -64,58 +79,76 @@
         return Error{"not JSON at byte " + std::to_string(at_) + ": " + what};
     }
     bool word(std::string_view w) {
-        if (text_.substr(at_, w.size()) != w) return false;
+        if (text_.substr(at_, w.size()) != w)
+            return false;
         at_ += w.size();
         return true;
     }
     bool group(char end, bool named, int depth) {
         ++at_;
         space();
-        if (take(end)) return true;
+        if (take(end))
+            return true;
         do {
             space();
             if (named) {
-                if (!string()) return false;
+                if (!string())
+                    return false;
                 space();
-                if (!take(':')) return false;
+                if (!take(':'))
+                    return false;
                 space();
             }
-            if (!any(depth + 1)) return false;
+            if (!any(depth + 1))
+                return false;
             space();
         } while (take(','));
         return take(end);
     }
     bool string() {
-        if (!take('"')) return false;
+        if (!take('"'))
+            return false;
         while (at_ < text_.size()) {
             const auto c = static_cast<unsigned char>(text_[at_++]);
-            if (c == '"') return true;
-            if (c < 0x20) return false;
-            if (c != '\\') continue;
-            if (at_ >= text_.size()) return false;
+            if (c == '"')
+                return true;
+            if (c < 0x20)
+                return false;
+            if (c != '\\')
+                continue;
+            if (at_ >= text_.size())
+                return false;
             const char e = text_[at_++];
             if (e == 'u') {
                 for (int i = 0; i < 4; ++i, ++at_)
-                    if (at_ >= text_.size() || !hex(text_[at_])) return false;
+                    if (at_ >= text_.size() || !hex(text_[at_]))
+                        return false;
             } else if (std::string_view("\"\\/bfnrt").find(e) == std::string_view::npos) {
                 return false;
             }
         }
         return false;
     }
-    static bool hex(char c) { return (c >= '0' && c <= '9') || (lower(c) >= 'a' && lower(c) <= 'f'); }
+    static bool hex(char c) {
+        return (c >= '0' && c <= '9') || (lower(c) >= 'a' && lower(c) <= 'f');
+    }
     bool digits() {
         const std::size_t from = at_;
-        while (at_ < text_.size() && text_[at_] >= '0' && text_[at_] <= '9') ++at_;
+        while (at_ < text_.size() && text_[at_] >= '0' && text_[at_] <= '9')
+            ++at_;
         return at_ > from;
     }
     bool number() {
         take('-');
-        if (!take('0') && !digits()) return false;
-        if (take('.') && !digits()) return false;
+        if (!take('0') && !digits())
+            return false;
+        if (take('.') && !digits())
+            return false;
         if (take('e') || take('E')) {
-            if (!take('+')) take('-');
-            if (!digits()) return false;
+            if (!take('+'))
+                take('-');
+            if (!digits())
+                return false;
         }
         return true;
     }
@@ -150,17 +183,22 @@
 
 }  // namespace
 
-Result<std::vector<Member>> members(std::string_view text) { return Scanner(text).object_members(); }
+Result<std::vector<Member>> members(std::string_view text) {
+    return Scanner(text).object_members();
+}
 
 std::size_t array_length(std::string_view raw) {
     Scanner s(raw);
-    if (!s.take('[')) return 0;
+    if (!s.take('['))
+        return 0;
     s.space();
-    if (s.take(']')) return 0;
+    if (s.take(']'))
+        return 0;
     std::size_t n = 0;
     do {
         s.space();
-        if (!s.any(1)) return n;
+        if (!s.any(1))
+            return n;
         ++n;
         s.space();
     } while (s.take(','));
@@ -168,7 +206,8 @@
 }
 
 std::optional<std::string> as_string(std::string_view raw) {
-    if (raw.size() < 2 || raw.front() != '"' || raw.back() != '"') return std::nullopt;
+    if (raw.size() < 2 || raw.front() != '"' || raw.back() != '"')
+        return std::nullopt;
     raw = raw.substr(1, raw.size() - 2);
     std::string out;
     out.reserve(raw.size());
@@ -178,11 +217,21 @@
             continue;
         }
         switch (const char e = raw[++i]) {
-            case 'b': out.push_back('\b'); break;
-            case 'f': out.push_back('\f'); break;
-            case 'n': out.push_back('\n'); break;
-            case 'r': out.push_back('\r'); break;
-            case 't': out.push_back('\t'); break;
+            case 'b':
+                out.push_back('\b');
+                break;
+            case 'f':
+                out.push_back('\f');
+                break;
+            case 'n':
+                out.push_back('\n');
+                break;
+            case 'r':
+                out.push_back('\r');
+                break;
+            case 't':
+                out.push_back('\t');
+                break;
             case 'u': {
                 std::uint32_t c = four_hex(raw.substr(i + 1));
                 i += 4;
@@ -196,7 +245,8 @@
                 append_utf8(out, c >= 0xd800 && c < 0xe000 ? 0xfffd : c);  // half a pair stands for nothing
                 break;
             }
-            default: out.push_back(e);
+            default:
+                out.push_back(e);
         }
     }
     return out;
@@ -206,11 +256,21 @@
     std::string out = "\"";
     for (const char c : text) {
         switch (c) {
-            case '"': out += "\\\""; break;
-            case '\\': out += "\\\\"; break;
-            case '\n': out += "\\n"; break;
-            case '\r': out += "\\r"; break;
-            case '\t': out += "\\t"; break;
+            case '"':
+                out += "\\\"";
+                break;
+            case '\\':
+                out += "\\\\";
+                break;
+            case '\n':
+                out += "\\n";
+                break;
+            case '\r':
+                out += "\\r";
+                break;
+            case '\t':
+                out += "\\t";
+                break;
             default:
                 if (static_cast<unsigned char>(c) < 0x20) {
                     constexpr std::string_view kHex = "0123456789abcdef";
--- a/src/statement/load_report.cpp
+++ b/src/statement/load_report.cpp
@@ -19,7 +19,8 @@
 
 std::optional<Report> read_report(const http::Headers& headers) {
     const auto text = headers.find(kLoadHeader);
-    if (!text) return std::nullopt;
+    if (!text)
+        return std::nullopt;
     Report report;
     for (const auto part : split(*text, ','))
         for (const auto& [name, member] : kReportParts)
--- a/src/statement/server.cpp
+++ b/src/statement/server.cpp
@@ -42,12 +42,15 @@
       entropy_(std::move(entropy)),
       started_(loop.now()),
       run_(entropy_().substr(0, 5)) {
-    sweeping_ = loop_.after(kSweep, [this] { sweep(); });
+    sweeping_ = loop_.after(kSweep, [this] {
+        sweep();
+    });
 }
 
 ServerSide::~ServerSide() {
     loop_.cancel(sweeping_);
-    for (auto& [id, s] : sessions_) loop_.cancel(s.timer);
+    for (auto& [id, s] : sessions_)
+        loop_.cancel(s.timer);
 }
 
 void ServerSide::answer(http::Server::Reply& reply, http::Response response) {
@@ -58,8 +61,10 @@
 bool ServerSide::handle(http::Request& request, http::Server::Reply& reply) {
     const std::string_view path = std::string_view(request.target).substr(0, request.target.find('?'));
     if (path == kStatement) {
-        if (request.method == "POST") submit(request, reply);
-        else answer(reply, text_response(405, "statements are sent with POST"));
+        if (request.method == "POST")
+            submit(request, reply);
+        else
+            answer(reply, text_response(405, "statements are sent with POST"));
     } else if (path.starts_with(std::string(kStatement) + "/")) {
         statement_path(request, path.substr(kStatement.size() + 1), reply);
     } else if (path.starts_with(kQuery)) {
@@ -89,7 +94,8 @@
     if (request.body.find_first_not_of(" \t\r\n") == std::string::npos)
         return answer(reply, text_response(400, "the body is empty: send the statement's text in it"));
     std::string count = std::to_string(++last_);
-    if (count.size() < 5) count.insert(0, 5 - count.size(), '0');
+    if (count.size() < 5)
+        count.insert(0, 5 - count.size(), '0');
     const std::string id = day_stamp(loop_.wall()) + "_" + count + "_" + run_;
     Session& s = sessions_[id];
     s.slug = "y" + entropy_();
@@ -132,15 +138,19 @@
     const std::string id = found->first;
     Session& s = found->second;
     if (request.method == "DELETE") {
-        if (!s.finished) leave(id, Left::cancelled);
+        if (!s.finished)
+            leave(id, Left::cancelled);
         return answer(reply, {204, {}, {}});
     }
     if (request.method != "GET" && request.method != "HEAD")
         return answer(reply, text_response(405, "statements are polled with GET and cancelled with DELETE"));
     touch(s);
-    if (*token == s.token && *token > 0) return answer(reply, s.latest);
-    if (*token <= s.token) return answer(reply, text_response(410, "a document that has been passed"));
-    if (*token > s.token + 1 || s.finished) return answer(reply, text_response(404, "no such document"));
+    if (*token == s.token && *token > 0)
+        return answer(reply, s.latest);
+    if (*token <= s.token)
+        return answer(reply, text_response(410, "a document that has been passed"));
+    if (*token > s.token + 1 || s.finished)
+        return answer(reply, text_response(404, "no such document"));
     poll(id, s, reply);
 }
 
@@ -152,7 +162,8 @@
         s.held.reset();
         answer(older, text_response(503, "asked again meanwhile"));
     }
-    if (!s.waiting.empty()) return give(id, s, std::move(reply));
+    if (!s.waiting.empty())
+        return give(id, s, std::move(reply));
     s.held = std::move(reply);
     const std::uint64_t serial = s.held_serial = ++held_;
     const auto mine = [this, id, serial]() -> Session* {
@@ -210,24 +221,32 @@
     d.next_uri = final ? "" : uri(id, s, s.token + 2);
     ++s.token;
     s.latest = json_response(200, write_document(d));
-    for (const auto& [key, value] : next.headers) s.latest.headers.add(key, value);
-    if (final) finish(id, s);
-    else touch(s);
+    for (const auto& [key, value] : next.headers)
+        s.latest.headers.add(key, value);
+    if (final)
+        finish(id, s);
+    else
+        touch(s);
     answer(reply, s.latest);
-    if (final) backend_.final_given(id);
-    else backend_.room(id);
+    if (final)
+        backend_.final_given(id);
+    else
+        backend_.room(id);
 }
 
 void ServerSide::push(const std::string& id, Document document, http::Headers headers) {
     const auto found = sessions_.find(id);
-    if (found == sessions_.end() || found->second.final_queued) return;
+    if (found == sessions_.end() || found->second.final_queued)
+        return;
     Session& s = found->second;
     s.final_queued = document.final();
-    if (document.error) s.error_name = document.error->name, s.error_code = document.error->code;
+    if (document.error)
+        s.error_name = document.error->name, s.error_code = document.error->code;
     s.waiting_bytes += document.held_bytes();
     waiting_in_all_ += document.held_bytes();
     s.waiting.push_back({std::move(document), std::move(headers)});
-    if (!s.held) return;
+    if (!s.held)
+        return;
     loop_.cancel(std::exchange(s.timer, 0));
     auto reply = std::move(*s.held);
     s.held.reset();
@@ -236,7 +255,8 @@
 
 void ServerSide::drop_waiting(const std::string& id) {
     const auto found = sessions_.find(id);
-    if (found == sessions_.end()) return;
+    if (found == sessions_.end())
+        return;
     found->second.waiting.clear();
     waiting_in_all_ -= std::exchange(found->second.waiting_bytes, 0);
 }
@@ -249,11 +269,13 @@
 // What ends a statement from the client's side. Its next poll is told so, as others may share the statement.
 void ServerSide::leave(const std::string& id, Left how) {
     Session& s = sessions_.find(id)->second;
-    if (s.finished) return;
+    if (s.finished)
+        return;
     drop_waiting(id);
     s.final_queued = false;
     backend_.left(id, how);
-    if (!sessions_.contains(id)) return;
+    if (!sessions_.contains(id))
+        return;
     Document d;
     d.stats.state = "FAILED";
     d.error = how == Left::abandoned
@@ -272,11 +294,13 @@
 
 void ServerSide::touch(Session& s) {
     s.asked = loop_.now();
-    if (!s.finished) by_asking_.splice(by_asking_.end(), by_asking_, s.place);
+    if (!s.finished)
+        by_asking_.splice(by_asking_.end(), by_asking_, s.place);
 }
 
 void ServerSide::finish(const std::string& id, Session& s) {
-    if (std::exchange(s.finished, true)) return;
+    if (std::exchange(s.finished, true))
+        return;
     by_asking_.erase(s.place);
     s.sql = {};
     finished_.emplace_back(loop_.now(), id);
@@ -299,25 +323,35 @@
         forget(std::string(finished_.front().second));
     while (!by_asking_.empty()) {
         Session& oldest = sessions_.find(by_asking_.front())->second;
-        if (now - oldest.asked < options_.abandoned_after) break;
-        if (oldest.held) touch(oldest);  // its poll is being held: it asks
-        else leave(std::string(by_asking_.front()), Left::abandoned);
+        if (now - oldest.asked < options_.abandoned_after)
+            break;
+        if (oldest.held)
+            touch(oldest);  // its poll is being held: it asks
+        else
+            leave(std::string(by_asking_.front()), Left::abandoned);
     }
-    sweeping_ = loop_.after(kSweep, [this] { sweep(); });
+    sweeping_ = loop_.after(kSweep, [this] {
+        sweep();
+    });
 }
 
 void ServerSide::query_path(http::Request& request, std::string_view id, http::Server::Reply& reply) {
     const auto found = sessions_.find(id);
-    if (found == sessions_.end()) return answer(reply, text_response(404, "no such statement"));
+    if (found == sessions_.end())
+        return answer(reply, text_response(404, "no such statement"));
     Session& s = found->second;
     const auto context = read_context(request.headers);
-    if (!context) return answer(reply, text_response(401, context.error()));
-    if (context->user != s.user) return answer(reply, text_response(403, "another user's statement"));
+    if (!context)
+        return answer(reply, text_response(401, context.error()));
+    if (context->user != s.user)
+        return answer(reply, text_response(403, "another user's statement"));
     if (request.method == "DELETE") {
-        if (!s.finished) leave(std::string(id), Left::killed);
+        if (!s.finished)
+            leave(std::string(id), Left::killed);
         return answer(reply, {204, {}, {}});
     }
-    if (request.method != "GET") return answer(reply, text_response(405, "GET or DELETE"));
+    if (request.method != "GET")
+        return answer(reply, text_response(405, "GET or DELETE"));
     const Stats stats = s.finished ? Stats{.state = s.error_name.empty() ? "FINISHED" : "FAILED"}
                                    : backend_.progress(found->first);
     std::string body = "{\"queryId\":" + json_string(id) + ",\"state\":" + json_string(stats.state) +
@@ -348,7 +382,8 @@
                                                 : starting ? "\"STARTING\""
                                                            : "\"ACTIVE\""));
     }
-    if (request.method != "GET" && request.method != "HEAD") return answer(reply, text_response(405, "GET"));
+    if (request.method != "GET" && request.method != "HEAD")
+        return answer(reply, text_response(405, "GET"));
     if (path == "/v1/info")
         return answer(
             reply,
--- a/src/statement/server.hpp
+++ b/src/statement/server.hpp
@@ -15,7 +15,11 @@
 
 namespace gatetiller::statement {
 
-enum class Left { cancelled, abandoned, killed };
+enum class Left {
+    cancelled,
+    abandoned,
+    killed
+};
 
 struct Submission {
     Context context;
@@ -73,9 +77,13 @@
     // Drops what waits and has not been given out, and what rows may have been in it.
     void drop_waiting(const std::string& id);
     std::size_t waiting_bytes(const std::string& id) const;
-    std::size_t waiting_in_all() const { return waiting_in_all_; }
+    std::size_t waiting_in_all() const {
+        return waiting_in_all_;
+    }
     bool starting = false, draining = false;
-    std::size_t kept() const { return finished_.size(); }
+    std::size_t kept() const {
+        return finished_.size();
+    }
 
 private:
     struct Waiting {
@@ -124,7 +132,9 @@
     std::string run_;  // of ids: differs between runs, so that no id comes twice
     struct Hash {
         using is_transparent = void;
-        std::size_t operator()(std::string_view text) const { return std::hash<std::string_view>{}(text); }
+        std::size_t operator()(std::string_view text) const {
+            return std::hash<std::string_view>{}(text);
+        }
     };
     std::unordered_map<std::string, Session, Hash, std::equal_to<>> sessions_;
     // Those not finished, the one that asked longest ago first: abandonment looks at that end only.
--- a/src/store/books.cpp
+++ b/src/store/books.cpp
@@ -19,20 +19,27 @@
 // Commits every so many rows, so that a large journal needs no large log beside the file.
 class Portions {
 public:
-    explicit Portions(Db& db) : db_(db) { failure_ = db_.exec("BEGIN IMMEDIATE"); }
+    explicit Portions(Db& db) : db_(db) {
+        failure_ = db_.exec("BEGIN IMMEDIATE");
+    }
     ~Portions() {
-        if (!failure_ && open_) (void)db_.exec("ROLLBACK");
+        if (!failure_ && open_)
+            (void)db_.exec("ROLLBACK");
     }
     Failure one_more() {
-        if (++rows_ % kRowsAtOnce != 0) return failure_;
-        if (!(failure_ = db_.exec("COMMIT"))) failure_ = db_.exec("BEGIN IMMEDIATE");
+        if (++rows_ % kRowsAtOnce != 0)
+            return failure_;
+        if (!(failure_ = db_.exec("COMMIT")))
+            failure_ = db_.exec("BEGIN IMMEDIATE");
         return failure_;
     }
     Failure end() {
         open_ = false;
         return failure_ ? failure_ : db_.exec("COMMIT");
     }
-    const Failure& failure() const { return failure_; }
+    const Failure& failure() const {
+        return failure_;
+    }
 
 private:
     Db& db_;
@@ -45,8 +52,10 @@
     LoggedQuery q;
     std::vector<std::string> tags;
     for (const auto& tag : c.tags) {
-        if (auto name = decide::attempt_of_tag(tag)) q.name = std::move(name);
-        else tags.push_back(tag);
+        if (auto name = decide::attempt_of_tag(tag))
+            q.name = std::move(name);
+        else
+            tags.push_back(tag);
     }
     q.engine = c.server, q.id = c.id, q.user = c.user, q.source = c.source;
     q.tags = decide::tags_without(std::move(tags), "");
@@ -65,11 +74,16 @@
                                 "ORDER BY life,request,attempt,engine,id")) {
         next();
     }
-    bool more() const { return more_; }
-    const LoggedQuery& now() const { return now_; }
+    bool more() const {
+        return more_;
+    }
+    const LoggedQuery& now() const {
+        return now_;
+    }
     void next() {
         more_ = statement_.step();
-        if (!more_) return;
+        if (!more_)
+            return;
         Statement& s = statement_;
         now_ = {};
         if (auto life = s.text(0); !life.empty())
@@ -80,7 +94,9 @@
         now_.peak_bytes = s.number(11), now_.spilled_bytes = s.number(12), now_.row_bytes = s.number(13);
         now_.error = s.text(14);
     }
-    const Failure& failure() const { return statement_.failure(); }
+    const Failure& failure() const {
+        return statement_.failure();
+    }
 
 private:
     Statement statement_;
@@ -91,56 +107,69 @@
 }  // namespace
 
 Failure Books::open(const std::string& file, bool read_only) {
-    if (auto f = ledger_.open(file, {"", read_only})) return f;
+    if (auto f = ledger_.open(file, {"", read_only}))
+        return f;
     // Books can be collected again, so a loss of power may cost the last portions.
     return read_only ? Failure{} : ledger_.db().exec("PRAGMA synchronous=NORMAL; PRAGMA cache_size=-64000");
 }
 
 Result<Collected> Books::collect_ledger(const std::string& file) {
     Ledger from;
-    if (auto f = from.open(file, {"", true})) return Error{f.text};
+    if (auto f = from.open(file, {"", true}))
+        return Error{f.text};
     // One view of the ledger for all that follows, while its front goes on writing.
-    if (auto f = from.db().exec("BEGIN")) return Error{f.text};
+    if (auto f = from.db().exec("BEGIN"))
+        return Error{f.text};
     Collected c;
     std::vector<Life> lives;
-    if (auto f = from.lives(lives)) return Error{f.text};
+    if (auto f = from.lives(lives))
+        return Error{f.text};
     Db& db = ledger_.db();
     Portions portions(db);
-    if (portions.failure()) return Error{portions.failure().text};
+    if (portions.failure())
+        return Error{portions.failure().text};
     std::map<std::string, std::int64_t> rows;
     std::map<std::int64_t, std::string> names;
     for (const Life& l : lives) {
-        if (auto f = ledger_.adopt(l, rows[l.name])) return Error{f.text};
+        if (auto f = ledger_.adopt(l, rows[l.name]))
+            return Error{f.text};
         names[l.row] = l.name;
     }
     auto state_of = db.prepare("SELECT state FROM requests WHERE row=?");
     auto attempt_state = db.prepare("SELECT state FROM attempts WHERE request=? AND number=?");
     Failure failed;
     const auto take = [&](const Whole& w) {
-        if (failed) return;
+        if (failed)
+            return;
         const std::int64_t life = rows.at(w.life->name), row = life << 32 | w.request.number;
         const bool there = state_of.bind(0, row).step();
         const auto before = there ? static_cast<RequestState>(state_of.number(0)) : RequestState::open;
         state_of.reset();
-        if (there) ++c.known;
+        if (there)
+            ++c.known;
         if (!there || decide::further(w.request.state, before)) {
-            if ((failed = ledger_.put(life, w.request))) return;
+            if ((failed = ledger_.put(life, w.request)))
+                return;
             ++c.requests;
         }
         for (const AttemptRow& a : w.attempts) {
             const bool known = attempt_state.bind(0, row).bind(1, a.number).step();
             const auto old = known ? static_cast<AttemptState>(attempt_state.number(0)) : AttemptState::out;
             attempt_state.reset();
-            if (known && !decide::further(a.state, old)) continue;
-            if ((failed = ledger_.put(life, a))) return;
+            if (known && !decide::further(a.state, old))
+                continue;
+            if ((failed = ledger_.put(life, a)))
+                return;
             ++c.attempts;
         }
         failed = portions.one_more();
     };
-    if (auto f =
-            from.each(take, [&](std::string text) { c.troubles.push_back(file + ": " + std::move(text)); }))
+    if (auto f = from.each(take, [&](std::string text) {
+            c.troubles.push_back(file + ": " + std::move(text));
+        }))
         return Error{f.text};
-    if (failed) return Error{failed.text};
+    if (failed)
+        return Error{failed.text};
     // Gaps of its own; and where rows could not be read, the whole of its lives is not sure.
     auto put_gap = db.prepare(
         "INSERT OR REPLACE INTO gaps(life,cause,since,until,requests,updates) VALUES(?,?,?,?,?,?)");
@@ -150,25 +179,31 @@
         const auto name = names.find(gaps.number(0));
         if (gaps.number(1) == static_cast<int>(StoreTrouble::none)) {  // removed by age: the same gap, grown
             old_gap.bind(0, gaps.number(2));
-            if (auto f = old_gap.run()) return Error{f.text};
+            if (auto f = old_gap.run())
+                return Error{f.text};
         }
         put_gap.bind(0, name == names.end() ? 0 : rows[name->second]);
-        for (int i = 1; i < 6; ++i) put_gap.bind(i, gaps.number(i));
-        if (auto f = put_gap.run()) return Error{f.text};
+        for (int i = 1; i < 6; ++i)
+            put_gap.bind(i, gaps.number(i));
+        if (auto f = put_gap.run())
+            return Error{f.text};
     }
     if (!c.troubles.empty())
         for (const Life& l : lives) {
             put_gap.bind(0, rows[l.name]).bind(1, static_cast<int>(StoreTrouble::corrupt));
             put_gap.bind(2, l.began).bind(3, l.last).bind(4, -1).bind(5, -1);
-            if (auto f = put_gap.run()) return Error{f.text};
+            if (auto f = put_gap.run())
+                return Error{f.text};
         }
     auto steps = from.db().prepare("SELECT life,at,by FROM clock_steps");
     auto put_step = db.prepare("INSERT OR IGNORE INTO clock_steps VALUES(?,?,?)");
     while (steps.step()) {
         put_step.bind(0, rows[names[steps.number(0)]]).bind(1, steps.number(1)).bind(2, steps.number(2));
-        if (auto f = put_step.run()) return Error{f.text};
+        if (auto f = put_step.run())
+            return Error{f.text};
     }
-    if (auto f = portions.end()) return Error{f.text};
+    if (auto f = portions.end())
+        return Error{f.text};
     return c;
 }
 
@@ -187,13 +222,17 @@
     Collected c;
     Db& db = ledger_.db();
     Portions portions(db);
-    if (portions.failure()) return Error{portions.failure().text};
+    if (portions.failure())
+        return Error{portions.failure().text};
     auto put = db.prepare("INSERT OR IGNORE INTO events VALUES(?,?,?,?,?,?,?,?,?,?,?,?,?,?,?)");
-    if (put.failure()) return Error{put.failure().text};
+    if (put.failure())
+        return Error{put.failure().text};
     std::string line;
     for (std::int64_t n = 1; std::getline(lines, line); ++n) {
-        if (lines.eof()) break;  // its end is missing: the engine was killed in the middle of it, or is at it
-        if (trimmed(line).empty()) continue;
+        if (lines.eof())
+            break;  // its end is missing: the engine was killed in the middle of it, or is at it
+        if (trimmed(line).empty())
+            continue;
         const auto event = statement::read_completed(line);
         if (!event) {
             c.troubles.push_back(name + ":" + std::to_string(n) +
@@ -201,19 +240,24 @@
             continue;
         }
         std::int64_t fresh = 0;
-        if (auto f = put_event(put, logged_of(*event), fresh)) return Error{f.text};
+        if (auto f = put_event(put, logged_of(*event), fresh))
+            return Error{f.text};
         (fresh > 0 ? c.events : c.events_known) += 1;
-        if (auto f = portions.one_more()) return Error{f.text};
+        if (auto f = portions.one_more())
+            return Error{f.text};
     }
-    if (auto f = portions.end()) return Error{f.text};
+    if (auto f = portions.end())
+        return Error{f.text};
     return c;
 }
 
 Failure Books::lives(std::map<std::string, decide::LifeRecord>& to) {
     std::vector<Life> all;
-    if (auto f = ledger_.lives(all)) return f;
+    if (auto f = ledger_.lives(all))
+        return f;
     std::map<std::int64_t, decide::LifeRecord*> by_row;
-    for (const Life& l : all) by_row[l.row] = &to[l.name];
+    for (const Life& l : all)
+        by_row[l.row] = &to[l.name];
     auto gaps = ledger_.db().prepare("SELECT life,cause,since,until,requests,updates FROM gaps");
     while (gaps.step()) {
         const Gap g{static_cast<StoreTrouble>(gaps.number(1)), gaps.number(2), gaps.number(3), gaps.number(4),
@@ -221,15 +265,18 @@
         if (const auto life = by_row.find(gaps.number(0)); life != by_row.end())
             life->second->gaps.push_back(g);
         else
-            for (auto& [row, record] : by_row) record->gaps.push_back(g);  // of the whole file: let go by age
+            for (auto& [row, record] : by_row)
+                record->gaps.push_back(g);  // of the whole file: let go by age
     }
-    if (gaps.failure()) return gaps.failure();
+    if (gaps.failure())
+        return gaps.failure();
     // A life without an end, and with no later one that marked it: running still, or killed for good. What
     // came after its last write is not here.
     for (const Life& l : all) {
         auto& gaps_of = by_row[l.row]->gaps;
-        const bool marked = std::any_of(gaps_of.begin(), gaps_of.end(),
-                                        [](const Gap& g) { return g.cause == StoreTrouble::killed; });
+        const bool marked = std::any_of(gaps_of.begin(), gaps_of.end(), [](const Gap& g) {
+            return g.cause == StoreTrouble::killed;
+        });
         if (l.ended == 0 && !marked)
             gaps_of.push_back({StoreTrouble::killed, l.last, std::numeric_limits<Micros>::max() / 2, -1, -1});
     }
@@ -245,7 +292,8 @@
     // Both sides are walked in the order of (life, number), once. Lives are walked in the order of their
     // names, which is that of the queries' index.
     std::vector<Life> lives;
-    if (auto f = ledger_.lives(lives)) return f;
+    if (auto f = ledger_.lives(lives))
+        return f;
     Queries queries(ledger_.db());
     const auto alone = [&] {
         Entry e;
@@ -254,13 +302,15 @@
         queries.next();
     };
     // Untagged queries stand first in the index.
-    while (queries.more() && !queries.now().name) alone();
+    while (queries.more() && !queries.now().name)
+        alone();
     Entry e;
     const auto take = [&](const Whole& w) {
         const auto before = [&](const decide::AttemptName& n) {
             return std::tie(n.life, n.request) < std::tie(w.life->name, w.request.number);
         };
-        while (queries.more() && before(*queries.now().name)) alone();
+        while (queries.more() && before(*queries.now().name))
+            alone();
         e.whole = &w;
         e.logged.assign(w.attempts.size(), {});
         e.alone.clear();
@@ -270,13 +320,17 @@
             const auto of = std::find_if(w.attempts.begin(), w.attempts.end(), [&](const AttemptRow& a) {
                 return a.number == queries.now().name->attempt;
             });
-            if (of == w.attempts.end()) e.alone.push_back(queries.now());
-            else e.logged[static_cast<std::size_t>(of - w.attempts.begin())].push_back(queries.now());
+            if (of == w.attempts.end())
+                e.alone.push_back(queries.now());
+            else
+                e.logged[static_cast<std::size_t>(of - w.attempts.begin())].push_back(queries.now());
         }
         entry(e);
     };
-    if (auto f = ledger_.each(take, damaged)) return f;
-    while (queries.more()) alone();
+    if (auto f = ledger_.each(take, damaged))
+        return f;
+    while (queries.more())
+        alone();
     return queries.failure();
 }
 
--- a/src/store/books.hpp
+++ b/src/store/books.hpp
@@ -38,7 +38,9 @@
                  const std::function<void(std::string)>& damaged);
     // What each life's ledger says of its gaps, by the life's name.
     Failure lives(std::map<std::string, decide::LifeRecord>& to);
-    Ledger& ledger() { return ledger_; }
+    Ledger& ledger() {
+        return ledger_;
+    }
 
 private:
     Failure put_event(Statement& put, const decide::LoggedQuery& event, std::int64_t& fresh);
--- a/src/store/db.cpp
+++ b/src/store/db.cpp
@@ -11,16 +11,24 @@
     switch (code & 0xff) {
         case SQLITE_OK:
         case SQLITE_ROW:
-        case SQLITE_DONE: return StoreTrouble::none;
-        case SQLITE_FULL: return StoreTrouble::full;
+        case SQLITE_DONE:
+            return StoreTrouble::none;
+        case SQLITE_FULL:
+            return StoreTrouble::full;
         case SQLITE_READONLY:
-        case SQLITE_PERM: return StoreTrouble::read_only;
-        case SQLITE_CORRUPT: return StoreTrouble::corrupt;
-        case SQLITE_NOTADB: return StoreTrouble::foreign;
+        case SQLITE_PERM:
+            return StoreTrouble::read_only;
+        case SQLITE_CORRUPT:
+            return StoreTrouble::corrupt;
+        case SQLITE_NOTADB:
+            return StoreTrouble::foreign;
         case SQLITE_BUSY:
-        case SQLITE_LOCKED: return StoreTrouble::locked;
-        case SQLITE_CANTOPEN: return StoreTrouble::no_access;
-        default: return StoreTrouble::io;
+        case SQLITE_LOCKED:
+            return StoreTrouble::locked;
+        case SQLITE_CANTOPEN:
+            return StoreTrouble::no_access;
+        default:
+            return StoreTrouble::io;
     }
 }
 
@@ -36,10 +44,13 @@
     return *this;
 }
 
-Statement::~Statement() { sqlite3_finalize(held_); }
+Statement::~Statement() {
+    sqlite3_finalize(held_);
+}
 
 Statement& Statement::bind(int at, std::int64_t value) {
-    if (held_) sqlite3_bind_int64(held_, at + 1, value);
+    if (held_)
+        sqlite3_bind_int64(held_, at + 1, value);
     return *this;
 }
 
@@ -51,9 +62,11 @@
 }
 
 bool Statement::step() {
-    if (!held_) return false;
+    if (!held_)
+        return false;
     const int code = sqlite3_step(held_);
-    if (code == SQLITE_ROW) return true;
+    if (code == SQLITE_ROW)
+        return true;
     failure_ = code == SQLITE_DONE ? Failure{} : db_->failure_of(code);
     sqlite3_reset(held_);
     return false;
@@ -64,14 +77,18 @@
     return failure_;
 }
 
-std::int64_t Statement::number(int column) const { return sqlite3_column_int64(held_, column); }
+std::int64_t Statement::number(int column) const {
+    return sqlite3_column_int64(held_, column);
+}
 
 std::string Statement::text(int column) const {
     const auto* bytes = reinterpret_cast<const char*>(sqlite3_column_text(held_, column));
     return bytes ? std::string(bytes, static_cast<std::size_t>(sqlite3_column_bytes(held_, column))) : "";
 }
 
-void Statement::reset() { sqlite3_reset(held_); }
+void Statement::reset() {
+    sqlite3_reset(held_);
+}
 
 Db::Db(Db&& other) noexcept : held_(std::exchange(other.held_, nullptr)), file_(std::move(other.file_)) {}
 
@@ -81,7 +98,9 @@
     return *this;
 }
 
-Db::~Db() { close(); }
+Db::~Db() {
+    close();
+}
 
 Failure Db::open(const std::string& file, const OpenOptions& o) {
     close();
@@ -100,10 +119,13 @@
 }
 
 // Statements must be gone before. With the last connection SQLite folds its write-ahead log into the file.
-void Db::close() { sqlite3_close_v2(std::exchange(held_, nullptr)); }
+void Db::close() {
+    sqlite3_close_v2(std::exchange(held_, nullptr));
+}
 
 Failure Db::failure_of(int code) const {
-    if (trouble_of(code) == StoreTrouble::none) return {};
+    if (trouble_of(code) == StoreTrouble::none)
+        return {};
     const int whole = held_ ? sqlite3_extended_errcode(held_) : code;
     std::string text = file_ + ": " + (held_ ? sqlite3_errmsg(held_) : sqlite3_errstr(code)) + " (" +
                        std::to_string(whole) + ")";
@@ -111,43 +133,57 @@
 }
 
 Failure Db::exec(const std::string& sql) {
-    if (!held_) return {StoreTrouble::no_access, file_ + ": not open"};
+    if (!held_)
+        return {StoreTrouble::no_access, file_ + ": not open"};
     return failure_of(sqlite3_exec(held_, sql.c_str(), nullptr, nullptr, nullptr));
 }
 
 Statement Db::prepare(const std::string& sql) {
     Statement s;
     s.db_ = this;
-    if (!held_) s.failure_ = {StoreTrouble::no_access, file_ + ": not open"};
-    else s.failure_ = failure_of(sqlite3_prepare_v2(held_, sql.c_str(), -1, &s.held_, nullptr));
+    if (!held_)
+        s.failure_ = {StoreTrouble::no_access, file_ + ": not open"};
+    else
+        s.failure_ = failure_of(sqlite3_prepare_v2(held_, sql.c_str(), -1, &s.held_, nullptr));
     return s;
 }
 
-std::int64_t Db::last_row() const { return sqlite3_last_insert_rowid(held_); }
-std::int64_t Db::changed() const { return sqlite3_changes64(held_); }
+std::int64_t Db::last_row() const {
+    return sqlite3_last_insert_rowid(held_);
+}
+std::int64_t Db::changed() const {
+    return sqlite3_changes64(held_);
+}
 
 Result<std::int64_t> Db::number(const std::string& sql) {
     auto s = prepare(sql);
-    if (s.step()) return s.number(0);
-    if (s.failure()) return Error{s.failure().text};
+    if (s.step())
+        return s.number(0);
+    if (s.failure())
+        return Error{s.failure().text};
     return std::int64_t{0};
 }
 
 Result<std::string> Db::text(const std::string& sql) {
     auto s = prepare(sql);
-    if (s.step()) return s.text(0);
-    if (s.failure()) return Error{s.failure().text};
+    if (s.step())
+        return s.text(0);
+    if (s.failure())
+        return Error{s.failure().text};
     return std::string();
 }
 
 Failure Db::copy_to(const std::string& file, int pages) {
     Db to;
-    if (auto f = to.open(file, {})) return f;
+    if (auto f = to.open(file, {}))
+        return f;
     sqlite3_backup* backup = sqlite3_backup_init(to.held_, "main", held_, "main");
-    if (!backup) return to.failure_of(sqlite3_errcode(to.held_));
+    if (!backup)
+        return to.failure_of(sqlite3_errcode(to.held_));
     int code = SQLITE_OK;
     // In portions, so that a writer is never held up for longer than one of them.
-    do code = sqlite3_backup_step(backup, pages);
+    do
+        code = sqlite3_backup_step(backup, pages);
     while (code == SQLITE_OK || code == SQLITE_BUSY || code == SQLITE_LOCKED);
     sqlite3_backup_finish(backup);
     return code == SQLITE_DONE ? Failure{} : to.failure_of(code);
--- a/src/store/db.hpp
+++ b/src/store/db.hpp
@@ -21,7 +21,9 @@
 struct Failure {
     StoreTrouble trouble = StoreTrouble::none;
     std::string text;  // what SQLite says, and of which file
-    explicit operator bool() const { return trouble != StoreTrouble::none; }
+    explicit operator bool() const {
+        return trouble != StoreTrouble::none;
+    }
 };
 
 class Db;
@@ -41,7 +43,9 @@
     bool step();
     // Runs to the end, for what has no rows.
     Failure run();
-    const Failure& failure() const { return failure_; }
+    const Failure& failure() const {
+        return failure_;
+    }
     std::int64_t number(int column) const;
     std::string text(int column) const;
     void reset();
@@ -68,7 +72,9 @@
 
     Failure open(const std::string& file, const OpenOptions& options);
     void close();
-    bool is_open() const { return held_ != nullptr; }
+    bool is_open() const {
+        return held_ != nullptr;
+    }
     Failure exec(const std::string& sql);
     Statement prepare(const std::string& sql);  // a failure shows in its failure() and at step()
     std::int64_t last_row() const;
@@ -76,7 +82,9 @@
     Result<std::int64_t> number(const std::string& sql);  // of the first row; 0 where there is none
     Result<std::string> text(const std::string& sql);     // the same as text
     Failure copy_to(const std::string& file, int pages);  // a whole copy, while others write
-    const std::string& file() const { return file_; }
+    const std::string& file() const {
+        return file_;
+    }
 
 private:
     friend class Statement;
@@ -90,11 +98,14 @@
 public:
     explicit Transaction(Db& db) : db_(db), begun_(db.exec("BEGIN IMMEDIATE")) {}
     ~Transaction() {
-        if (!begun_ && !done_) (void)db_.exec("ROLLBACK");
+        if (!begun_ && !done_)
+            (void)db_.exec("ROLLBACK");
     }
     Transaction(const Transaction&) = delete;
     Transaction& operator=(const Transaction&) = delete;
-    const Failure& begun() const { return begun_; }
+    const Failure& begun() const {
+        return begun_;
+    }
     Failure commit() {
         Failure f = db_.exec("COMMIT");
         done_ = !f;
--- a/src/store/ledger.cpp
+++ b/src/store/ledger.cpp
@@ -56,7 +56,8 @@
     std::uint64_t sum = 0x9e3779b97f4a7c15ULL;
     for (const std::int64_t n : numbers)
         sum = (sum ^ static_cast<std::uint64_t>(n)) * 0xff51afd7ed558ccdULL, sum ^= sum >> 29;
-    for (const auto t : texts) sum = hash_of(t, sum);
+    for (const auto t : texts)
+        sum = hash_of(t, sum);
     return static_cast<std::int64_t>(sum);
 }
 
@@ -74,7 +75,8 @@
 
 std::string name_key(const Who& w) {
     std::string key;
-    for (const std::string* part : {&w.user, &w.source, &w.tags, &w.cls, &w.tenant}) (key += *part) += '\0';
+    for (const std::string* part : {&w.user, &w.source, &w.tags, &w.cls, &w.tenant})
+        (key += *part) += '\0';
     return key;
 }
 
@@ -83,7 +85,9 @@
     return n >= 0 && n < count ? static_cast<State>(n) : State{};
 }
 
-std::int64_t row_of(std::int64_t life, std::uint32_t number) { return life << kLifeShift | number; }
+std::int64_t row_of(std::int64_t life, std::uint32_t number) {
+    return life << kLifeShift | number;
+}
 
 }  // namespace
 
@@ -91,9 +95,11 @@
     // SQLite's file format: the application's number stands at offset 68, big-endian.
     std::ifstream in(file, std::ios::binary);
     unsigned char head[72] = {};
-    if (!in.read(reinterpret_cast<char*>(head), sizeof head)) return false;
+    if (!in.read(reinterpret_cast<char*>(head), sizeof head))
+        return false;
     std::int64_t id = 0;
-    for (int i = 68; i < 72; ++i) id = id << 8 | head[i];
+    for (int i = 68; i < 72; ++i)
+        id = id << 8 | head[i];
     return id == kApplication;
 }
 
@@ -101,7 +107,8 @@
 
 Failure Ledger::open(const std::string& file, const LedgerOptions& o) {
     close();
-    if (auto f = db_.open(file, {o.read_only, !o.read_only, o.vfs})) return f;
+    if (auto f = db_.open(file, {o.read_only, !o.read_only, o.vfs}))
+        return f;
     if (!o.read_only)
         // Full: a batch that was committed is on the disk, whatever the machine does next.
         if (auto f = db_.exec("PRAGMA auto_vacuum=INCREMENTAL; PRAGMA journal_mode=WAL; PRAGMA "
@@ -109,7 +116,8 @@
                               "PRAGMA wal_autocheckpoint=2000; PRAGMA cache_size=-16000;"
                               "PRAGMA journal_size_limit=67108864"))
             return f;
-    if (auto f = migrate(o.read_only)) return f;
+    if (auto f = migrate(o.read_only))
+        return f;
     return o.read_only ? Failure{} : prepare();
 }
 
@@ -117,7 +125,8 @@
     const auto application = db_.number("PRAGMA application_id"), version = db_.number("PRAGMA user_version"),
                tables = db_.number("SELECT count(*) FROM sqlite_master");
     for (const auto* n : {&application, &version, &tables})
-        if (!*n) return {StoreTrouble::corrupt, n->error()};
+        if (!*n)
+            return {StoreTrouble::corrupt, n->error()};
     const auto foreign = [&](const std::string& what) {
         return Failure{StoreTrouble::foreign, db_.file() + ": " + what};
     };
@@ -126,17 +135,23 @@
     if (*version > kSchemaVersion)
         return foreign("is a ledger of version " + std::to_string(*version) + ", this program knows " +
                        std::to_string(kSchemaVersion) + ": use the newer program, or name another file");
-    if (*version == kSchemaVersion) return {};
+    if (*version == kSchemaVersion)
+        return {};
     if (read_only) {
-        if (*version == 0) return foreign("is empty, not a ledger");
+        if (*version == 0)
+            return foreign("is empty, not a ledger");
         return {};
     }
     Transaction whole(db_);
-    if (whole.begun()) return whole.begun();
-    if (auto f = db_.exec("PRAGMA application_id=" + std::to_string(kApplication))) return f;
+    if (whole.begun())
+        return whole.begun();
+    if (auto f = db_.exec("PRAGMA application_id=" + std::to_string(kApplication)))
+        return f;
     for (auto step = *version; step < kSchemaVersion; ++step)
-        if (auto f = db_.exec(kSteps[step])) return f;
-    if (auto f = db_.exec("PRAGMA user_version=" + std::to_string(kSchemaVersion))) return f;
+        if (auto f = db_.exec(kSteps[step]))
+            return f;
+    if (auto f = db_.exec("PRAGMA user_version=" + std::to_string(kSchemaVersion)))
+        return f;
     return whole.commit();
 }
 
@@ -154,7 +169,8 @@
         {&add_engine_, "INSERT INTO engines(name,kind) VALUES(?,?)"}};
     for (const auto& [statement, sql] : all) {
         *statement = db_.prepare(sql);
-        if (statement->failure()) return statement->failure();
+        if (statement->failure())
+            return statement->failure();
     }
     return {};
 }
@@ -167,17 +183,21 @@
     db_.close();
 }
 
-void Ledger::forget_names() { who_rows_.clear(), engine_rows_.clear(), whos_.clear(), engines_.clear(); }
+void Ledger::forget_names() {
+    who_rows_.clear(), engine_rows_.clear(), whos_.clear(), engines_.clear();
+}
 
 // ---- A front's life
 
 Failure Ledger::adopt(const Life& l, std::int64_t& row) {
     auto add = db_.prepare("INSERT OR IGNORE INTO lives(name,front,began,last,ended) VALUES(?,?,?,?,?)");
     add.bind(0, l.name).bind(1, l.front).bind(2, l.began).bind(3, l.last).bind(4, l.ended);
-    if (auto f = add.run()) return f;
+    if (auto f = add.run())
+        return f;
     auto grow = db_.prepare("UPDATE lives SET last=max(last,?), ended=max(ended,?) WHERE name=?");
     grow.bind(0, l.last).bind(1, l.ended).bind(2, l.name);
-    if (auto f = grow.run()) return f;
+    if (auto f = grow.run())
+        return f;
     auto find = db_.prepare("SELECT row FROM lives WHERE name=?");
     find.bind(0, l.name);
     row = find.step() ? find.number(0) : 0;
@@ -186,14 +206,18 @@
 
 Failure Ledger::begin_life(const std::string& name, const std::string& front, Micros wall, Taken& taken) {
     Transaction whole(db_);
-    if (whole.begun()) return whole.begun();
+    if (whole.begun())
+        return whole.begun();
     std::vector<Life> before;
-    if (auto f = lives(before)) return f;
+    if (auto f = lives(before))
+        return f;
     // The same life again: this front lost its file for a while, and has it back.
-    const bool again =
-        std::any_of(before.begin(), before.end(), [&](const auto& l) { return l.name == name; });
+    const bool again = std::any_of(before.begin(), before.end(), [&](const auto& l) {
+        return l.name == name;
+    });
     std::int64_t row = 0;
-    if (auto f = adopt({0, name, front, wall, wall, 0}, row)) return f;
+    if (auto f = adopt({0, name, front, wall, wall, 0}, row))
+        return f;
     if (!again) {
         const auto mark = [&](const char* table, const char* first, int state, std::int64_t& n) -> Failure {
             // The row's checksum covers its state, so that each is written by way of its reading.
@@ -204,21 +228,29 @@
                 const std::int64_t key = s.number(0);
                 if (table[0] == 'r') {
                     RequestRow r;
-                    if (!read_request(s, r)) continue;
+                    if (!read_request(s, r))
+                        continue;
                     r.state = static_cast<RequestState>(state);
                     rows.emplace_back(std::move(r));
                 } else {
                     AttemptRow a;
-                    if (!read_attempt(s, a)) continue;
+                    if (!read_attempt(s, a))
+                        continue;
                     a.state = static_cast<AttemptState>(state);
                     rows.emplace_back(std::move(a));
                 }
                 of.push_back(key >> kLifeShift);
             }
-            if (s.failure()) return s.failure();
+            if (s.failure())
+                return s.failure();
             n = static_cast<std::int64_t>(rows.size());
             for (std::size_t i = 0; i < rows.size(); ++i)
-                if (auto f = std::visit([&](const auto& r) { return put(of[i], r); }, rows[i])) return f;
+                if (auto f = std::visit(
+                        [&](const auto& r) {
+                            return put(of[i], r);
+                        },
+                        rows[i]))
+                    return f;
             return {};
         };
         if (auto f = mark("requests", "row", static_cast<int>(RequestState::interrupted),
@@ -232,10 +264,12 @@
             taken.killed = decide::killed_gap(last.last, wall, kTail);
             put_gap_.bind(0, last.row).bind(1, static_cast<int>(StoreTrouble::killed));
             put_gap_.bind(2, taken.killed->from).bind(3, taken.killed->to).bind(4, -1).bind(5, -1);
-            if (auto f = put_gap_.run()) return f;
+            if (auto f = put_gap_.run())
+                return f;
         }
     }
-    if (auto f = whole.commit()) return f;
+    if (auto f = whole.commit())
+        return f;
     life_ = row;
     return {};
 }
@@ -248,61 +282,79 @@
 
 Failure Ledger::write(const Batch& b) {
     Transaction whole(db_);
-    if (whole.begun()) return whole.begun();
+    if (whole.begun())
+        return whole.begun();
     const auto failed = [this](Failure f) {
         forget_names();  // those that this batch added go with it
         return f;
     };
     for (const auto& row : b.rows)
-        if (auto f = std::visit([&](const auto& r) { return put(life_, r); }, row)) return failed(f);
+        if (auto f = std::visit(
+                [&](const auto& r) {
+                    return put(life_, r);
+                },
+                row))
+            return failed(f);
     for (const Gap& g : b.gaps) {
         put_gap_.bind(0, life_).bind(1, static_cast<int>(g.cause)).bind(2, g.from).bind(3, g.to);
         put_gap_.bind(4, g.requests).bind(5, g.updates);
-        if (auto f = put_gap_.run()) return failed(f);
+        if (auto f = put_gap_.run())
+            return failed(f);
     }
     for (const auto& [at, by] : b.clock_steps) {
         put_step_.bind(0, life_).bind(1, at).bind(2, by);
-        if (auto f = put_step_.run()) return failed(f);
+        if (auto f = put_step_.run())
+            return failed(f);
     }
     touch_.bind(0, b.wall).bind(1, life_);
-    if (auto f = touch_.run()) return failed(f);
-    if (auto f = whole.commit()) return failed(f);
+    if (auto f = touch_.run())
+        return failed(f);
+    if (auto f = whole.commit())
+        return failed(f);
     return {};
 }
 
 Failure Ledger::expire(Micros wall, int most, std::int64_t& removed) {
     removed = 0;
     Transaction whole(db_);
-    if (whole.begun()) return whole.begun();
+    if (whole.begun())
+        return whole.begun();
     // Rows stand in the order of taking, so the oldest come first; an open one holds up those behind it.
     auto old = db_.prepare("SELECT row, taken, state FROM requests ORDER BY row LIMIT ?");
     old.bind(0, most);
     std::int64_t upto = 0;
     Gap gap{StoreTrouble::none, wall, 0, 0, 0};
     while (old.step()) {
-        if (old.number(1) >= wall || old.number(2) == 0) break;
+        if (old.number(1) >= wall || old.number(2) == 0)
+            break;
         upto = old.number(0), ++gap.requests;
         gap.from = std::min(gap.from, old.number(1)), gap.to = std::max(gap.to, old.number(1));
     }
     old.reset();
-    if (old.failure()) return old.failure();
-    if (upto == 0) return {};
+    if (old.failure())
+        return old.failure();
+    if (upto == 0)
+        return {};
     for (const char* sql : {"DELETE FROM attempts WHERE request<=?", "DELETE FROM requests WHERE row<=?"}) {
         auto s = db_.prepare(sql);
         s.bind(0, upto);
-        if (auto f = s.run()) return f;
+        if (auto f = s.run())
+            return f;
     }
     // One gap for all that was let go, which grows.
     auto grow = db_.prepare(
         "UPDATE gaps SET since=min(since,?), until=max(until,?), requests=requests+? "
         "WHERE cause=0");
     grow.bind(0, gap.from).bind(1, gap.to).bind(2, gap.requests);
-    if (auto f = grow.run()) return f;
+    if (auto f = grow.run())
+        return f;
     if (db_.changed() == 0) {
         put_gap_.bind(0, 0).bind(1, 0).bind(2, gap.from).bind(3, gap.to).bind(4, gap.requests).bind(5, 0);
-        if (auto f = put_gap_.run()) return f;
+        if (auto f = put_gap_.run())
+            return f;
     }
-    if (auto f = whole.commit()) return f;
+    if (auto f = whole.commit())
+        return f;
     removed = gap.requests;
     // The room goes back to the disk in portions, so that no batch waits long for it.
     return db_.exec("PRAGMA incremental_vacuum(" + std::to_string(kPagesBack) + ")");
@@ -319,14 +371,18 @@
     return s.failure();
 }
 
-Failure Ledger::snapshot(const std::string& file) { return db_.copy_to(file, 500); }
+Failure Ledger::snapshot(const std::string& file) {
+    return db_.copy_to(file, 500);
+}
 
 // ---- Rows
 
 std::int64_t Ledger::who_row(const Who& w, Failure& failure) {
-    if (who_rows_.size() > kNamesHeld) who_rows_.clear();
+    if (who_rows_.size() > kNamesHeld)
+        who_rows_.clear();
     const auto [held, fresh] = who_rows_.try_emplace(name_key(w), 0);
-    if (!fresh) return held->second;
+    if (!fresh)
+        return held->second;
     const auto bind = [&](Statement& s) -> Statement& {
         return s.bind(0, w.user).bind(1, w.source).bind(2, w.tags).bind(3, w.cls).bind(4, w.tenant);
     };
@@ -340,9 +396,11 @@
 }
 
 std::int64_t Ledger::engine_row(const std::string& name, const std::string& kind, Failure& failure) {
-    if (engine_rows_.size() > kNamesHeld) engine_rows_.clear();
+    if (engine_rows_.size() > kNamesHeld)
+        engine_rows_.clear();
     const auto [held, fresh] = engine_rows_.try_emplace(name + '\0' + kind, 0);
-    if (!fresh) return held->second;
+    if (!fresh)
+        return held->second;
     if (find_engine_.bind(0, name).bind(1, kind).step()) {
         held->second = find_engine_.number(0);
         find_engine_.reset();
@@ -356,7 +414,8 @@
 Failure Ledger::put(std::int64_t life, const RequestRow& r) {
     Failure f;
     const std::int64_t row = row_of(life, r.number), who = who_row(*r.who, f);
-    if (f) return f;
+    if (f)
+        return f;
     put_request_.bind(0, row).bind(1, who).bind(2, r.id).bind(3, r.key).bind(4, r.key_window);
     put_request_.bind(5, r.taken).bind(6, static_cast<int>(r.state)).bind(7, r.error).bind(8, r.attempts);
     put_request_.bind(9, r.ended_after).bind(10, r.closed_after).bind(11, sum_of(row, who, r));
@@ -366,7 +425,8 @@
 Failure Ledger::put(std::int64_t life, const AttemptRow& a) {
     Failure f;
     const std::int64_t request = row_of(life, a.request), engine = engine_row(a.engine, a.kind, f);
-    if (f) return f;
+    if (f)
+        return f;
     put_attempt_.bind(0, request).bind(1, a.number).bind(2, engine).bind(3, a.engine_id);
     put_attempt_.bind(4, static_cast<int>(a.state)).bind(5, a.sent_after).bind(6, a.ended_after);
     put_attempt_.bind(7, a.grant_bytes).bind(8, a.work).bind(9, a.peak_bytes).bind(10, a.spilled_bytes);
@@ -375,23 +435,28 @@
 }
 
 std::shared_ptr<const Who> Ledger::who_of(std::int64_t row) {
-    if (whos_.size() > kNamesHeld) whos_.clear();
+    if (whos_.size() > kNamesHeld)
+        whos_.clear();
     auto& held = whos_[row];
-    if (held) return held;
+    if (held)
+        return held;
     auto s = db_.prepare("SELECT user,source,tags,class,tenant FROM who WHERE row=?");
     s.bind(0, row);
     Who w;
-    if (s.step()) w = {s.text(0), s.text(1), s.text(2), s.text(3), s.text(4)};
+    if (s.step())
+        w = {s.text(0), s.text(1), s.text(2), s.text(3), s.text(4)};
     return held = std::make_shared<const Who>(std::move(w));
 }
 
 const std::pair<std::string, std::string>& Ledger::engine_of(std::int64_t row) {
     const auto found = engines_.find(row);
-    if (found != engines_.end()) return found->second;
+    if (found != engines_.end())
+        return found->second;
     auto s = db_.prepare("SELECT name,kind FROM engines WHERE row=?");
     s.bind(0, row);
     std::pair<std::string, std::string> e;
-    if (s.step()) e = {s.text(0), s.text(1)};
+    if (s.step())
+        e = {s.text(0), s.text(1)};
     return engines_[row] = std::move(e);
 }
 
@@ -424,7 +489,8 @@
 
 Failure Ledger::lives(std::vector<Life>& to) {
     auto s = db_.prepare("SELECT row,name,front,began,last,ended FROM lives ORDER BY row");
-    while (s.step()) to.push_back({s.number(0), s.text(1), s.text(2), s.number(3), s.number(4), s.number(5)});
+    while (s.step())
+        to.push_back({s.number(0), s.text(1), s.text(2), s.number(3), s.number(4), s.number(5)});
     return s.failure();
 }
 
@@ -441,7 +507,8 @@
 
 Failure Ledger::clock_steps(std::vector<std::pair<Micros, Micros>>& to) {
     auto s = db_.prepare("SELECT at,by FROM clock_steps ORDER BY at,by");
-    while (s.step()) to.emplace_back(s.number(0), s.number(1));
+    while (s.step())
+        to.emplace_back(s.number(0), s.number(1));
     return s.failure();
 }
 
@@ -465,21 +532,30 @@
         from(at_);
         next();
     }
-    bool there() const { return there_; }
-    std::int64_t key() const { return at_; }
-    Statement& row() { return statement_; }
+    bool there() const {
+        return there_;
+    }
+    std::int64_t key() const {
+        return at_;
+    }
+    Statement& row() {
+        return statement_;
+    }
     void next() {
         for (there_ = true;;) {
             if (statement_.step()) {
                 const std::int64_t key = statement_.number(0);
-                if (lost_from_) tell(key);
+                if (lost_from_)
+                    tell(key);
                 at_ = key, step_ = 1;
                 return;
             }
             const bool failed = static_cast<bool>(statement_.failure());
-            if (failed && !lost_from_) lost_from_ = at_;
+            if (failed && !lost_from_)
+                lost_from_ = at_;
             if (!failed || *lost_from_ + step_ >= end_) {
-                if (lost_from_) tell(end_);
+                if (lost_from_)
+                    tell(end_);
                 there_ = false;
                 return;
             }
@@ -514,8 +590,11 @@
 Failure Ledger::each(const std::function<void(const Whole&)>& row,
                      const std::function<void(std::string)>& damaged) {
     std::vector<Life> all;
-    if (auto f = lives(all)) return f;
-    std::sort(all.begin(), all.end(), [](const Life& a, const Life& b) { return a.name < b.name; });
+    if (auto f = lives(all))
+        return f;
+    std::sort(all.begin(), all.end(), [](const Life& a, const Life& b) {
+        return a.name < b.name;
+    });
     Cursor requests(db_, "requests", "row", damaged), attempts(db_, "attempts", "request", damaged);
     Whole w;
     for (const Life& life : all) {
@@ -533,23 +612,31 @@
             const bool sound = read_request(requests.row(), w.request);
             for (; attempts.there() && attempts.key() <= key; attempts.next()) {
                 AttemptRow a;
-                if (attempts.key() < key) orphan();
-                else if (read_attempt(attempts.row(), a)) w.attempts.push_back(std::move(a));
-                else damaged("attempts: a row of " + place(key) + " does not match its checksum");
+                if (attempts.key() < key)
+                    orphan();
+                else if (read_attempt(attempts.row(), a))
+                    w.attempts.push_back(std::move(a));
+                else
+                    damaged("attempts: a row of " + place(key) + " does not match its checksum");
             }
-            if (sound) row(w);
-            else damaged("requests: the row of " + place(key) + " does not match its checksum");
+            if (sound)
+                row(w);
+            else
+                damaged("requests: the row of " + place(key) + " does not match its checksum");
         }
-        for (; attempts.there(); attempts.next()) orphan();
+        for (; attempts.there(); attempts.next())
+            orphan();
     }
     return {};
 }
 
 Failure Ledger::each_keyed(const std::function<void(const Life&, const RequestRow&)>& row) {
     std::vector<Life> all;
-    if (auto f = lives(all)) return f;
+    if (auto f = lives(all))
+        return f;
     std::map<std::int64_t, const Life*> by_row;
-    for (const Life& l : all) by_row[l.row] = &l;
+    for (const Life& l : all)
+        by_row[l.row] = &l;
     auto s = db_.prepare("SELECT * FROM requests WHERE key_window>0");
     RequestRow r;
     while (s.step())
@@ -569,14 +656,16 @@
     if (held_ < 0)
         return {errno == EROFS ? StoreTrouble::read_only : StoreTrouble::no_access,
                 name + ": " + std::strerror(errno)};
-    if (::flock(held_, LOCK_EX | LOCK_NB) == 0) return {};
+    if (::flock(held_, LOCK_EX | LOCK_NB) == 0)
+        return {};
     release();
     return {StoreTrouble::locked,
             file + ": another process keeps this ledger; give each front a file of its own"};
 }
 
 void FileLock::release() {
-    if (held_ >= 0) ::close(held_);
+    if (held_ >= 0)
+        ::close(held_);
     held_ = -1;
 }
 
--- a/src/store/ledger.hpp
+++ b/src/store/ledger.hpp
@@ -59,7 +59,9 @@
     // Opens or creates it, and brings an older version of it up to date.
     Failure open(const std::string& file, const LedgerOptions& options);
     void close();
-    bool is_open() const { return db_.is_open(); }
+    bool is_open() const {
+        return db_.is_open();
+    }
 
     // Takes it for one front. Whatever earlier lives had in hand is marked as interrupted.
     Failure begin_life(const std::string& name, const std::string& front, Micros wall, Taken& taken);
@@ -91,7 +93,9 @@
     Failure adopt(const Life& life, std::int64_t& row);
     Failure put(std::int64_t life_row, const RequestRow& request);
     Failure put(std::int64_t life_row, const AttemptRow& attempt);
-    Db& db() { return db_; }
+    Db& db() {
+        return db_;
+    }
 
 private:
     Failure migrate(bool read_only);
@@ -120,7 +124,9 @@
     FileLock() = default;
     FileLock(const FileLock&) = delete;
     FileLock& operator=(const FileLock&) = delete;
-    ~FileLock() { release(); }
+    ~FileLock() {
+        release();
+    }
     Failure take(const std::string& file);  // file + ".lock"
     void release();
 
--- a/src/store/writer.cpp
+++ b/src/store/writer.cpp
@@ -15,8 +15,10 @@
 
 void append(Batch& to, Batch& from) {
     const auto move = [](auto& a, auto& b) {
-        if (a.empty()) std::swap(a, b);
-        else a.insert(a.end(), std::make_move_iterator(b.begin()), std::make_move_iterator(b.end()));
+        if (a.empty())
+            std::swap(a, b);
+        else
+            a.insert(a.end(), std::make_move_iterator(b.begin()), std::make_move_iterator(b.end()));
         b.clear();
     };
     move(to.rows, from.rows);
@@ -36,14 +38,16 @@
         stop_ = true;
     }
     handed_over_.notify_one();
-    if (thread_.joinable()) thread_.join();
+    if (thread_.joinable())
+        thread_.join();
 }
 
 // ---- The loop's side
 
 bool LedgerWriter::taken(RequestRow& row, Micros wall, Place& place) {
     row.number = ++last_number_;
-    if (!intake_.admit(queue_.size() + in_hand_, wall)) return false;
+    if (!intake_.admit(queue_.size() + in_hand_, wall))
+        return false;
     place = {flush_, queue_.size()};
     queue_.emplace_back(row);
     return true;
@@ -59,8 +63,12 @@
     }
 }
 
-void LedgerWriter::update(RequestRow row, Micros wall, Place& place) { put(std::move(row), wall, place); }
-void LedgerWriter::update(AttemptRow row, Micros wall, Place& place) { put(std::move(row), wall, place); }
+void LedgerWriter::update(RequestRow row, Micros wall, Place& place) {
+    put(std::move(row), wall, place);
+}
+void LedgerWriter::update(AttemptRow row, Micros wall, Place& place) {
+    put(std::move(row), wall, place);
+}
 
 std::vector<std::string> LedgerWriter::look(Micros now, Micros wall) {
     std::vector<std::string> words;
@@ -89,8 +97,10 @@
         shared_now_ = now;
         work_ = true;
     }
-    if (thread_.joinable()) handed_over_.notify_one();
-    else turn(now);
+    if (thread_.joinable())
+        handed_over_.notify_one();
+    else
+        turn(now);
     const std::lock_guard guard(mutex_);
     words.swap(words_);
     return words;
@@ -116,7 +126,9 @@
     sigset_t all, before;
     sigfillset(&all);
     pthread_sigmask(SIG_SETMASK, &all, &before);
-    thread_ = std::thread([this] { serve(); });
+    thread_ = std::thread([this] {
+        serve();
+    });
     pthread_sigmask(SIG_SETMASK, &before, nullptr);
 }
 
@@ -127,11 +139,13 @@
         stop_ = true;
     }
     handed_over_.notify_one();
-    if (thread_.joinable()) thread_.join();
+    if (thread_.joinable())
+        thread_.join();
     // Here alone now. A store in trouble gets one more try.
     turn(std::max(now, keeper_.again_at()));
     if (pending_.rows.empty() && ledger_.is_open()) {
-        if (const auto f = ledger_.end_life(wall)) say("ledger: " + f.text);
+        if (const auto f = ledger_.end_life(wall))
+            say("ledger: " + f.text);
     } else if (!pending_.rows.empty()) {
         say("ledger: " + std::to_string(pending_.rows.size()) + " rows could not be written and are lost");
     }
@@ -156,8 +170,11 @@
         Micros now = 0;
         {
             std::unique_lock guard(mutex_);
-            handed_over_.wait(guard, [this] { return work_ || stop_; });
-            if (stop_) return;
+            handed_over_.wait(guard, [this] {
+                return work_ || stop_;
+            });
+            if (stop_)
+                return;
             work_ = false, now = shared_now_;
         }
         turn(now);
@@ -167,18 +184,24 @@
 void LedgerWriter::turn(Micros now) {
     {
         const std::lock_guard guard(mutex_);
-        if (shared_.wall > 0) append(pending_, shared_);
+        if (shared_.wall > 0)
+            append(pending_, shared_);
     }
     using Do = decide::Keeper::Do;
     for (;;) {
         switch (keeper_.next(now)) {
-            case Do::wait: return;
-            case Do::set_aside: set_aside(now); continue;
+            case Do::wait:
+                return;
+            case Do::set_aside:
+                set_aside(now);
+                continue;
             case Do::open:
-                if (const auto f = open()) return failed(f, now);
+                if (const auto f = open())
+                    return failed(f, now);
                 keeper_.opened();
                 continue;
-            case Do::write: break;
+            case Do::write:
+                break;
         }
         break;
     }
@@ -186,10 +209,12 @@
     if (pending_.rows.empty() && pending_.gaps.empty() && pending_.clock_steps.empty() && was_well &&
         now - touched_ < kTouchEvery)
         return;
-    if (const auto f = ledger_.write(pending_)) return failed(f, now);
+    if (const auto f = ledger_.write(pending_))
+        return failed(f, now);
     keeper_.written();
     touched_ = now;
-    if (!was_well) say("ledger: written again");
+    if (!was_well)
+        say("ledger: written again");
     {
         const std::lock_guard guard(mutex_);
         committed_ += static_cast<std::int64_t>(pending_.rows.size());
@@ -207,17 +232,21 @@
 
 Failure LedgerWriter::open() {
     ledger_.close();
-    if (auto f = lock_.take(settings_.file)) return f;
-    if (auto f = ledger_.open(settings_.file, {settings_.vfs})) return f;
+    if (auto f = lock_.take(settings_.file))
+        return f;
+    if (auto f = ledger_.open(settings_.file, {settings_.vfs}))
+        return f;
     Taken taken;
-    if (auto f = ledger_.begin_life(settings_.life, settings_.front, pending_.wall, taken)) return f;
+    if (auto f = ledger_.begin_life(settings_.life, settings_.front, pending_.wall, taken))
+        return f;
     if (taken.requests_interrupted + taken.attempts_interrupted > 0 || taken.killed)
         say("ledger: the life before was not ended in order: " + std::to_string(taken.requests_interrupted) +
             " requests and " + std::to_string(taken.attempts_interrupted) +
             " attempts in hand are marked as interrupted");
     {
         const std::lock_guard guard(mutex_);
-        if (!std::exchange(before_.known, true) && taken.killed) before_.killed = taken.killed->from;
+        if (!std::exchange(before_.known, true) && taken.killed)
+            before_.killed = taken.killed->from;
     }
     if (settings_.past > 0 && !std::exchange(past_read_, true)) {
         std::vector<Ledger::Past> past;
@@ -245,12 +274,14 @@
     ledger_.close();
     std::error_code error;
     std::string to;
-    do to = settings_.file + ".corrupt-" + std::to_string(++aside_);
+    do
+        to = settings_.file + ".corrupt-" + std::to_string(++aside_);
     while (std::filesystem::exists(to, error));
     for (const char* part : {"", "-wal", "-shm"})
         if (std::filesystem::exists(settings_.file + part, error))
             std::filesystem::rename(settings_.file + part, to + part, error);
-    if (error) return failed({StoreTrouble::io, settings_.file + ": " + error.message()}, now);
+    if (error)
+        return failed({StoreTrouble::io, settings_.file + ": " + error.message()}, now);
     say("ledger: the damaged file is set aside as " + to + ", a new one begins; give both to the report");
     keeper_.was_set_aside();
 }
--- a/src/store/writer.hpp
+++ b/src/store/writer.hpp
@@ -42,8 +42,12 @@
     LedgerWriter& operator=(const LedgerWriter&) = delete;
 
     // ---- The loop's side
-    const std::string& life() const { return settings_.life; }
-    Micros flush_every() const { return settings_.flush_every; }
+    const std::string& life() const {
+        return settings_.life;
+    }
+    Micros flush_every() const {
+        return settings_.flush_every;
+    }
     // Where the last row of a request or an attempt was put. As long as it waits there, the next one takes
     // its place: what begins and ends within a flush is one row, and costs no room.
     struct Place {
--- a/src/thrift/binary.cpp
+++ b/src/thrift/binary.cpp
@@ -11,25 +11,34 @@
 }  // namespace
 
 std::string_view Reader::raw(std::size_t n) {
-    if (n > rest_.size()) return fail(), std::string_view();
+    if (n > rest_.size())
+        return fail(), std::string_view();
     const auto got = rest_.substr(0, n);
     rest_.remove_prefix(n);
     return got;
 }
 
-std::uint8_t Reader::byte() { return static_cast<std::uint8_t>(big_endian(raw(1))); }
-std::int16_t Reader::i16() { return static_cast<std::int16_t>(big_endian(raw(2))); }
-std::int32_t Reader::i32() { return static_cast<std::int32_t>(big_endian(raw(4))); }
+std::uint8_t Reader::byte() {
+    return static_cast<std::uint8_t>(big_endian(raw(1)));
+}
+std::int16_t Reader::i16() {
+    return static_cast<std::int16_t>(big_endian(raw(2)));
+}
+std::int32_t Reader::i32() {
+    return static_cast<std::int32_t>(big_endian(raw(4)));
+}
 
 std::string_view Reader::string() {
     const std::int32_t size = i32();
-    if (size < 0) return fail(), std::string_view();
+    if (size < 0)
+        return fail(), std::string_view();
     return raw(static_cast<std::size_t>(size));
 }
 
 Type Reader::field(std::int16_t& id) {
     const auto type = static_cast<Type>(byte());
-    if (!ok_ || type == Type::stop) return Type::stop;
+    if (!ok_ || type == Type::stop)
+        return Type::stop;
     id = i16();
     return ok_ ? type : Type::stop;
 }
@@ -39,27 +48,41 @@
     const auto key = static_cast<Type>(byte()), value = static_cast<Type>(byte());
     const std::int32_t count = i32();
     const bool strings = (key == Type::string && value == Type::string) || count == 0;
-    if (!strings || count < 0 || static_cast<std::size_t>(count) > most) return fail(), map;
+    if (!strings || count < 0 || static_cast<std::size_t>(count) > most)
+        return fail(), map;
     for (std::int32_t i = 0; i < count && ok_; ++i) {
         std::string name(string());
-        if (!map.emplace(std::move(name), std::string(string())).second) fail();
+        if (!map.emplace(std::move(name), std::string(string())).second)
+            fail();
     }
     return map;
 }
 
 void Reader::skip(Type type, int depth) {
-    if (depth > kDepth) return fail();
+    if (depth > kDepth)
+        return fail();
     switch (type) {
         case Type::boolean:
-        case Type::byte: raw(1); return;
-        case Type::i16: raw(2); return;
-        case Type::i32: raw(4); return;
+        case Type::byte:
+            raw(1);
+            return;
+        case Type::i16:
+            raw(2);
+            return;
+        case Type::i32:
+            raw(4);
+            return;
         case Type::real:
-        case Type::i64: raw(8); return;
-        case Type::string: string(); return;
+        case Type::i64:
+            raw(8);
+            return;
+        case Type::string:
+            string();
+            return;
         case Type::structure: {
             std::int16_t id = 0;
-            for (Type t = field(id); ok_ && t != Type::stop; t = field(id)) skip(t, depth + 1);
+            for (Type t = field(id); ok_ && t != Type::stop; t = field(id))
+                skip(t, depth + 1);
             return;
         }
         case Type::map:
@@ -68,15 +91,18 @@
             const Type first = static_cast<Type>(byte()),
                        second = type == Type::map ? static_cast<Type>(byte()) : Type::stop;
             const std::int32_t count = i32();
-            if (count < 0) return fail();
+            if (count < 0)
+                return fail();
             // Each element takes a byte at least, so that a huge count ends where the frame does.
             for (std::int32_t i = 0; i < count && ok_; ++i) {
                 skip(first, depth + 1);
-                if (type == Type::map) skip(second, depth + 1);
+                if (type == Type::map)
+                    skip(second, depth + 1);
             }
             return;
         }
-        case Type::stop: break;
+        case Type::stop:
+            break;
     }
     fail();
 }
@@ -91,8 +117,12 @@
     bytes_.push_back(static_cast<char>(type));
     i16(id);
 }
-void Writer::i16(std::int16_t value) { put_big_endian(bytes_, static_cast<std::uint16_t>(value), 2); }
-void Writer::i32(std::int32_t value) { put_big_endian(bytes_, static_cast<std::uint32_t>(value), 4); }
+void Writer::i16(std::int16_t value) {
+    put_big_endian(bytes_, static_cast<std::uint16_t>(value), 2);
+}
+void Writer::i32(std::int32_t value) {
+    put_big_endian(bytes_, static_cast<std::uint32_t>(value), 4);
+}
 void Writer::string(std::string_view text) {
     i32(static_cast<std::int32_t>(text.size()));
     bytes_.append(text);
@@ -101,7 +131,8 @@
     bytes_.push_back(static_cast<char>(Type::string));
     bytes_.push_back(static_cast<char>(Type::string));
     i32(static_cast<std::int32_t>(map.size()));
-    for (const auto& [name, value] : map) string(name), string(value);
+    for (const auto& [name, value] : map)
+        string(name), string(value);
 }
 
 std::string Writer::frame() {
@@ -113,10 +144,13 @@
 
 Framing next_frame(const Buffer& in, std::size_t most, std::string_view& frame) {
     const auto bytes = in.view();
-    if (bytes.size() < kFrameHead) return Framing::none;
+    if (bytes.size() < kFrameHead)
+        return Framing::none;
     const std::uint32_t size = big_endian(bytes.substr(0, kFrameHead));
-    if (size > most) return Framing::too_long;
-    if (bytes.size() - kFrameHead < size) return Framing::none;
+    if (size > most)
+        return Framing::too_long;
+    if (bytes.size() - kFrameHead < size)
+        return Framing::none;
     frame = bytes.substr(kFrameHead, size);
     return Framing::whole;
 }
--- a/src/thrift/binary.hpp
+++ b/src/thrift/binary.hpp
@@ -27,7 +27,12 @@
     set = 14,
     list = 15,
 };
-enum class MessageType : std::uint8_t { call = 1, reply = 2, exception = 3, oneway = 4 };
+enum class MessageType : std::uint8_t {
+    call = 1,
+    reply = 2,
+    exception = 3,
+    oneway = 4
+};
 
 using Fields = std::map<std::string, std::string>;
 
@@ -36,8 +41,12 @@
 class Reader {
 public:
     explicit Reader(std::string_view bytes) : rest_(bytes) {}
-    bool ok() const { return ok_; }
-    bool at_end() const { return rest_.empty(); }
+    bool ok() const {
+        return ok_;
+    }
+    bool at_end() const {
+        return rest_.empty();
+    }
     std::uint8_t byte();
     std::int16_t i16();
     std::int32_t i32();
@@ -47,7 +56,9 @@
     // A map of strings with at most `most` entries; a key that comes twice can't be read.
     Fields fields(std::size_t most);
     void skip(Type type, int depth = 0);
-    void fail() { ok_ = false, rest_ = {}; }
+    void fail() {
+        ok_ = false, rest_ = {};
+    }
 
 private:
     std::string_view raw(std::size_t n);
@@ -61,8 +72,12 @@
     // Begins a frame; its length is set by frame().
     Writer(MessageType type, std::string_view method, std::int32_t seq);
     void field(Type type, std::int16_t id);
-    void stop() { bytes_.push_back(0); }
-    void boolean(bool value) { bytes_.push_back(value ? 1 : 0); }
+    void stop() {
+        bytes_.push_back(0);
+    }
+    void boolean(bool value) {
+        bytes_.push_back(value ? 1 : 0);
+    }
     void i32(std::int32_t value);
     void string(std::string_view text);
     void fields(const Fields& map);
@@ -74,7 +89,11 @@
 };
 
 // The next frame of a stream, without its length; it stays in `in` until taken. `none`: not all there yet.
-enum class Framing { none, whole, too_long };
+enum class Framing {
+    none,
+    whole,
+    too_long
+};
 Framing next_frame(const Buffer& in, std::size_t most, std::string_view& frame);
 inline constexpr std::size_t kFrameHead = 4;
 
--- a/src/thrift/service.cpp
+++ b/src/thrift/service.cpp
@@ -21,11 +21,14 @@
     Call call;
     const auto head = static_cast<std::uint32_t>(r.i32());
     const auto type = static_cast<MessageType>(head & 0xff);
-    if (!r.ok() || (head & kVersionMask) != kVersion) return Error{"not a strict binary message"};
-    if (type != MessageType::call && type != MessageType::oneway) return Error{"not a call"};
+    if (!r.ok() || (head & kVersionMask) != kVersion)
+        return Error{"not a strict binary message"};
+    if (type != MessageType::call && type != MessageType::oneway)
+        return Error{"not a call"};
     call.method = r.string();
     call.seq = r.i32();
-    if (!r.ok() || call.method.size() > kMethodMost) return Error{"a message head that can't be read"};
+    if (!r.ok() || call.method.size() > kMethodMost)
+        return Error{"a message head that can't be read"};
     call.what = call.method == "process"  ? Call::What::process
                 : call.method == "giveUp" ? Call::What::give_up
                 : call.method == "probe"  ? Call::What::probe
@@ -35,13 +38,17 @@
     for (Type t = r.field(id); r.ok() && t != Type::stop; t = r.field(id)) {
         if (call.what == Call::What::process && id == 1 && t == Type::map)
             call.fields = r.fields(kFieldsMost);
-        else if (call.what == Call::What::process && id == 2 && t == Type::string) call.body = r.string();
+        else if (call.what == Call::What::process && id == 2 && t == Type::string)
+            call.body = r.string();
         else if (call.what == Call::What::give_up && id == 1 && t == Type::i32)
             call.given_up = r.i32(), number = true;
-        else r.skip(t);
+        else
+            r.skip(t);
     }
-    if (!r.ok() || !r.at_end()) return Error{"arguments of " + call.method + " that can't be read"};
-    if (call.what == Call::What::give_up && !number) return Error{"giveUp without a number"};
+    if (!r.ok() || !r.at_end())
+        return Error{"arguments of " + call.method + " that can't be read"};
+    if (call.what == Call::What::give_up && !number)
+        return Error{"giveUp without a number"};
     return call;
 }
 
@@ -74,8 +81,12 @@
     return w.frame();
 }
 
-std::string rejected(std::int32_t seq, const Fields& fields) { return declared(seq, 1, fields); }
-std::string crashed(std::int32_t seq, const Fields& fields) { return declared(seq, 2, fields); }
+std::string rejected(std::int32_t seq, const Fields& fields) {
+    return declared(seq, 1, fields);
+}
+std::string crashed(std::int32_t seq, const Fields& fields) {
+    return declared(seq, 2, fields);
+}
 
 std::string exception(std::string_view method, std::int32_t seq, Fault fault, std::string_view text) {
     Writer w(MessageType::exception, method, seq);
--- a/src/thrift/service.hpp
+++ b/src/thrift/service.hpp
@@ -6,7 +6,12 @@
 namespace gatetiller::thrift {
 
 struct Call {
-    enum class What { process, give_up, probe, unknown };
+    enum class What {
+        process,
+        give_up,
+        probe,
+        unknown
+    };
     What what = What::unknown;
     std::string method;
     std::int32_t seq = 0;
@@ -29,7 +34,12 @@
 std::string rejected(std::int32_t seq, const Fields& fields);
 std::string crashed(std::int32_t seq, const Fields& fields);
 // An application exception, for what is not this service's.
-enum class Fault : std::int32_t { unknown_method = 1, invalid_type = 2, bad_sequence = 4, protocol = 7 };
+enum class Fault : std::int32_t {
+    unknown_method = 1,
+    invalid_type = 2,
+    bad_sequence = 4,
+    protocol = 7
+};
 std::string exception(std::string_view method, std::int32_t seq, Fault fault, std::string_view text);
 
 }  // namespace gatetiller::thrift
--- a/tests/base/await.hpp
+++ b/tests/base/await.hpp
@@ -9,7 +9,8 @@
 template <typename Condition>
 [[nodiscard]] bool await(net::PollLoop& loop, Condition condition, Micros limit = 30 * kSecondMicros) {
     for (const Micros end = loop.now() + limit; !condition();) {
-        if (loop.now() >= end) return false;
+        if (loop.now() >= end)
+            return false;
         loop.turn(5 * kMillisecond);
     }
     return true;
--- a/tests/base/stream_end.hpp
+++ b/tests/base/stream_end.hpp
@@ -10,12 +10,16 @@
 namespace gatetiller::testing {
 
 struct StreamEnd final : net::StreamEvents {
-    void on_connected() override { connected = true; }
+    void on_connected() override {
+        connected = true;
+    }
     void on_data(Buffer& in) override {
         got.append(in.view());
         in.take(in.size());
     }
-    void on_closed(net::Closed how) override { closed = how; }
+    void on_closed(net::Closed how) override {
+        closed = how;
+    }
     std::unique_ptr<net::Stream> stream;
     std::string got;
     bool connected = false;
--- a/tests/cli/node_day_test.cpp
+++ b/tests/cli/node_day_test.cpp
@@ -64,7 +64,9 @@
         for (int i = 0; i < 3; ++i)
             f.clients.push_back(std::make_unique<lab::PlatformClient>(loop, f.name, f.at, records));
         f.clients[0]->probe();
-        ASSERT_TRUE(testing::await(loop, [&] { return f.clients[0]->ready(); }));
+        ASSERT_TRUE(testing::await(loop, [&] {
+            return f.clients[0]->ready();
+        }));
         f.taking = true;
     }
     lab::PlatformEngine& engine(const std::string& name, std::int64_t started_ms = 0) {
@@ -73,7 +75,8 @@
         engines.push_back(std::make_unique<lab::PlatformEngine>(loop, s, records));
         auto& e = *engines.back();
         lab::NameService::Entry entry{name, "z", "std", {}, false, 0, started_ms};
-        for (const char* front : {"n0", "n1"}) entry.address[front] = *e.listen(front, any);
+        for (const char* front : {"n0", "n1"})
+            entry.address[front] = *e.listen(front, any);
         e.set({.shed = 0.02,
                .fault = 0.02,
                .spoilt = 0.03,
@@ -94,23 +97,33 @@
         a.cls = load ? "load" : "lookup", a.tenant = "acme", a.trace = random.hex(16);
         a.rows = random.below(300), a.patience = load ? 4 * kSecondMicros : 2 * kSecondMicros,
         a.aim = kSecondMicros;
-        if (load) a.nonce = random.hex(32);
+        if (load)
+            a.nonce = random.hex(32);
         a.sql = "SELECT a, b, c FROM sales_" + std::to_string(1 + random.below(9)) +
                 ".t /* gt: work_ms=" + std::to_string(5 + random.below(40)) +
                 " rows=" + std::to_string(a.rows) + " */ -- " + a.trace;
         auto& c = *f.clients[random.below(f.clients.size())];
-        if (c.ended() || c.open() >= 30) return;
+        if (c.ended() || c.open() >= 30)
+            return;
         const auto seq = c.ask(a);
-        if (random.chance(0.02)) c.give_up(seq);
+        if (random.chance(0.02))
+            c.give_up(seq);
     }
     void rude(Front& f) {
         rudes.push_back(std::make_unique<lab::PlatformClient>(loop, f.name, f.at, records));
         rudes_since.push_back(loop.now());
         switch (random.below(4)) {
-            case 0: rudes.back()->raw(std::string(64, '\xff')); break;
-            case 1: rudes.back()->raw(std::string("\0\0\1\0", 4) + random.hex(40)); break;
-            case 2: rudes.back()->raw(random.hex(2000)); break;
-            default: break;  // says nothing
+            case 0:
+                rudes.back()->raw(std::string(64, '\xff'));
+                break;
+            case 1:
+                rudes.back()->raw(std::string("\0\0\1\0", 4) + random.hex(40));
+                break;
+            case 2:
+                rudes.back()->raw(random.hex(2000));
+                break;
+            default:
+                break;  // says nothing
         }
     }
     void record(const char* event, const std::string& who) {
@@ -131,7 +144,8 @@
 };
 
 TEST_F(NodeDay, KeepsAllRulesThroughKillsReloadsRudeClientsAndSpoiltAnswers) {
-    for (int i = 1; i <= 4; ++i) engine("s-" + std::to_string(i));
+    for (int i = 1; i <= 4; ++i)
+        engine("s-" + std::to_string(i));
     Front n0, n1;
     n0.name = "n0", n1.name = "n1";
     for (Front* f : {&n0, &n1}) {
@@ -143,7 +157,10 @@
     Micros term_at = 0;
     // What happens when, each once.
     std::vector<std::pair<Micros, std::function<void()>>> script{
-        {800 * kMillisecond, [&] { entries["s-1"].draining = true, names.put(entries["s-1"]); }},
+        {800 * kMillisecond,
+         [&] {
+             entries["s-1"].draining = true, names.put(entries["s-1"]);
+         }},
         {1'200 * kMillisecond,
          [&] {  // a new configuration: the name service has moved, and the old one is silent
              n0.dns = *names.listen("n0", any);
@@ -177,8 +194,10 @@
         loop.turn(2 * kMillisecond);
         for (; next < script.size() && loop.now() >= begun + script[next].first; ++next)
             script[next].second();
-        if (HasFatalFailure()) return;
-        if (term_at > 0 && loop.now() > term_at + 300 * kMillisecond) n0.taking = restarted;
+        if (HasFatalFailure())
+            return;
+        if (term_at > 0 && loop.now() > term_at + 300 * kMillisecond)
+            n0.taking = restarted;
         if (term_at > 0 && !restarted && n0.process.wait(0)) {
             record("front_ended", "n0");
             start(n0);
@@ -186,14 +205,17 @@
         }
         if (loop.now() < begun + 8 * kSecondMicros)
             for (; next_ask <= loop.now(); next_ask += 8 * kMillisecond, ++asked)
-                if (Front& f = asked % 2 == 0 ? n0 : n1; f.taking) ask(f);
+                if (Front& f = asked % 2 == 0 ? n0 : n1; f.taking)
+                    ask(f);
         for (; next_rude <= loop.now(); next_rude += 60 * kMillisecond)
-            if (n1.taking) rude(n1);
+            if (n1.taking)
+                rude(n1);
     }
     ASSERT_TRUE(testing::await(loop, [&] {
         for (const Front* f : {&n0, &n1})
             for (const auto& c : f->clients)
-                if (c->open() > 0) return false;
+                if (c->open() > 0)
+                    return false;
         return true;
     }));
     EXPECT_TRUE(restarted) << "the planned restart did not end";
@@ -203,7 +225,8 @@
         unheard += !rudes[i]->ended() && rudes[i]->exceptions() == 0 &&
                    loop.now() - rudes_since[i] > 3 * kSecondMicros;
     EXPECT_EQ(unheard, 0u) << "rude clients that were neither told nor closed within 3 s";
-    for (const auto& e : engines) EXPECT_TRUE(e->unusable().empty()) << e->name() << ": " << e->unusable()[0];
+    for (const auto& e : engines)
+        EXPECT_TRUE(e->unusable().empty()) << e->name() << ": " << e->unusable()[0];
     ClassSettings lookup, load;
     lookup.name = "lookup", lookup.effect = Effect::repeatable, lookup.deadline = 2 * kSecondMicros,
     lookup.value = 1;
--- a/tests/cli/process_faults_test.cpp
+++ b/tests/cli/process_faults_test.cpp
@@ -47,10 +47,12 @@
         close_writer();
     }
     void close_writer() {
-        if (std::exchange(writer_open_, false)) ::close(kLogDescriptor);
+        if (std::exchange(writer_open_, false))
+            ::close(kLogDescriptor);
     }
     void close_reader() {
-        if (read_ >= 0) ::close(std::exchange(read_, -1));
+        if (read_ >= 0)
+            ::close(std::exchange(read_, -1));
     }
     std::string drained() {
         ::fcntl(read_, F_SETFL, O_NONBLOCK);
@@ -70,12 +72,17 @@
 protected:
     ProcessFaults() {
         std::string name = ::testing::TempDir() + "process-faults-XXXXXX";
-        if (::mkdtemp(name.data())) folder_ = name + "/";
+        if (::mkdtemp(name.data()))
+            folder_ = name + "/";
         names_.put({"s-1", "z", "std", {{"n0", nowhere_}, {"n1", nowhere_}}});
     }
-    ~ProcessFaults() override { std::filesystem::remove_all(folder_); }
+    ~ProcessFaults() override {
+        std::filesystem::remove_all(folder_);
+    }
 
-    std::string file(const std::string& name) const { return folder_ + name; }
+    std::string file(const std::string& name) const {
+        return folder_ + name;
+    }
     std::string config(const net::Address& dns) const {
         return nlohmann::json({{"name", "n0"},
                                {"listen", "127.0.0.1:0"},
@@ -86,14 +93,15 @@
                                {"settings", nlohmann::json::parse(kSettings)}})
             .dump();
     }
-    void write(const std::string& text) const { std::ofstream(file("config.json")) << text; }
+    void write(const std::string& text) const {
+        std::ofstream(file("config.json")) << text;
+    }
     std::string node_command(const std::string& redirect) const {
         return "exec '" + std::string(GATETILLER_PROGRAM) + "' node --config '" + file("config.json") + "' " +
                redirect;
     }
     void start_node(const std::string& redirect) {
-        auto started =
-            lab::Process::start({"/bin/sh", "-c", node_command(redirect)}, file("log"), kPatience);
+        auto started = lab::Process::start({"/bin/sh", "-c", node_command(redirect)}, file("log"), kPatience);
         ASSERT_TRUE(started) << started.error();
         process_ = std::move(*started);
         address_ = *net::Address::parse(process_.first_line());
@@ -102,11 +110,16 @@
     bool answers() {
         lab::PlatformClient client(loop_, "n0", address_, records_);
         client.probe();
-        return testing::await(loop_, [&] { return client.ready() || client.ended(); }) && client.ready();
+        return testing::await(loop_,
+                              [&] {
+                                  return client.ready() || client.ended();
+                              }) &&
+               client.ready();
     }
     bool asked(const std::string& service) const {
-        return std::any_of(records_.lab.begin(), records_.lab.end(),
-                           [&](const auto& r) { return r.event == "list_served" && r.who == service; });
+        return std::any_of(records_.lab.begin(), records_.lab.end(), [&](const auto& r) {
+            return r.event == "list_served" && r.who == service;
+        });
     }
     bool logged(const std::string& text) const {
         std::ifstream in(file("log"));
@@ -119,7 +132,12 @@
         ask.trace = random_.hex(16), ask.sql = "SELECT 1", ask.patience = kSecondMicros;
         const auto answered = client.exceptions();
         client.ask(ask);
-        return testing::await(loop_, [&] { return client.open() == 0; }, 5 * kSecondMicros) &&
+        return testing::await(
+                   loop_,
+                   [&] {
+                       return client.open() == 0;
+                   },
+                   5 * kSecondMicros) &&
                client.exceptions() > answered;
     }
     bool ends() {
@@ -149,7 +167,9 @@
     write(config(second));
     process_.signal(SIGHUP);
     // The name service at the new address is asked once the line has been written or dropped.
-    ASSERT_TRUE(testing::await(loop_, [&] { return asked("n1") || process_.wait(0); }));
+    ASSERT_TRUE(testing::await(loop_, [&] {
+        return asked("n1") || process_.wait(0);
+    }));
     EXPECT_TRUE(process_.running()) << "the process has ended at a log line that nobody reads";
     if (process_.running()) {
         EXPECT_TRUE(answers());
@@ -161,12 +181,15 @@
     const auto first = *names_.listen("n0", any_), second = *names_.listen("n1", any_);
     write(config(first));
     LogPipe log;
-    ASSERT_NO_FATAL_FAILURE(start_node("--log-level debug 2>/proc/self/fd/" + std::to_string(kLogDescriptor)));
+    ASSERT_NO_FATAL_FAILURE(
+        start_node("--log-level debug 2>/proc/self/fd/" + std::to_string(kLogDescriptor)));
     log.close_writer();
     // A line for each request turned away: many times what the pipe takes.
     lab::PlatformClient client(loop_, "n0", address_, records_);
     client.probe();
-    ASSERT_TRUE(testing::await(loop_, [&] { return client.ready(); }));
+    ASSERT_TRUE(testing::await(loop_, [&] {
+        return client.ready();
+    }));
     for (int i = 0; i < 400; ++i)
         ASSERT_TRUE(turned_away(client)) << "no answer to request " << i << ": the log holds up the loop";
     EXPECT_TRUE(answers());
@@ -199,7 +222,9 @@
     ASSERT_EQ(::write(into, text.data(), text.size()), static_cast<ssize_t>(text.size()));
     ::close(into);
     // The name service hears of the process once it runs.
-    ASSERT_TRUE(testing::await(loop_, [&] { return asked("n0") || process_.wait(0); }));
+    ASSERT_TRUE(testing::await(loop_, [&] {
+        return asked("n0") || process_.wait(0);
+    }));
     ASSERT_TRUE(process_.running()) << "SIGHUP before readiness ended the process";
     EXPECT_TRUE(ends());
 }
@@ -208,13 +233,22 @@
     const auto first = *names_.listen("n0", any_), second = *names_.listen("n1", any_);
     write(config(first));
     ASSERT_NO_FATAL_FAILURE(start_node(""));
-    ASSERT_TRUE(testing::await(loop_, [&] { return asked("n0"); }));
+    ASSERT_TRUE(testing::await(loop_, [&] {
+        return asked("n0");
+    }));
     const std::string text = config(second);
     write(text.substr(0, text.size() / 2));
     process_.signal(SIGHUP);
-    ASSERT_TRUE(testing::await(loop_, [&] { return logged("reload refused"); }));
+    ASSERT_TRUE(testing::await(loop_, [&] {
+        return logged("reload refused");
+    }));
     write(text);  // no second signal: the writer gave one for the whole of it
-    EXPECT_TRUE(testing::await(loop_, [&] { return asked("n1"); }, 15 * kSecondMicros))
+    EXPECT_TRUE(testing::await(
+        loop_,
+        [&] {
+            return asked("n1");
+        },
+        15 * kSecondMicros))
         << "the configuration was never read again";
     EXPECT_TRUE(ends());
 }
@@ -227,9 +261,16 @@
     auto spawned = lab::Process::spawn({"/bin/sh", "-c", node_command("")}, file("log"));
     ASSERT_TRUE(spawned) << spawned.error();
     process_ = std::move(*spawned);
-    ASSERT_TRUE(testing::await(loop_, [&] { return logged("configuration: ") || process_.wait(0); }));
+    ASSERT_TRUE(testing::await(loop_, [&] {
+        return logged("configuration: ") || process_.wait(0);
+    }));
     write(text);
-    EXPECT_TRUE(testing::await(loop_, [&] { return asked("n0") || process_.wait(0); }, 8 * kSecondMicros));
+    EXPECT_TRUE(testing::await(
+        loop_,
+        [&] {
+            return asked("n0") || process_.wait(0);
+        },
+        8 * kSecondMicros));
     ASSERT_TRUE(process_.running()) << "the start was refused for a configuration that was being written";
     EXPECT_TRUE(ends());
 }
--- a/tests/cli/program_test.cpp
+++ b/tests/cli/program_test.cpp
@@ -1,6 +1,5 @@
 // The program as an operator meets it: exit codes, where text goes, signals, reload.
 #include <gtest/gtest.h>
-
 #include <poll.h>
 
 #include <csignal>
@@ -25,7 +24,8 @@
     Ran r;
     FILE* pipe = popen((kProgram + " " + arguments + (errors_too ? " 2>&1" : " 2>/dev/null")).c_str(), "r");
     char piece[4096];
-    while (std::size_t n = fread(piece, 1, sizeof piece, pipe)) r.out.append(piece, n);
+    while (std::size_t n = fread(piece, 1, sizeof piece, pipe))
+        r.out.append(piece, n);
     r.code = WEXITSTATUS(pclose(pipe));
     return r;
 }
@@ -35,21 +35,27 @@
     // Of this run alone: an earlier one may have had the same process id.
     ProgramTest() {
         std::string name = ::testing::TempDir() + "program-XXXXXX";
-        if (::mkdtemp(name.data())) folder_ = name + "/";
+        if (::mkdtemp(name.data()))
+            folder_ = name + "/";
+    }
+    ~ProgramTest() override {
+        std::filesystem::remove_all(folder_);
     }
-    ~ProgramTest() override { std::filesystem::remove_all(folder_); }
     std::string file(const std::string& name) const {
         return folder_ + name;
     }
     template <typename Condition>
     static bool await(Condition condition) {
         for (Micros waited = 0; !condition(); waited += kMillisecond) {
-            if (waited >= kPatience) return false;
+            if (waited >= kPatience)
+                return false;
             ::poll(nullptr, 0, 1);
         }
         return true;
     }
-    void write(const std::string& name, const std::string& text) const { std::ofstream(file(name)) << text; }
+    void write(const std::string& name, const std::string& text) const {
+        std::ofstream(file(name)) << text;
+    }
     lab::Process start(const std::string& what, const std::string& name) {
         auto p =
             lab::Process::start({kProgram, what, "--config", file(name)}, file(name) + ".log", kPatience);
@@ -60,7 +66,8 @@
         return "local g = import 'gatetiller.libsonnet'; g.front('f') { classes: { short: g.class('1s', "
                "'9s') }, kinds: { std: g.kind(8, '16GiB') }, engines: { e: g.engine('" +
                engine.substr(7) + "') }, routes: [" + route +
-               "], roster: { watch_every: '20ms' }, rules+: { warm_up: '10ms' }, ledger: { file: '" + file("ledger") + "' } }";
+               "], roster: { watch_every: '20ms' }, rules+: { warm_up: '10ms' }, ledger: { file: '" +
+               file("ledger") + "' } }";
     }
     std::string folder_;
 };
@@ -116,7 +123,8 @@
     write("front.jsonnet", front(engine.first_line(), "g.route('short')"));
     served.signal(SIGHUP);
     bool reloaded = false;
-    for (int i = 0; i < 100 && !reloaded; ++i) reloaded = ask("--user bob --format json").code == 0;
+    for (int i = 0; i < 100 && !reloaded; ++i)
+        reloaded = ask("--user bob --format json").code == 0;
     EXPECT_TRUE(reloaded);
     served.terminate();
     EXPECT_TRUE(served.wait(kPatience));
@@ -160,7 +168,9 @@
     }
     auto served = start("serve", "front.jsonnet");
     EXPECT_TRUE(served_once(served));
-    EXPECT_TRUE(await([&] { return log().find("not ended in order") != std::string::npos; })) << log();
+    EXPECT_TRUE(await([&] {
+        return log().find("not ended in order") != std::string::npos;
+    })) << log();
     served.terminate();
     ASSERT_TRUE(served.wait(kPatience));
 }
--- a/tests/decide/decide_test.cpp
+++ b/tests/decide/decide_test.cpp
@@ -34,7 +34,9 @@
                         (how == How::answered && std::string(name) == "QUERY_QUEUE_FULL" && !ran);
                     EXPECT_EQ(never_ran(v.outcome), proven);
                     // Only an engine's own word is passed on to the client.
-                    if (v.for_client) { EXPECT_TRUE(how == How::answered || how == How::turned_away); }
+                    if (v.for_client) {
+                        EXPECT_TRUE(how == How::answered || how == How::turned_away);
+                    }
                     EXPECT_EQ(v.outcome == Outcome::done,
                               how == How::answered && (*name == 0 || type == "USER_ERROR"));
                 }
@@ -162,7 +164,8 @@
     Notes notes(1000, 100);
     const auto topics = [&](Micros now, const Seen& seen) {
         std::vector<NoteTopic> t;
-        for (const auto& told : notes.take(now, seen)) t.push_back(told.topic);
+        for (const auto& told : notes.take(now, seen))
+            t.push_back(told.topic);
         return t;
     };
     using T = std::vector<NoteTopic>;
--- a/tests/decide/guard_test.cpp
+++ b/tests/decide/guard_test.cpp
@@ -28,7 +28,9 @@
     AttemptFactsNow facts;
 };
 
-TEST_F(AttemptGuardTest, ASoundAttemptIsPermitted) { EXPECT_EQ(forbidden(), std::nullopt); }
+TEST_F(AttemptGuardTest, ASoundAttemptIsPermitted) {
+    EXPECT_EQ(forbidden(), std::nullopt);
+}
 
 TEST_F(AttemptGuardTest, NothingIsSentOnceTheClientHasItsAnswerOrIsGone) {
     facts.final_given = true;
@@ -101,8 +103,8 @@
     EXPECT_EQ(forbidden(4.0), std::nullopt);
 }
 
-// The terms: N + 2 x root of N + 2, and under 30 N + 3 x root of N + 3. All fronts share it: the sum of what a fleet of
-// any size sends is bounded by it only if each front's part and its draws keep below.
+// The terms: N + 2 x root of N + 2, and under 30 N + 3 x root of N + 3. All fronts share it: the sum of what
+// a fleet of any size sends is bounded by it only if each front's part and its draws keep below.
 TEST(ColdBudget, IsThatOfTheTerms) {
     EXPECT_DOUBLE_EQ(cold_budget(100), 122);
     EXPECT_DOUBLE_EQ(cold_budget(25), 43);
@@ -127,7 +129,8 @@
     // Nobody is there: it goes all the same.
     for (const auto reason : {CloseReason::peer_ended, CloseReason::reads_nothing, CloseReason::lingered,
                               CloseReason::process_ends})
-        EXPECT_TRUE(CloseGuard::permit({.open = 1, .unsent = true, .unread = true}, reason)) << name_of(reason);
+        EXPECT_TRUE(CloseGuard::permit({.open = 1, .unsent = true, .unread = true}, reason))
+            << name_of(reason);
 }
 
 TEST(StartGuardTest, ReadyMeansAListAListenerAndSignals) {
@@ -145,7 +148,8 @@
     counts.count(Invariant::close_over_unread_bytes);
     EXPECT_EQ(counts.total(), 3u);
     EXPECT_EQ(counts.text(), "3(repeat_of_once:2,close_over_unread_bytes:1)");
-    for (std::size_t i = 0; i < kInvariants; ++i) EXPECT_STRNE(name_of(static_cast<Invariant>(i)), "unknown");
+    for (std::size_t i = 0; i < kInvariants; ++i)
+        EXPECT_STRNE(name_of(static_cast<Invariant>(i)), "unknown");
 }
 
 }  // namespace
--- a/tests/decide/node_test.cpp
+++ b/tests/decide/node_test.cpp
@@ -72,8 +72,8 @@
         EngineList list;
         const Micros wall = 100'000 * kSecondMicros;
         ASSERT_TRUE(list.take(1, {engine("a", "h:1")}, 10 * kSecondMicros, wall));
-        EXPECT_FALSE(
-            list.take(1, {engine("a", "h:1")}, 20 * kSecondMicros, wall + 10 * kSecondMicros, 20 * kSecondMicros));
+        EXPECT_FALSE(list.take(1, {engine("a", "h:1")}, 20 * kSecondMicros, wall + 10 * kSecondMicros,
+                               20 * kSecondMicros));
         auto young = engine("b", "h:2");
         young.started = wall + 20'500 * kMillisecond;  // by a clock that is right
         const auto change =
@@ -133,14 +133,16 @@
         return list.take(number, engines, now, now, now);
     }
     const std::vector<decide::ListedEngine> on{engine("a", "h:1"), engine("b", "h:2")};
-    const std::vector<decide::ListedEngine> drains{engine("a", "h:1", EngineState::fading), engine("b", "h:2")};
+    const std::vector<decide::ListedEngine> drains{engine("a", "h:1", EngineState::fading),
+                                                   engine("b", "h:2")};
     EngineList list;
     Micros now = kSecondMicros;
 };
 
 TEST_F(ListAnswers, OfAnOlderListOnlyDrainsCountAndOnlyUntilTheOneHeldComesAgain) {
     ASSERT_TRUE(hear(9, on));
-    const auto doubt = hear(8, {engine("a", "h:1", EngineState::fading), engine("b", "h:2"), engine("c", "h:3")});
+    const auto doubt =
+        hear(8, {engine("a", "h:1", EngineState::fading), engine("b", "h:2"), engine("c", "h:3")});
     ASSERT_TRUE(doubt);
     ASSERT_EQ(doubt->engines.size(), 1u);
     EXPECT_EQ(doubt->engines[0].state, EngineState::fading);
@@ -157,7 +159,8 @@
 TEST_F(ListAnswers, ANumberingThatHasStartedAnewIsFollowed) {
     ASSERT_TRUE(hear(120, on));
     const Micros since = now;
-    while (list.number() == 120 && now - since < 10 * kSecondMicros) (void)hear(3, {engine("b", "h:2")});
+    while (list.number() == 120 && now - since < 10 * kSecondMicros)
+        (void)hear(3, {engine("b", "h:2")});
     EXPECT_EQ(list.number(), 3u);
     EXPECT_LE(now - since, 2'500 * kMillisecond);
     EXPECT_EQ(list.engines().size(), 1u);
@@ -175,20 +178,24 @@
     while (now - since < 9 * kSecondMicros) {
         (void)hear(3, older);
         EXPECT_EQ(list.state(drained), EngineState::fading);
-        for (const auto& [id, e] : list.engines()) EXPECT_EQ(list.state(id) == EngineState::on, e.name == "b") << e.name;
+        for (const auto& [id, e] : list.engines())
+            EXPECT_EQ(list.state(id) == EngineState::on, e.name == "b") << e.name;
     }
     EXPECT_EQ(list.number(), 3u);
-    while (now - since < 16 * kSecondMicros) (void)hear(3, older);
+    while (now - since < 16 * kSecondMicros)
+        (void)hear(3, older);
     EXPECT_EQ(list.state(drained), EngineState::on);
 }
 
 // Services answer with an older list now and then, also those that have just started.
 TEST_F(ListAnswers, ANumberingThatHasStartedAnewIsNotFollowedToAnOlderListOfItsOwn) {
     ASSERT_TRUE(hear(120, on));
-    for (int i = 0; i < 9; ++i) (void)hear(4, drains);
+    for (int i = 0; i < 9; ++i)
+        (void)hear(4, drains);
     ASSERT_EQ(list.number(), 4u);
     ASSERT_TRUE(hear(120, on));
-    for (int i = 0; i < 7; ++i) (void)hear(4, drains);
+    for (int i = 0; i < 7; ++i)
+        (void)hear(4, drains);
     for (int i = 0; i < 5; ++i) {
         (void)hear(3, on);
         EXPECT_EQ(list.number(), 120u) << i;
@@ -227,7 +234,8 @@
 
 TEST_F(ListAnswers, OtherContentUnderTheNumberHeldIsTakenTheSecondTimeItsDrainsAtOnce) {
     ASSERT_TRUE(hear(9, on));
-    const std::vector<decide::ListedEngine> other{engine("a", "h:1", EngineState::fading), engine("c", "h:3")};
+    const std::vector<decide::ListedEngine> other{engine("a", "h:1", EngineState::fading),
+                                                  engine("c", "h:3")};
     const auto first = hear(9, other);
     ASSERT_TRUE(first);
     EXPECT_EQ(first->engines.size(), 2u) << "one drains, one is not there";
@@ -255,7 +263,8 @@
         {"/* never ended FROM sales_5.t", 0},
         {"SELECT * FROM a_99999999999999999999.t", 0},
     };
-    for (const auto& [sql, group] : cases) EXPECT_EQ(table_group(sql), group) << sql;
+    for (const auto& [sql, group] : cases)
+        EXPECT_EQ(table_group(sql), group) << sql;
 }
 
 Settings settings() {
@@ -275,7 +284,8 @@
                                                   {"weight", "820.5"},  {"heap_mb", "96"}};
     const auto with = [&](std::map<std::string, std::string> changes, std::string body = "SELECT 1") {
         auto fields = good;
-        for (auto& [name, value] : changes) fields[name] = value;
+        for (auto& [name, value] : changes)
+            fields[name] = value;
         return check_request(fields, body, s);
     };
     const auto fine = with({});
@@ -346,7 +356,8 @@
     ResultPages large;
     const std::string page = std::string(5000, 'x') + "\t\t\n";
     ASSERT_TRUE(large.begin(20, page));
-    for (std::size_t n = 1; n < 9; ++n) EXPECT_EQ(large.take(n, page), ResultPages::Took::page) << n;
+    for (std::size_t n = 1; n < 9; ++n)
+        EXPECT_EQ(large.take(n, page), ResultPages::Took::page) << n;
     EXPECT_EQ(large.take(9, page), ResultPages::Took::spoilt);  // more than a result holds
 }
 
@@ -394,7 +405,8 @@
                              {.used = now - 29 * kSecondMicros},
                              {.open = 4, .used = now},
                              {.asked = 2000, .used = now}};
-    for (const auto& c : bad) EXPECT_FALSE(connection_for({c}, now, limits).use);
+    for (const auto& c : bad)
+        EXPECT_FALSE(connection_for({c}, now, limits).use);
     EXPECT_EQ(connection_for({bad[0], {.used = now}}, now, limits).use, 1u);
     EXPECT_FALSE(stale({.open = 1, .used = 0}, now, limits));
 }
@@ -403,7 +415,8 @@
     using Verdict = ClientNumbers::Verdict;
     ClientNumbers n;
     EXPECT_EQ(n.take(0), Verdict::not_climbing);
-    for (int i = 1; i <= 32; ++i) EXPECT_EQ(n.take(i), Verdict::taken);
+    for (int i = 1; i <= 32; ++i)
+        EXPECT_EQ(n.take(i), Verdict::taken);
     EXPECT_EQ(n.take(32), Verdict::not_climbing);
     EXPECT_EQ(n.take(33), Verdict::too_many);
     EXPECT_TRUE(n.end(5));
@@ -464,7 +477,8 @@
     EXPECT_EQ(makes_room(all), 2u);
     all[1].closing = true;
     EXPECT_EQ(makes_room(all), 1u);
-    for (auto& c : all) c.open = 1;
+    for (auto& c : all)
+        c.open = 1;
     EXPECT_FALSE(makes_room(all));
 }
 
@@ -473,14 +487,14 @@
     const ClientTimes t;
     const Micros now = 100 * kSecondMicros;
     const std::vector<ClientFacts> kinds{
-        {.connected = 1, .open = 1, .served = true},                                       // owed an answer
-        {.connected = 1, .unsent = true, .served = true},                                  // it is on its way
-        {.connected = now - 1},                                                            // about to ask
-        {.connected = now - t.to_speak},                                                   // silent
-        {.connected = 1, .last_active = now - 1, .served = true},                          // asks again soon
-        {.connected = 1, .last_active = now - t.to_ask_again, .served = true},             // rests
-        {.connected = 1, .half_since = now - 1, .served = true},                           // in the middle of it
-        {.connected = 1, .half_since = now - t.half_request, .served = true},              // stopped there
+        {.connected = 1, .open = 1, .served = true},                            // owed an answer
+        {.connected = 1, .unsent = true, .served = true},                       // it is on its way
+        {.connected = now - 1},                                                 // about to ask
+        {.connected = now - t.to_speak},                                        // silent
+        {.connected = 1, .last_active = now - 1, .served = true},               // asks again soon
+        {.connected = 1, .last_active = now - t.to_ask_again, .served = true},  // rests
+        {.connected = 1, .half_since = now - 1, .served = true},                // in the middle of it
+        {.connected = 1, .half_since = now - t.half_request, .served = true},   // stopped there
         {.connected = 1, .served = true, .closing = true, .closing_since = now - 1},
     };
     for (const auto& a : kinds)
@@ -488,14 +502,18 @@
             const auto at_a = may_leave_at(a, t), at_b = may_leave_at(b, t);
             const auto leaver = makes_room({a, b}, now, t);
             ASSERT_EQ(leaver.has_value(), at_a || at_b);
-            if (!leaver) continue;
+            if (!leaver)
+                continue;
             EXPECT_EQ(leaver->at, leaver->who == 0 ? at_a : at_b);
-            if ((at_a && *at_a <= now) || (at_b && *at_b <= now)) { EXPECT_LE(leaver->at, now); }
-            else EXPECT_EQ(leaver->at, std::min(at_a.value_or(now * 2), at_b.value_or(now * 2)));
+            if ((at_a && *at_a <= now) || (at_b && *at_b <= now)) {
+                EXPECT_LE(leaver->at, now);
+            } else
+                EXPECT_EQ(leaver->at, std::min(at_a.value_or(now * 2), at_b.value_or(now * 2)));
         }
-    for (const std::size_t owed : {0u, 1u}) EXPECT_FALSE(may_leave_at(kinds[owed], t));
-    // A table of resting clients with one young and silent one: the newcomer doesn't wait for the latter. Found
-    // on herd+crowd (seed 430580087865): with it at the head of the rank, 300 a second came in at most.
+    for (const std::size_t owed : {0u, 1u})
+        EXPECT_FALSE(may_leave_at(kinds[owed], t));
+    // A table of resting clients with one young and silent one: the newcomer doesn't wait for the latter.
+    // Found on herd+crowd (seed 430580087865): with it at the head of the rank, 300 a second came in at most.
     EXPECT_EQ(makes_room({kinds[2], kinds[5]}, now, t)->who, 1u);
 }
 
--- a/tests/decide/quota_test.cpp
+++ b/tests/decide/quota_test.cpp
@@ -44,8 +44,11 @@
             now += static_cast<Micros>(random.below(4 * kSecondMicros));
             q.used("a", now, static_cast<Micros>(random.below(500'000)));
             const QuotaState next = q.state("a", now);
-            if (next < state) { EXPECT_GE(now - changed, kMinute) << "seed " << seed; }
-            if (next != state) changed = now, state = next;
+            if (next < state) {
+                EXPECT_GE(now - changed, kMinute) << "seed " << seed;
+            }
+            if (next != state)
+                changed = now, state = next;
         }
     }
 }
@@ -65,12 +68,15 @@
             const auto to = even ? static_cast<std::size_t>(i % fronts)
                                  : static_cast<std::size_t>(
                                        random.below(random.below(static_cast<std::uint64_t>(fronts)) + 1));
-            if (all[to].state("a", kMinute) == QuotaState::hard) continue;
+            if (all[to].state("a", kMinute) == QuotaState::hard)
+                continue;
             all[to].used("a", kMinute, one);
             used += one;
         }
         EXPECT_LE(used, hard + fronts * one) << "seed " << seed;
-        if (even) { EXPECT_GE(used, hard - fronts * one) << "seed " << seed; }
+        if (even) {
+            EXPECT_GE(used, hard - fronts * one) << "seed " << seed;
+        }
     }
 }
 
@@ -90,10 +96,12 @@
             ledger.emplace_back(now, work);
         }
         const Micros began = 7 * kSecondMicros;  // the new front's clock is young
-        for (const auto& [at, work] : ledger) after.restore("a", began, now - at, work);
+        for (const auto& [at, work] : ledger)
+            after.restore("a", began, now - at, work);
         Micros edge = 0;  // of the slot at the window's far end
         for (const auto& [at, work] : ledger)
-            if (now - at >= 58 * kMinute && now - at <= 61 * kMinute) edge += work;
+            if (now - at >= 58 * kMinute && now - at <= 61 * kMinute)
+                edge += work;
         EXPECT_NEAR(static_cast<double>(after.use("a", began)), static_cast<double>(before.use("a", now)),
                     static_cast<double>(edge))
             << "seed " << seed;
@@ -123,11 +131,13 @@
         for (const auto& text : rounded(parts, decimals)) {
             Exact n = 0;
             for (const char c : text)
-                if (c != '.') n = n * 10 + (c - '0');
+                if (c != '.')
+                    n = n * 10 + (c - '0');
             sum += n;
         }
         Exact unit = 1;
-        for (int i = decimals; i < 24; ++i) unit *= 10;
+        for (int i = decimals; i < 24; ++i)
+            unit *= 10;
         EXPECT_EQ(whole_text(sum), whole_text((total + unit / 2) / unit)) << "seed " << seed;
     }
     EXPECT_EQ(decimal_text(amount_of({kSecondMicros, 0, 0, 0}, {125'000, 0, 0, 0}), 6), "0.000125");
@@ -149,14 +159,17 @@
         const Micros taken = upto(tail), step_at = upto(2 * kSecondMicros);
         const Micros step = random.chance(0.5) ? -upto(5 * kSecondMicros) : 0;
         const Micros down = taken + upto(3 * kSecondMicros);
-        const auto wall = [&](Micros after) { return last + after + (after >= step_at ? step : 0); };
+        const auto wall = [&](Micros after) {
+            return last + after + (after >= step_at ? step : 0);
+        };
         const Gap g = killed_gap(last, wall(down), tail);
         // An engine's clock goes on as it did; one that steps along with the front's is covered too, but
         // where the step came within the tail and the front was down for longer than it: nothing tells of it
         // then.
         EXPECT_GE(last + taken, g.from) << "seed " << seed;
         EXPECT_LE(last + taken, g.to) << "seed " << seed;
-        if (step_at <= taken && wall(down) >= last) continue;
+        if (step_at <= taken && wall(down) >= last)
+            continue;
         EXPECT_GE(wall(taken), g.from) << "seed " << seed;
         EXPECT_LE(wall(taken), g.to) << "seed " << seed;
     }
@@ -181,7 +194,8 @@
     repeats.finish();
     EXPECT_FALSE(repeats.repeat(0, 1));
     EXPECT_TRUE(repeats.repeat(1, 1));
-    for (const std::uint32_t n : {2u, 3u, 4u, 5u}) EXPECT_FALSE(repeats.repeat(1, n)) << n;
+    for (const std::uint32_t n : {2u, 3u, 4u, 5u})
+        EXPECT_FALSE(repeats.repeat(1, n)) << n;
 }
 
 }  // namespace
--- a/tests/dns/dns_test.cpp
+++ b/tests/dns/dns_test.cpp
@@ -16,8 +16,10 @@
 }
 std::string labels(std::initializer_list<std::string_view> list, bool end = true) {
     std::string out;
-    for (const auto l : list) out.push_back(static_cast<char>(l.size())), out.append(l);
-    if (end) out.push_back('\0');
+    for (const auto l : list)
+        out.push_back(static_cast<char>(l.size())), out.append(l);
+    if (end)
+        out.push_back('\0');
     return out;
 }
 std::string record(const std::string& owner, int type, const std::string& data) {
@@ -30,7 +32,8 @@
 std::string answer_message(std::uint16_t id, int flags = 0x8400) {
     std::string m;
     put(m, id, 2), put(m, static_cast<unsigned>(flags), 2);
-    for (const int count : {1, 1, 1, 2}) put(m, static_cast<unsigned>(count), 2);
+    for (const int count : {1, 1, 1, 2})
+        put(m, static_cast<unsigned>(count), 2);
     m += labels({"_work", "_tcp", "fleet", "local"});
     put(m, 33, 2), put(m, 1, 2);
     const std::string question("\xc0\x0c", 2);
@@ -40,7 +43,8 @@
     m += record(question, 33, srv + labels({"S-00c4", "east", "hosts"}));
     std::string soa = labels({"ns"}, false) + question + labels({"admin"});
     put(soa, 41, 4);
-    for (int i = 0; i < 4; ++i) put(soa, 1, 4);
+    for (int i = 0; i < 4; ++i)
+        put(soa, 1, 4);
     m += record(question, 6, soa);
     std::string pointer;
     put(pointer, 0xc000 | target, 2);
--- a/tests/engine/model_test.cpp
+++ b/tests/engine/model_test.cpp
@@ -21,7 +21,8 @@
     while (const auto next = m.next_end()) {
         now = *next;
         m.advance(now);
-        for (const auto& [id, view] : m.take_ended()) ended[id] = now;
+        for (const auto& [id, view] : m.take_ended())
+            ended[id] = now;
     }
     return ended;
 }
@@ -62,16 +63,20 @@
             j.group = "g" + std::to_string(random.below(3)), j.load = random.chance(0.2),
             j.yields = random.chance(0.3);
             Machine::JobId id = 0;
-            if (m.submit(now, std::move(j), id) == Taken::taken) ++taken, out.push_back(id);
+            if (m.submit(now, std::move(j), id) == Taken::taken)
+                ++taken, out.push_back(id);
             if (!out.empty() && random.chance(0.2)) {
                 const auto which = random.below(out.size());
-                if (m.view(out[which])) ++cancelled;
+                if (m.view(out[which]))
+                    ++cancelled;
                 m.cancel(now, out[which]);
                 out.erase(out.begin() + static_cast<long>(which));
             }
             ended += m.take_ended().size();
             const auto r = m.report();
-            if (s.when_short != WhenShort::swap) { EXPECT_LE(*r.memory_granted, 1.0001) << "seed " << seed; }
+            if (s.when_short != WhenShort::swap) {
+                EXPECT_LE(*r.memory_granted, 1.0001) << "seed " << seed;
+            }
             EXPECT_EQ(static_cast<std::size_t>(*r.concurrent), taken - ended - cancelled) << "seed " << seed;
             // No faster than its cores and its disks.
             EXPECT_LE(m.work_done(), static_cast<double>(now) * s.cores * (1 + s.disks) * 1.0001 + 1)
@@ -146,7 +151,8 @@
          {300.0, 320.0}) {  // six in a second: 1.8 and 1.92 core-seconds of 2 x 1 allowed; then 2.1, 2.24
         Machine m(0, s, 1);
         Machine::JobId id = 0;
-        for (int i = 0; i < 6; ++i) EXPECT_EQ(m.submit(i * 100'000, job(work), id), Taken::taken);
+        for (int i = 0; i < 6; ++i)
+            EXPECT_EQ(m.submit(i * 100'000, job(work), id), Taken::taken);
         EXPECT_EQ(m.submit(600'000, job(work), id), work > 310 ? Taken::fallen : Taken::taken);
     }
 }
--- a/tests/faults/drain_test.cpp
+++ b/tests/faults/drain_test.cpp
@@ -1,5 +1,5 @@
-// Incident 056c01, rule `drain`: what keeps a front node from a list that counts as told, and what goes out to a drained
-// engine all the same. Real processes on loopback.
+// Incident 056c01, rule `drain`: what keeps a front node from a list that counts as told, and what goes out
+// to a drained engine all the same. Real processes on loopback.
 #include "faults/node_process.hpp"
 
 namespace gatetiller::testing {
@@ -7,7 +7,8 @@
 
 using Drain = NodeProcess;
 
-// A silence of the name service, and three answers lost behind it: the next question must not be far away then.
+// A silence of the name service, and three answers lost behind it: the next question must not be far away
+// then.
 TEST_F(Drain, IsHeardInTimeAfterASilenceWithLostAnswersBehindIt) {
     add_engine("s-1"), add_engine("s-2");
     start();
--- a/tests/faults/durable_test.cpp
+++ b/tests/faults/durable_test.cpp
@@ -26,7 +26,8 @@
 protected:
     Durable() {
         std::string name = ::testing::TempDir() + "durable-XXXXXX";
-        if (::mkdtemp(name.data())) folder = name;
+        if (::mkdtemp(name.data()))
+            folder = name;
         file = folder + "/list";
     }
     ~Durable() override {
@@ -42,8 +43,11 @@
 
 TEST_F(Durable, AFailureAtAnyStepLeavesTheOldContentAndNothingBesideIt) {
     ASSERT_TRUE(replace_file(file, "old"));
-    for (const auto& [call, error] : {std::pair{Call::open, EMFILE}, {Call::write, ENOSPC}, {Call::write, EIO},
-                                      {Call::fsync, EIO}, {Call::rename, EIO}}) {
+    for (const auto& [call, error] : {std::pair{Call::open, EMFILE},
+                                      {Call::write, ENOSPC},
+                                      {Call::write, EIO},
+                                      {Call::fsync, EIO},
+                                      {Call::rename, EIO}}) {
         control.fail(call, error, 1000, 1);
         const auto kept = replace_file(file, "new");
         EXPECT_FALSE(kept) << kCallNames[static_cast<std::size_t>(call)];
@@ -83,15 +87,23 @@
     std::string log;
     int lists = 0;
     front::Engines engines(loop, settings,
-                           {[&](ListChange c) { lists += c.form == ListForm::total; },
-                            [&](const std::string& text) { log += text + "\n"; }});
+                           {[&](ListChange c) {
+                                lists += c.form == ListForm::total;
+                            },
+                            [&](const std::string& text) {
+                                log += text + "\n";
+                            }});
     control.fail(Call::write, ENOSPC);
     engines.start();
-    ASSERT_TRUE(await(loop, [&] { return lists > 0; }));
+    ASSERT_TRUE(await(loop, [&] {
+        return lists > 0;
+    }));
     EXPECT_FALSE(roster::read_last_list(file));
     EXPECT_NE(log.find("No space left"), std::string::npos) << log;
     control.heal();
-    EXPECT_TRUE(await(loop, [&] { return roster::read_last_list(file).ok(); }));
+    EXPECT_TRUE(await(loop, [&] {
+        return roster::read_last_list(file).ok();
+    }));
 }
 
 }  // namespace
--- a/tests/faults/http_client_faults_test.cpp
+++ b/tests/faults/http_client_faults_test.cpp
@@ -24,9 +24,12 @@
         control.fail(call, error);
         http::Client client(loop, *net::Address::parse("127.0.0.1:1"), options);
         std::optional<http::Reached> reached;
-        auto asked = client.send({"GET", "/", 1, {}, {}, {}}, kSecondMicros,
-                                 [&](const http::Answer& a) { reached = a.reached; });
-        ASSERT_TRUE(await(loop, [&] { return reached.has_value(); }));
+        auto asked = client.send({"GET", "/", 1, {}, {}, {}}, kSecondMicros, [&](const http::Answer& a) {
+            reached = a.reached;
+        });
+        ASSERT_TRUE(await(loop, [&] {
+            return reached.has_value();
+        }));
         control.heal();
         EXPECT_NE(reached, http::Reached::broken) << std::strerror(error);
         EXPECT_NE(reached, http::Reached::late) << std::strerror(error);
--- a/tests/faults/loop_faults_test.cpp
+++ b/tests/faults/loop_faults_test.cpp
@@ -1,5 +1,5 @@
-// The loop while system calls fail in the ways that Linux documents (the shim, linked in): what passes is waited
-// out, what is final is told apart from it, and nothing spins.
+// The loop while system calls fail in the ways that Linux documents (the shim, linked in): what passes is
+// waited out, what is final is told apart from it, and nothing spins.
 #include <arpa/inet.h>
 #include <gtest/gtest.h>
 #include <sys/socket.h>
@@ -22,9 +22,12 @@
 
 // How long at most the first bytes of a stream had waited when they were read.
 struct WaitingTime final : net::StreamEvents {
-    WaitingTime(net::PollLoop& l, net::Stream& s) : loop(l), stream(s) { stream.events(*this); }
+    WaitingTime(net::PollLoop& l, net::Stream& s) : loop(l), stream(s) {
+        stream.events(*this);
+    }
     void on_data(Buffer& in) override {
-        if (!waited) waited = std::max(loop.unseen(), stream.starved());
+        if (!waited)
+            waited = std::max(loop.unseen(), stream.starved());
         in.take(in.size());
     }
     void on_closed(Closed) override {}
@@ -39,7 +42,8 @@
     sockaddr_in to{};
     to.sin_family = AF_INET, to.sin_port = htons(address.port);
     inet_pton(AF_INET, "127.0.0.1", &to.sin_addr);
-    if (fd < 0 || ::connect(fd, reinterpret_cast<sockaddr*>(&to), sizeof to) == 0) return fd;
+    if (fd < 0 || ::connect(fd, reinterpret_cast<sockaddr*>(&to), sizeof to) == 0)
+        return fd;
     ::close(fd);
     return -1;
 }
@@ -54,13 +58,17 @@
         EXPECT_TRUE(made) << made.error();
         listener = std::move(*made);
     }
-    ~LoopFaults() override { control.heal(); }
+    ~LoopFaults() override {
+        control.heal();
+    }
     void connect(Micros time_out = 10 * kSecondMicros) {
         client.stream = loop.connect(listener->address(), client, time_out);
     }
     void join() {
         connect();
-        ASSERT_TRUE(await(loop, [&] { return client.connected && server.stream; }));
+        ASSERT_TRUE(await(loop, [&] {
+            return client.connected && server.stream;
+        }));
     }
     FaultControl& control = *gatetiller_fault_control();
     net::PollLoop loop;
@@ -70,23 +78,28 @@
 
 TEST_F(LoopFaults, AConnectThatLacksSomethingOfThisMachineIsTriedAgain) {
     const std::pair<Call, int> lacking[] = {
-        {Call::socket, EMFILE},  {Call::socket, ENFILE},         {Call::socket, ENOBUFS},
-        {Call::socket, ENOMEM},  {Call::connect, EADDRNOTAVAIL}, {Call::connect, EAGAIN},
-        {Call::connect, ENOBUFS}, {Call::connect, ENETUNREACH},  {Call::connect, EINTR},
+        {Call::socket, EMFILE},   {Call::socket, ENFILE},         {Call::socket, ENOBUFS},
+        {Call::socket, ENOMEM},   {Call::connect, EADDRNOTAVAIL}, {Call::connect, EAGAIN},
+        {Call::connect, ENOBUFS}, {Call::connect, ENETUNREACH},   {Call::connect, EINTR},
     };
     for (const auto& [call, error] : lacking) {
         control.fail(call, error, 1000, 3);
         client.connected = false, client.closed.reset(), server.stream.reset();
         connect();
-        EXPECT_TRUE(await(loop, [&] { return client.connected || client.closed; }));
-        EXPECT_TRUE(client.connected) << kCallNames[static_cast<std::size_t>(call)] << " " << std::strerror(error);
+        EXPECT_TRUE(await(loop, [&] {
+            return client.connected || client.closed;
+        }));
+        EXPECT_TRUE(client.connected)
+            << kCallNames[static_cast<std::size_t>(call)] << " " << std::strerror(error);
     }
 }
 
 TEST_F(LoopFaults, WhatLastsHereIsToldApartFromARefusal) {
     control.fail(Call::connect, EADDRNOTAVAIL);
     connect(200 * kMillisecond);
-    ASSERT_TRUE(await(loop, [&] { return client.closed.has_value(); }));
+    ASSERT_TRUE(await(loop, [&] {
+        return client.closed.has_value();
+    }));
     EXPECT_NE(client.closed, Closed::refused);
     EXPECT_NE(client.closed, Closed::too_late);
     // Not in every turn: a machine that lacks something is not asked thousands of times.
@@ -100,7 +113,12 @@
         server.got.clear();
         const std::string bytes(300'000, 'x');
         client.stream->send(bytes);
-        EXPECT_TRUE(await(loop, [&] { return server.got.size() == bytes.size(); }, 5 * kSecondMicros))
+        EXPECT_TRUE(await(
+            loop,
+            [&] {
+                return server.got.size() == bytes.size();
+            },
+            5 * kSecondMicros))
             << std::strerror(error) << ": " << server.got.size();
     }
     EXPECT_FALSE(client.closed);
@@ -112,7 +130,12 @@
         control.fail(Call::recv, error, 1000, 5);
         server.got.clear();
         client.stream->send("some bytes");
-        EXPECT_TRUE(await(loop, [&] { return server.got == "some bytes"; }, 5 * kSecondMicros))
+        EXPECT_TRUE(await(
+            loop,
+            [&] {
+                return server.got == "some bytes";
+            },
+            5 * kSecondMicros))
             << std::strerror(error);
     }
     EXPECT_FALSE(client.closed);
@@ -125,7 +148,9 @@
         join();
         control.fail(Call::recv, error, 1000, 1);
         client.stream->send("some bytes");
-        EXPECT_TRUE(await(loop, [&] { return server.closed.has_value(); })) << std::strerror(error);
+        EXPECT_TRUE(await(loop, [&] {
+            return server.closed.has_value();
+        })) << std::strerror(error);
         EXPECT_EQ(server.closed, Closed::reset);
     }
 }
@@ -137,7 +162,13 @@
         join();
         control.fail(Call::send, error, 1000, 1);
         client.stream->send("some bytes");
-        EXPECT_TRUE(await(loop, [&] { return client.closed.has_value(); }, 2 * kSecondMicros)) << std::strerror(error);
+        EXPECT_TRUE(await(
+            loop,
+            [&] {
+                return client.closed.has_value();
+            },
+            2 * kSecondMicros))
+            << std::strerror(error);
         EXPECT_EQ(client.closed, Closed::reset) << std::strerror(error);
     }
 }
@@ -147,20 +178,33 @@
     join();
     const std::string said(300'000, 'x');
     server.stream->send(said);
-    for (int turns = 0; turns < 3; ++turns) loop.turn(0);
+    for (int turns = 0; turns < 3; ++turns)
+        loop.turn(0);
     control.fail(Call::send, EPIPE, 1000, 1);
     client.stream->send("some bytes");
-    ASSERT_TRUE(await(loop, [&] { return client.got.size() == said.size(); }, 2 * kSecondMicros)) << client.got.size();
+    ASSERT_TRUE(await(
+        loop,
+        [&] {
+            return client.got.size() == said.size();
+        },
+        2 * kSecondMicros))
+        << client.got.size();
 }
 
 // Errors of one connection in the backlog, and of this machine, keep nobody else outside.
 TEST_F(LoopFaults, AcceptGoesOnAfterEveryErrorThatItDocuments) {
-    for (const int error : {ECONNABORTED, EMFILE, ENFILE, ENOBUFS, ENOMEM, EINTR, EPROTO, ENETDOWN, EHOSTUNREACH,
-                            ENETUNREACH, EPERM}) {
+    for (const int error : {ECONNABORTED, EMFILE, ENFILE, ENOBUFS, ENOMEM, EINTR, EPROTO, ENETDOWN,
+                            EHOSTUNREACH, ENETUNREACH, EPERM}) {
         control.fail(Call::accept, error, 1000, 3);
         client.connected = false, client.closed.reset(), server.stream.reset();
         connect();
-        EXPECT_TRUE(await(loop, [&] { return server.stream != nullptr; }, 5 * kSecondMicros)) << std::strerror(error);
+        EXPECT_TRUE(await(
+            loop,
+            [&] {
+                return server.stream != nullptr;
+            },
+            5 * kSecondMicros))
+            << std::strerror(error);
         control.heal();
     }
 }
@@ -171,9 +215,12 @@
         listener->accept(false);
         client.connected = false;
         connect();
-        ASSERT_TRUE(await(loop, [&] { return client.connected; }));
+        ASSERT_TRUE(await(loop, [&] {
+            return client.connected;
+        }));
         control.fail(Call::accept, error, 1000, 2);
-        for (int i = 0; i < 5 && !server.stream; ++i) listener->accept_waiting(10);
+        for (int i = 0; i < 5 && !server.stream; ++i)
+            listener->accept_waiting(10);
         EXPECT_TRUE(server.stream) << std::strerror(error);
         control.heal();
     }
@@ -187,8 +234,12 @@
         server.got.clear();
         client.stream->send("some bytes");
         const Micros since = loop.now();
-        EXPECT_TRUE(await(loop, [&] { return server.got == "some bytes"; })) << std::strerror(error);
-        EXPECT_TRUE(await(loop, [&] { return loop.now() - since > 50 * kMillisecond; }));
+        EXPECT_TRUE(await(loop, [&] {
+            return server.got == "some bytes";
+        })) << std::strerror(error);
+        EXPECT_TRUE(await(loop, [&] {
+            return loop.now() - since > 50 * kMillisecond;
+        }));
         EXPECT_LT(control.of(Call::poll).calls - before, 2000u) << std::strerror(error) << ": it spins";
         control.heal();
     }
@@ -198,10 +249,13 @@
     join();
     control.short_per_mille = 900;
     std::string bytes;
-    for (int i = 0; i < 4000; ++i) bytes += std::to_string(i) + " ";
+    for (int i = 0; i < 4000; ++i)
+        bytes += std::to_string(i) + " ";
     client.stream->send(bytes);
     server.stream->send(bytes);
-    EXPECT_TRUE(await(loop, [&] { return server.got.size() >= bytes.size() && client.got.size() >= bytes.size(); }));
+    EXPECT_TRUE(await(loop, [&] {
+        return server.got.size() >= bytes.size() && client.got.size() >= bytes.size();
+    }));
     EXPECT_EQ(server.got, bytes);
     EXPECT_EQ(client.got, bytes);
 }
@@ -210,7 +264,9 @@
 TEST_F(LoopFaults, AfterAStallWhatHasComeIsHeardBeforeAnythingIsSent) {
     const int fd = connected_socket(listener->address());
     ASSERT_GE(fd, 0);
-    ASSERT_TRUE(await(loop, [&] { return server.stream != nullptr; }));
+    ASSERT_TRUE(await(loop, [&] {
+        return server.stream != nullptr;
+    }));
     struct TakesBack final : net::StreamEvents {
         void on_data(Buffer& in) override {
             in.take(in.size());
@@ -227,14 +283,16 @@
     ASSERT_EQ(::send(fd, "gone", 4, 0), 4);
     const timespec stall{0, 60'000'000};
     ::nanosleep(&stall, nullptr);
-    ASSERT_TRUE(await(loop, [&] { return owner.taken.has_value(); }));
+    ASSERT_TRUE(await(loop, [&] {
+        return owner.taken.has_value();
+    }));
     EXPECT_TRUE(*owner.taken) << "sent before what had come was heard";
     server.stream.reset();
     ::close(fd);
 }
 
-// A process that is stopped as poll returns has a snapshot from before: what came meanwhile is found by the next poll,
-// and has waited all the same.
+// A process that is stopped as poll returns has a snapshot from before: what came meanwhile is found by the
+// next poll, and has waited all the same.
 TEST_F(LoopFaults, AStallBehindAPollIsCountedForWhatTheNextOneFinds) {
     StreamEnd other;
     auto second = loop.listen(*net::Address::parse("127.0.0.1:0"), [&](std::unique_ptr<net::Stream> s) {
@@ -245,15 +303,20 @@
     const int fd = connected_socket((*second)->address());
     ASSERT_GE(fd, 0);
     join();
-    ASSERT_TRUE(await(loop, [&] { return other.stream != nullptr; }));
+    ASSERT_TRUE(await(loop, [&] {
+        return other.stream != nullptr;
+    }));
     WaitingTime reader(loop, *other.stream);
     client.stream->send("wakes the loop");
     control.stall_after_poll_us = 150'000;
     std::thread sender([&] {
-        while (control.stall_after_poll_us != 0) std::this_thread::yield();  // the stall has begun
+        while (control.stall_after_poll_us != 0)
+            std::this_thread::yield();  // the stall has begun
         EXPECT_EQ(::send(fd, "request", 7, MSG_NOSIGNAL), 7);
     });
-    EXPECT_TRUE(await(loop, [&] { return reader.waited.has_value(); }));
+    EXPECT_TRUE(await(loop, [&] {
+        return reader.waited.has_value();
+    }));
     sender.join();
     EXPECT_GE(reader.waited.value_or(0), 100 * kMillisecond);
     other.stream.reset();
@@ -271,7 +334,9 @@
         ::nanosleep(&stall, nullptr);
         control.fail(Call::recv, ENOMEM, 1000, 1);
     });
-    ASSERT_TRUE(await(loop, [&] { return reader.waited.has_value(); }));
+    ASSERT_TRUE(await(loop, [&] {
+        return reader.waited.has_value();
+    }));
     EXPECT_GE(*reader.waited, 100 * kMillisecond);
 }
 
@@ -279,16 +344,27 @@
 TEST_F(LoopFaults, ASendThatLacksMemoryKeepsNothingFromBeingRead) {
     const int fd = connected_socket(listener->address());
     ASSERT_GE(fd, 0);
-    ASSERT_TRUE(await(loop, [&] { return server.stream != nullptr; }));
+    ASSERT_TRUE(await(loop, [&] {
+        return server.stream != nullptr;
+    }));
     control.fail(Call::send, ENOBUFS);
     server.stream->send("answer");
-    ASSERT_TRUE(await(loop, [&] { return control.of(Call::send).failed > 0; }));
+    ASSERT_TRUE(await(loop, [&] {
+        return control.of(Call::send).failed > 0;
+    }));
     ASSERT_EQ(::write(fd, "request", 7), 7);
-    EXPECT_TRUE(await(loop, [&] { return server.got == "request"; }, kSecondMicros));
+    EXPECT_TRUE(await(
+        loop,
+        [&] {
+            return server.got == "request";
+        },
+        kSecondMicros));
     // Nor does it make the loop spin.
     EXPECT_LT(control.of(Call::send).failed, 1000u);
     control.heal();
-    EXPECT_TRUE(await(loop, [&] { return server.stream->unsent() == 0; }));
+    EXPECT_TRUE(await(loop, [&] {
+        return server.stream->unsent() == 0;
+    }));
     server.stream.reset();
     ::close(fd);
 }
@@ -299,20 +375,30 @@
     WaitingTime reader(loop, *server.stream);
     control.fail(Call::poll, ENOMEM);
     client.stream->send("request");
-    loop.after(200 * kMillisecond, [this] { control.heal(); });
-    ASSERT_TRUE(await(loop, [&] { return reader.waited.has_value(); }));
+    loop.after(200 * kMillisecond, [this] {
+        control.heal();
+    });
+    ASSERT_TRUE(await(loop, [&] {
+        return reader.waited.has_value();
+    }));
     EXPECT_GE(*reader.waited, 150 * kMillisecond);
 }
 
-// What a connection that has just come up carries was decided before: a list that has come meanwhile is heard first,
-// also where the process stood still behind the poll that told of the connection.
+// What a connection that has just come up carries was decided before: a list that has come meanwhile is heard
+// first, also where the process stood still behind the poll that told of the connection.
 class HeardFirst : public LoopFaults, public net::StreamEvents {
 protected:
-    void on_data(Buffer& in) override { in.take(in.size()); }
-    void on_sending(std::size_t) override { order += "sending "; }
+    void on_data(Buffer& in) override {
+        in.take(in.size());
+    }
+    void on_sending(std::size_t) override {
+        order += "sending ";
+    }
     void on_closed(Closed) override {}
     void expect_the_datagram_first() {
-        ASSERT_TRUE(await(loop, [&] { return order.size() >= std::strlen("sending datagram "); }));
+        ASSERT_TRUE(await(loop, [&] {
+            return order.size() >= std::strlen("sending datagram ");
+        }));
         EXPECT_EQ(order, "datagram sending ");
     }
     std::string order;
@@ -322,7 +408,9 @@
 TEST_F(HeardFirst, ADatagramThatIsThereWhenAConnectionComesUp) {
     const auto stream = loop.connect(listener->address(), *this, 10 * kSecondMicros);
     stream->send("request");
-    auto to = loop.datagrams(any, [&](const net::Address&, std::string_view) { order += "datagram "; });
+    auto to = loop.datagrams(any, [&](const net::Address&, std::string_view) {
+        order += "datagram ";
+    });
     auto from = loop.datagrams(any, [](const net::Address&, std::string_view) {});
     ASSERT_TRUE(to && from);
     (*from)->send((*to)->address(), "list");
@@ -330,12 +418,15 @@
 }
 
 TEST_F(HeardFirst, ADatagramThatComesWhileTheProcessStandsStillBehindAPoll) {
-    auto to = loop.datagrams(any, [&](const net::Address&, std::string_view) { order += "datagram "; });
+    auto to = loop.datagrams(any, [&](const net::Address&, std::string_view) {
+        order += "datagram ";
+    });
     auto from = loop.datagrams(any, [](const net::Address&, std::string_view) {});
     ASSERT_TRUE(to && from);
     control.stall_after_poll_us = 150'000;
     std::thread service([&] {
-        while (control.stall_after_poll_us != 0) std::this_thread::yield();  // the stall has begun
+        while (control.stall_after_poll_us != 0)
+            std::this_thread::yield();  // the stall has begun
         (*from)->send((*to)->address(), "list");
     });
     const auto stream = loop.connect(listener->address(), *this, 10 * kSecondMicros);
--- a/tests/faults/node_faults_test.cpp
+++ b/tests/faults/node_faults_test.cpp
@@ -27,8 +27,10 @@
 };
 
 TEST_F(NodeFaults, AFailureOfThisMachineIsNotChargedToTheEngine) {
-    for (const auto& [call, error] : {std::pair{Call::socket, EMFILE}, {Call::connect, EADDRNOTAVAIL},
-                                      {Call::connect, ENETUNREACH}, {Call::socket, ENOBUFS}}) {
+    for (const auto& [call, error] : {std::pair{Call::socket, EMFILE},
+                                      {Call::connect, EADDRNOTAVAIL},
+                                      {Call::connect, ENETUNREACH},
+                                      {Call::socket, ENOBUFS}}) {
         node.reset(), clients.clear(), engines.clear(), settings.known.clear();
         names.close("n0");
         settings.listen = at("");
@@ -42,9 +44,13 @@
         control.fail(call, error);
         c.ask(ask());
         const Micros since = loop.now();
-        ASSERT_TRUE(until([&] { return loop.now() - since > 120 * kMillisecond; }));
+        ASSERT_TRUE(until([&] {
+            return loop.now() - since > 120 * kMillisecond;
+        }));
         control.heal();
-        ASSERT_TRUE(until([&] { return c.open() == 0; }));
+        ASSERT_TRUE(until([&] {
+            return c.open() == 0;
+        }));
         EXPECT_EQ(c.got().begin()->second.how, "served") << std::strerror(error);
         EXPECT_NE(node->status().find("no_connection=0"), std::string::npos)
             << std::strerror(error) << ": " << node->status();
@@ -54,7 +60,8 @@
 
 // What waited unread because this machine lacked memory or descriptors has less of its time left.
 TEST_F(NodeFaults, TimeUnreadForWantOfSomethingHereIsTakenOffTheDeadline) {
-    for (const auto& [call, error] : {std::pair{Call::recv, ENOMEM}, {Call::accept, EMFILE}, {Call::accept, ENOBUFS}}) {
+    for (const auto& [call, error] :
+         {std::pair{Call::recv, ENOMEM}, {Call::accept, EMFILE}, {Call::accept, ENOBUFS}}) {
         node.reset(), clients.clear(), engines.clear(), settings.known.clear();
         names.close("n0");
         settings.listen = at("");
@@ -62,20 +69,27 @@
         start();
         auto& before = client();
         before.probe();
-        ASSERT_TRUE(until([&] { return before.ready(); }));
+        ASSERT_TRUE(until([&] {
+            return before.ready();
+        }));
         control.fail(call, error);
         auto& c = call == Call::accept ? client() : before;
         const auto a = ask("lookup", 300);
         c.ask(a);
         const Micros asked = loop.now();
-        ASSERT_TRUE(until([&] { return loop.now() - asked > 700 * kMillisecond; }));
+        ASSERT_TRUE(until([&] {
+            return loop.now() - asked > 700 * kMillisecond;
+        }));
         control.heal();
-        ASSERT_TRUE(until([&] { return c.open() == 0; }));
+        ASSERT_TRUE(until([&] {
+            return c.open() == 0;
+        }));
         const Micros deadline = asked + a.patience;
         const auto noted = log.rfind(a.trace + " lookup taken");
         ASSERT_NE(noted, std::string::npos) << log;
         const auto left_at = log.find("left_ms=", noted);
-        EXPECT_LE(std::stoll(log.substr(left_at + 8)), (deadline - asked) / kMillisecond - 500) << log.substr(noted, 120);
+        EXPECT_LE(std::stoll(log.substr(left_at + 8)), (deadline - asked) / kMillisecond - 500)
+            << log.substr(noted, 120);
     }
 }
 
@@ -88,23 +102,35 @@
     auto a = ask();
     a.sql += std::string(20'000, 'x');
     const auto seq = c.ask(a);
-    ASSERT_TRUE(until([&] { return log.find(a.trace + " lookup taken") != std::string::npos; }));
+    ASSERT_TRUE(until([&] {
+        return log.find(a.trace + " lookup taken") != std::string::npos;
+    }));
     control.short_per_mille = 1000;
     control.fail(Call::send, EAGAIN, 900);
-    ASSERT_TRUE(until([&] { return control.shortened > 10; }));
+    ASSERT_TRUE(until([&] {
+        return control.shortened > 10;
+    }));
     c.give_up(seq);
-    ASSERT_TRUE(until([&] { return log.find(a.trace + " lookup given up") != std::string::npos; }));
+    ASSERT_TRUE(until([&] {
+        return log.find(a.trace + " lookup given up") != std::string::npos;
+    }));
     control.heal();
     auto& after = client();
     after.ask(ask());
-    ASSERT_TRUE(until([&] { return after.open() == 0; }));
+    ASSERT_TRUE(until([&] {
+        return after.open() == 0;
+    }));
     EXPECT_EQ(after.got().at(1).how, "served");
     for (const auto& r : records.engines)
-        EXPECT_FALSE(r.entry.event == "arrived" && r.entry.trace == a.trace) << "began for a client that had gone";
-    ASSERT_TRUE(until([&] { return node->requests() == 0; }));
+        EXPECT_FALSE(r.entry.event == "arrived" && r.entry.trace == a.trace)
+            << "began for a client that had gone";
+    ASSERT_TRUE(until([&] {
+        return node->requests() == 0;
+    }));
 }
 
-// What was written when it began is no longer true when its last byte goes out much later: it goes again, with what is left.
+// What was written when it began is no longer true when its last byte goes out much later: it goes again,
+// with what is left.
 TEST_F(NodeFaults, ARequestWrittenInPartForLongIsWrittenAnew) {
     engine("s-1");
     start();
@@ -112,14 +138,22 @@
     auto a = ask("lookup", 300);
     a.sql += std::string(20'000, 'x');
     c.ask(a);
-    ASSERT_TRUE(until([&] { return log.find(a.trace + " lookup taken") != std::string::npos; }));
+    ASSERT_TRUE(until([&] {
+        return log.find(a.trace + " lookup taken") != std::string::npos;
+    }));
     control.short_per_mille = 1000;
     control.fail(Call::send, ENOBUFS, 900);
-    ASSERT_TRUE(until([&] { return control.shortened > 10; }));
+    ASSERT_TRUE(until([&] {
+        return control.shortened > 10;
+    }));
     const Micros begun = loop.now();
-    ASSERT_TRUE(until([&] { return loop.now() - begun > 300 * kMillisecond; }));
+    ASSERT_TRUE(until([&] {
+        return loop.now() - begun > 300 * kMillisecond;
+    }));
     control.heal();
-    ASSERT_TRUE(until([&] { return c.open() == 0; }));
+    ASSERT_TRUE(until([&] {
+        return c.open() == 0;
+    }));
     EXPECT_EQ(c.got().begin()->second.how, "served");
     // Cut off while it was still being written, not called off later.
     const auto cut = log.find(a.trace + " lookup attempt 0 at s-1 skipped");
@@ -137,8 +171,19 @@
         const Micros right = loop.wall() - control.wall_offset_us;
         control.wall_offset_us = hours * 3600 * kSecondMicros;
         const std::string name = "s-young-" + std::to_string(hours + 1);
-        names.put({name, "z", "std", {{"n0", *net::Address::parse("127.0.0.1:1")}}, false, 0, right / kMillisecond});
-        ASSERT_TRUE(until([&] { return log.find("engine " + name) != std::string::npos; }, 5 * kSecondMicros)) << log;
+        names.put({name,
+                   "z",
+                   "std",
+                   {{"n0", *net::Address::parse("127.0.0.1:1")}},
+                   false,
+                   0,
+                   right / kMillisecond});
+        ASSERT_TRUE(until(
+            [&] {
+                return log.find("engine " + name) != std::string::npos;
+            },
+            5 * kSecondMicros))
+            << log;
         const auto line = log.substr(log.find("engine " + name));
         const auto up = line.find("up for ");
         ASSERT_NE(up, std::string::npos) << line;
@@ -171,31 +216,34 @@
             "policy_limits":{"attempts_cap":6,"cancel":true,"connect_timeout_us":250000,"streams_per_conn":100},
             "report":{"fields":["concurrent"],"source":"answers"},
             "rules":{"cold_share":0.31,"drain_grace_us":2000000,"overload_factor":3.0,"overload_for_us":1500000,"warm_up_us":15000000}})");
-    std::ofstream(config_file) << nlohmann::json({{"name", "n0"},
-                                                  {"listen", "127.0.0.1:0"},
-                                                  {"seed", "1"},
-                                                  {"limits", {{"cores", 0.5}, {"memory_mb", 32}, {"sockets", 256}}},
-                                                  {"dns", dns.text()},
-                                                  {"known", nlohmann::json::parse(names.known("n0"))},
-                                                  {"settings", settings}})
+    std::ofstream(config_file) << nlohmann::json(
+                                      {{"name", "n0"},
+                                       {"listen", "127.0.0.1:0"},
+                                       {"seed", "1"},
+                                       {"limits", {{"cores", 0.5}, {"memory_mb", 32}, {"sockets", 256}}},
+                                       {"dns", dns.text()},
+                                       {"known", nlohmann::json::parse(names.known("n0"))},
+                                       {"settings", settings}})
                                       .dump();
-    const std::pair<Call, int> failing[] = {{Call::socket, EMFILE},      {Call::socket, ENFILE},
-                                            {Call::bind, EADDRINUSE},    {Call::bind, EADDRNOTAVAIL},
-                                            {Call::listen, EADDRINUSE},  {Call::signalfd, EMFILE},
-                                            {Call::signalfd, ENOMEM},    {Call::socket, ENOBUFS}};
+    const std::pair<Call, int> failing[] = {{Call::socket, EMFILE},     {Call::socket, ENFILE},
+                                            {Call::bind, EADDRINUSE},   {Call::bind, EADDRNOTAVAIL},
+                                            {Call::listen, EADDRINUSE}, {Call::signalfd, EMFILE},
+                                            {Call::signalfd, ENOMEM},   {Call::socket, ENOBUFS}};
     for (const auto& [call, error] : failing) {
         control->fail(call, error, 1000, 4);
-        const auto what = std::string(kCallNames[static_cast<std::size_t>(call)]) + ": " + std::strerror(error);
+        const auto what =
+            std::string(kCallNames[static_cast<std::size_t>(call)]) + ": " + std::strerror(error);
         auto started = lab::Process::start(
             {"/bin/sh", "-c",
              "LD_PRELOAD='" GATETILLER_FAULT_SHIM "' ASAN_OPTIONS=verify_asan_link_order=0 " +
-                 std::string(kControlVariable) + "='" + control_file + "' exec '" GATETILLER_PROGRAM
-                 "' node --config '" + config_file + "'"},
+                 std::string(kControlVariable) + "='" + control_file +
+                 "' exec '" GATETILLER_PROGRAM "' node --config '" + config_file + "'"},
             folder + "/log", 20 * kSecondMicros);
         EXPECT_TRUE(started) << what << ": " << started.error();
         EXPECT_EQ(control->of(call).left, 0u) << what;
         control->heal();
-        if (!started) continue;
+        if (!started)
+            continue;
         // A signal that nobody reads would leave it running.
         started->terminate();
         EXPECT_TRUE(started->wait(20 * kSecondMicros)) << what << ": SIGTERM is not heard";
--- a/tests/faults/node_process.hpp
+++ b/tests/faults/node_process.hpp
@@ -1,6 +1,6 @@
-// A front node as a real process on loopback, among stand-ins in the test's own process: engines, a name service and
-// clients that ask at a steady rate. What passed is judged by the rules, drains also by when they count as told at the
-// latest.
+// A front node as a real process on loopback, among stand-ins in the test's own process: engines, a name
+// service and clients that ask at a steady rate. What passed is judged by the rules, drains also by when they
+// count as told at the latest.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -28,7 +28,8 @@
 
     NodeProcess() {
         std::string name = ::testing::TempDir() + "node-process-XXXXXX";
-        if (::mkdtemp(name.data())) folder_ = name + "/";
+        if (::mkdtemp(name.data()))
+            folder_ = name + "/";
         names.record_latest({});
     }
     ~NodeProcess() override {
@@ -37,7 +38,9 @@
         std::filesystem::remove_all(folder_);
     }
 
-    std::string file(const std::string& name) const { return folder_ + name; }
+    std::string file(const std::string& name) const {
+        return folder_ + name;
+    }
 
     lab::PlatformEngine& add_engine(const std::string& name) {
         lab::PlatformEngineSettings s;
@@ -87,16 +90,18 @@
         ASSERT_TRUE(listening) << listening.error();
         dns = *listening;
         write_config();
-        auto started = lab::Process::start({"/bin/sh", "-c",
-                                            "exec '" GATETILLER_PROGRAM "' --log-level debug node --config '" +
-                                                file("config.json") + "'"},
-                                           file("log"), kPatience);
+        auto started = lab::Process::start(
+            {"/bin/sh", "-c",
+             "exec '" GATETILLER_PROGRAM "' --log-level debug node --config '" + file("config.json") + "'"},
+            file("log"), kPatience);
         ASSERT_TRUE(started) << started.error();
         process = std::move(*started);
         address = *net::Address::parse(process.first_line());
         clients.push_back(std::make_unique<lab::PlatformClient>(loop, "n0", address, records));
         clients.front()->probe();
-        ASSERT_TRUE(await(loop, [&] { return clients.front()->ready(); }));
+        ASSERT_TRUE(await(loop, [&] {
+            return clients.front()->ready();
+        }));
         next_ask_ = loop.now();
     }
     // Asks on, at a steady rate, for so long.
@@ -104,7 +109,8 @@
         const Micros end = loop.now() + span;
         while (loop.now() < end) {
             loop.turn(2 * kMillisecond);
-            for (; next_ask_ <= loop.now(); next_ask_ += kAskEvery) ask();
+            for (; next_ask_ <= loop.now(); next_ask_ += kAskEvery)
+                ask();
         }
     }
     void ask() {
@@ -117,17 +123,22 @@
         ++asked;
     }
     void expect_rules_kept() {
-        ASSERT_TRUE(await(loop, [&] { return clients.front()->open() == 0; }));
+        ASSERT_TRUE(await(loop, [&] {
+            return clients.front()->open() == 0;
+        }));
         ClassSettings lookup;
-        lookup.name = "lookup", lookup.effect = Effect::repeatable, lookup.deadline = kDeadline, lookup.late_share = 0.5;
+        lookup.name = "lookup", lookup.effect = Effect::repeatable, lookup.deadline = kDeadline,
+        lookup.late_share = 0.5;
         records.facts.classes = {lookup};
-        records.facts.answer_grace = 20 * kMillisecond, records.facts.drain_grace = kGrace + 50 * kMillisecond;
+        records.facts.answer_grace = 20 * kMillisecond,
+        records.facts.drain_grace = kGrace + 50 * kMillisecond;
         records.sort();
         const auto judged = lab::judge(records);
         EXPECT_GT(judged.drains, 0u);
         std::size_t shown = 0;
         for (const auto& v : judged.violations)
-            if (++shown <= 3) ADD_FAILURE() << "rule " << v.rule << ": " << v.what << "\n" << v.story;
+            if (++shown <= 3)
+                ADD_FAILURE() << "rule " << v.rule << ": " << v.what << "\n" << v.story;
         EXPECT_EQ(judged.violations.size(), 0u) << "of " << asked << " requests";
     }
 
--- a/tests/faults/shim_test.cpp
+++ b/tests/faults/shim_test.cpp
@@ -1,6 +1,4 @@
 // The fault shim bites: each call that it stands before fails as told, as often as told, and works otherwise.
-#include "shim/fault_control.hpp"
-
 #include <fcntl.h>
 #include <gtest/gtest.h>
 #include <poll.h>
@@ -17,6 +15,8 @@
 #include <fstream>
 #include <functional>
 
+#include "shim/fault_control.hpp"
+
 namespace gatetiller::testing {
 namespace {
 
@@ -37,33 +37,76 @@
     ASSERT_GE(file, 0);
     char byte = 'x';
     const std::pair<Call, std::function<long()>> calls[] = {
-        {Call::accept, [&] { return ::accept4(ends[0], nullptr, nullptr, 0); }},
-        {Call::socket, [] { return ::close(::socket(AF_INET, SOCK_STREAM, 0)); }},
-        {Call::connect, [&] { return ::connect(ends[0], nullptr, 0); }},
-        {Call::bind, [&] { return ::bind(ends[0], nullptr, 0); }},
-        {Call::listen, [&] { return ::listen(ends[0], 1); }},
-        {Call::send, [&] { return ::send(ends[0], &byte, 1, MSG_NOSIGNAL); }},
-        {Call::recv, [&] { return ::recv(ends[1], &byte, 1, 0); }},
-        {Call::sendto, [&] { return ::sendto(ends[0], &byte, 1, MSG_NOSIGNAL, nullptr, 0); }},
-        {Call::recvfrom, [&] { return ::recvfrom(ends[1], &byte, 1, 0, nullptr, nullptr); }},
-        {Call::poll, [] { return ::poll(nullptr, 0, 0); }},
+        {Call::accept,
+         [&] {
+             return ::accept4(ends[0], nullptr, nullptr, 0);
+         }},
+        {Call::socket,
+         [] {
+             return ::close(::socket(AF_INET, SOCK_STREAM, 0));
+         }},
+        {Call::connect,
+         [&] {
+             return ::connect(ends[0], nullptr, 0);
+         }},
+        {Call::bind,
+         [&] {
+             return ::bind(ends[0], nullptr, 0);
+         }},
+        {Call::listen,
+         [&] {
+             return ::listen(ends[0], 1);
+         }},
+        {Call::send,
+         [&] {
+             return ::send(ends[0], &byte, 1, MSG_NOSIGNAL);
+         }},
+        {Call::recv,
+         [&] {
+             return ::recv(ends[1], &byte, 1, 0);
+         }},
+        {Call::sendto,
+         [&] {
+             return ::sendto(ends[0], &byte, 1, MSG_NOSIGNAL, nullptr, 0);
+         }},
+        {Call::recvfrom,
+         [&] {
+             return ::recvfrom(ends[1], &byte, 1, 0, nullptr, nullptr);
+         }},
+        {Call::poll,
+         [] {
+             return ::poll(nullptr, 0, 0);
+         }},
         {Call::signalfd,
          [] {
              sigset_t none;
              sigemptyset(&none);
              return ::close(::signalfd(-1, &none, SFD_CLOEXEC));
          }},
-        {Call::open, [&] { return ::close(::open(path.c_str(), O_RDONLY)); }},
-        {Call::write, [&] { return ::write(file, &byte, 1); }},
-        {Call::fsync, [&] { return ::fsync(file); }},
-        {Call::rename, [&] { return ::rename(path.c_str(), path.c_str()); }},
+        {Call::open,
+         [&] {
+             return ::close(::open(path.c_str(), O_RDONLY));
+         }},
+        {Call::write,
+         [&] {
+             return ::write(file, &byte, 1);
+         }},
+        {Call::fsync,
+         [&] {
+             return ::fsync(file);
+         }},
+        {Call::rename,
+         [&] {
+             return ::rename(path.c_str(), path.c_str());
+         }},
     };
     ASSERT_EQ(std::size(calls), kCalls);
     for (const auto& [call, make] : calls) {
         const char* const name = kCallNames[static_cast<std::size_t>(call)];
         const auto failed = control.of(call).failed.load();
         control.fail(call, ENOBUFS, 1000, 2);
-        for (int i = 0; i < 2; ++i) (void)make();
+        for (int i = 0; i < 2; ++i)
+            (void)make();
         EXPECT_EQ(control.of(call).failed, failed + 2) << name;
         errno = 0;
         (void)make();
@@ -103,7 +146,8 @@
         control.wall_offset_us = seconds * std::int64_t{1'000'000};
         const auto stepped = std::chrono::system_clock::now() - wall;
         EXPECT_NEAR(std::chrono::duration<double>(stepped).count(), seconds, 60);
-        EXPECT_NEAR(static_cast<double>(::time(nullptr) - std::chrono::system_clock::to_time_t(wall)), seconds, 60);
+        EXPECT_NEAR(static_cast<double>(::time(nullptr) - std::chrono::system_clock::to_time_t(wall)),
+                    seconds, 60);
         EXPECT_LT(std::chrono::steady_clock::now() - monotonic, std::chrono::seconds(60));
     }
 }
--- a/tests/front/ledger_test.cpp
+++ b/tests/front/ledger_test.cpp
@@ -22,7 +22,9 @@
         std::filesystem::remove_all(folder);
         std::filesystem::create_directories(folder);
     }
-    ~LedgerTest() override { std::filesystem::remove_all(folder); }
+    ~LedgerTest() override {
+        std::filesystem::remove_all(folder);
+    }
 
     void keep(Whole& w, int life) {
         store::WriterSettings s;
@@ -43,15 +45,19 @@
         Settlement s;
         store::Books books;
         const std::string file = folder + "/books-" + std::to_string(++books_);
-        if (auto f = books.open(file)) ADD_FAILURE() << f.text;
+        if (auto f = books.open(file))
+            ADD_FAILURE() << f.text;
         auto ledger = books.collect_ledger(folder + "/front.ledger");
-        if (!ledger) ADD_FAILURE() << ledger.error();
+        if (!ledger)
+            ADD_FAILURE() << ledger.error();
         std::istringstream lines(events);
         auto journal = books.collect_journal("events", lines);
-        if (!journal) ADD_FAILURE() << journal.error();
+        if (!journal)
+            ADD_FAILURE() << journal.error();
         s.ledger = *ledger, s.journal = *journal;
         std::map<std::string, decide::LifeRecord> lives;
-        if (auto f = books.lives(lives)) ADD_FAILURE() << f.text;
+        if (auto f = books.lives(lives))
+            ADD_FAILURE() << f.text;
         const auto count = [&](const decide::Settled& done) {
             ++s.findings[done.finding];
             s.work[done.waste] += done.work;
@@ -64,20 +70,26 @@
         };
         const auto f = books.each(
             [&](const store::Entry& e) {
-                if (!e.whole) return alone(e.logged[0][0]);
+                if (!e.whole)
+                    return alone(e.logged[0][0]);
                 s.by_id[e.whole->request.id] = *e.whole;
                 for (std::size_t i = 0; i < e.logged.size(); ++i)
                     count(decide::settle(e.whole->request, e.whole->attempts[i], e.logged[i]));
-                for (const auto& q : e.alone) alone(q);
+                for (const auto& q : e.alone)
+                    alone(q);
             },
-            [&](std::string text) { s.troubles.push_back(std::move(text)); });
-        if (f) ADD_FAILURE() << f.text;
+            [&](std::string text) {
+                s.troubles.push_back(std::move(text));
+            });
+        if (f)
+            ADD_FAILURE() << f.text;
         return s;
     }
     static Micros logged(const std::string& events) {
         std::istringstream lines(events);
         Micros all = 0;
-        for (std::string line; std::getline(lines, line);) all += statement::read_completed(line)->cpu;
+        for (std::string line; std::getline(lines, line);)
+            all += statement::read_completed(line)->cpu;
         return all;
     }
     std::string folder = ::testing::TempDir() + "front-ledger-" + std::to_string(::getpid());
@@ -96,7 +108,8 @@
     faults.fast_errors = 0.1, faults.answer_lost = 0.1, faults.busy = 0.1, faults.lost_resets = true;
     std::vector<Asked*> all;
     for (int life = 1; life <= 3; ++life) {
-        for (std::size_t i = 0; i < 3; ++i) w.engine(i).set(faults);
+        for (std::size_t i = 0; i < 3; ++i)
+            w.engine(i).set(faults);
         for (int i = 0; i < 60; ++i) {
             const char* source = std::array{"test", "unsafe", "long", "keyed"}[random.below(4)];
             const int n = static_cast<int>(all.size());
@@ -106,13 +119,17 @@
                        source, "", "key=k" + std::to_string(n) + ",team=t" + std::to_string(n % 3)));
             if (random.chance(0.15)) {
                 const Micros until = w.loop.now() + static_cast<Micros>(random.below(20)) * kMillisecond;
-                (void)w.until([&] { return w.loop.now() >= until; });
+                (void)w.until([&] {
+                    return w.loop.now() >= until;
+                });
                 all.back()->client->cancel();
             }
             w.loop.turn(kMillisecond);
         }
         const Micros on = w.loop.now() + 300 * kMillisecond;
-        (void)w.until([&] { return w.loop.now() >= on; });
+        (void)w.until([&] {
+            return w.loop.now() >= on;
+        });
         if (life < 3) {  // a kill: what waits is not written, and the next life begins on the same file
             auto killed = std::move(writer);
             keep(w, life + 1);
@@ -120,7 +137,8 @@
             killed.reset();
         }
     }
-    for (std::size_t i = 0; i < 3; ++i) w.engine(i).set({});
+    for (std::size_t i = 0; i < 3; ++i)
+        w.engine(i).set({});
     ASSERT_TRUE(w.until([&] {
         return w.front().statements() == 0 &&
                w.engine(0).machine().jobs() + w.engine(1).machine().jobs() + w.engine(2).machine().jobs() ==
@@ -156,10 +174,16 @@
     keep(w, 1);
     w.restart();
     auto& a = w.ask("SELECT 1 /* gt: work_ms=600 mem_mb=4000 rows=1 */", "long");
-    ASSERT_TRUE(w.until([&] { return w.count("spilled") > 0; }));
+    ASSERT_TRUE(w.until([&] {
+        return w.count("spilled") > 0;
+    }));
     a.client->cancel();
-    ASSERT_TRUE(w.until([&] { return !w.events.empty(); }));
-    ASSERT_TRUE(w.until([&] { return w.front().statements() == 0; }));
+    ASSERT_TRUE(w.until([&] {
+        return !w.events.empty();
+    }));
+    ASSERT_TRUE(w.until([&] {
+        return w.front().statements() == 0;
+    }));
     writer->finish(w.loop.now(), w.loop.wall());
     const auto s = settle(w.events);
     ASSERT_EQ(s.by_id.size(), 1u);
@@ -178,7 +202,9 @@
     w.restart();
     auto& a =
         w.ask("SELECT 1 /* gt: work_ms=5 */", "test", "", "gatetiller-attempt=0000000000000099.7.0,x=y");
-    ASSERT_TRUE(w.until([&] { return a.ended && w.front().statements() == 0; }));
+    ASSERT_TRUE(w.until([&] {
+        return a.ended && w.front().statements() == 0;
+    }));
     writer->finish(w.loop.now(), w.loop.wall());
     const auto s = settle(w.events);
     EXPECT_EQ(s.findings, (std::map<Finding, int>{{Finding::agreed, 1}}));
@@ -206,20 +232,27 @@
     w.restart();
     const auto served = [&](const char* tag) {
         auto& a = w.ask("SELECT 1 /* gt: work_ms=80 */", "test", "", tag);
-        EXPECT_TRUE(w.until([&] { return a.ended; }));
+        EXPECT_TRUE(w.until([&] {
+            return a.ended;
+        }));
         return a.result.how == statement::ClientResult::How::answered && a.error().empty();
     };
     int taken = 0;
-    while (taken < 10 && served("team=a")) ++taken;
+    while (taken < 10 && served("team=a"))
+        ++taken;
     EXPECT_EQ(taken, 3);                           // 240 ms of the 200
     EXPECT_EQ(w.finished.back().tenant, "spent");  // over the soft one before
     EXPECT_TRUE(served("team=b"));
-    ASSERT_TRUE(w.until([&] { return writer->status().waiting == 0 && w.front().statements() == 0; }));
+    ASSERT_TRUE(w.until([&] {
+        return writer->status().waiting == 0 && w.front().statements() == 0;
+    }));
     auto killed = std::move(writer);
     with_past(2);
     w.restart();
     killed.reset();
-    ASSERT_TRUE(w.until([&] { return writer->status().batches > 1; }));
+    ASSERT_TRUE(w.until([&] {
+        return writer->status().batches > 1;
+    }));
     EXPECT_FALSE(served("team=a"));
     EXPECT_TRUE(served("team=b"));
     w.expect_rules_kept();
@@ -235,7 +268,9 @@
     w.ledger = &broken;
     w.restart();
     auto& a = w.ask("SELECT 1 /* gt: work_ms=5 */");
-    ASSERT_TRUE(w.until([&] { return a.ended && w.front().statements() == 0; }));
+    ASSERT_TRUE(w.until([&] {
+        return a.ended && w.front().statements() == 0;
+    }));
     EXPECT_TRUE(a.error().empty()) << a.error();
     EXPECT_NE(w.exchange("GET", "/v1/status").response.body.find("\"ledger\":{\"state\":\"no access\""),
               std::string::npos);
--- a/tests/front/whole.hpp
+++ b/tests/front/whole.hpp
@@ -26,21 +26,33 @@
     statement::ClientResult result;
     std::string trace;
     bool taken = false;
-    std::string error() const { return result.last.error ? result.last.error->name : ""; }
+    std::string error() const {
+        return result.last.error ? result.last.error->name : "";
+    }
 };
 
 // The real loop with a wall clock that a test sets.
 class SteppedLoop final : public net::Loop {
 public:
     explicit SteppedLoop(net::Loop& below) : below_(below) {}
-    Micros now() const override { return below_.now(); }
-    Micros unseen() const override { return below_.unseen(); }
-    Micros wall() const override { return below_.wall() + step; }
+    Micros now() const override {
+        return below_.now();
+    }
+    Micros unseen() const override {
+        return below_.unseen();
+    }
+    Micros wall() const override {
+        return below_.wall() + step;
+    }
     net::TimerId after(Micros delay, std::function<void()> call) override {
         return below_.after(delay, std::move(call));
     }
-    void cancel(net::TimerId timer) override { below_.cancel(timer); }
-    std::size_t timers() const override { return below_.timers(); }
+    void cancel(net::TimerId timer) override {
+        below_.cancel(timer);
+    }
+    std::size_t timers() const override {
+        return below_.timers();
+    }
     Result<std::unique_ptr<net::Listener>> listen(
         const net::Address& at, std::function<void(std::unique_ptr<net::Stream>)> accepted) override {
         return below_.listen(at, std::move(accepted));
@@ -66,17 +78,20 @@
     // `break_it` changes what the front is told, against what the rules are judged by.
     explicit Whole(int engines, const std::string& more = "", engine::MachineSettings machine = {},
                    const std::function<void(config::FrontSettings&)>& break_it = nullptr) {
-        for (int i = 0; i < engines; ++i) add_engine(machine);
+        for (int i = 0; i < engines; ++i)
+            add_engine(machine);
         std::string list;
         for (std::size_t i = 0; i < engines_.size(); ++i)
             list += "e" + std::to_string(i) + ": g.engine('" + addresses_[i].text() + "'), ";
         const std::string text = "local g = import 'gatetiller.libsonnet';\ng.front('tested') {\n" +
                                  std::string(kClasses) + "engines: {" + list + "},\n} + {\n" + more + "\n}";
         auto loaded = config::load_front_text("test", text);
-        if (!loaded) throw std::runtime_error(loaded.error());
+        if (!loaded)
+            throw std::runtime_error(loaded.error());
         settings = loaded->front;
         truth_ = settings.module;
-        if (break_it) break_it(settings);
+        if (break_it)
+            break_it(settings);
         front_ = make_front();
     }
     static constexpr const char* kClasses = R"(
@@ -101,22 +116,32 @@
         s.long_poll = 50 * kMillisecond, s.abandoned_after = 2 * kSecondMicros;
         s.seed = engines_.size() + 1;
         engines_.push_back(std::make_unique<engine::Service>(
-            loop, s, [this] { return random_.hex(32); },
+            loop, s,
+            [this] {
+                return random_.hex(32);
+            },
             [this, name = s.name](const engine::Entry& e) {
                 journal.push_back(e);
                 records.engines.push_back({name, e});
             },
-            [this](const statement::Completed& c) { events += statement::write_completed(c) + "\n"; }));
+            [this](const statement::Completed& c) {
+                events += statement::write_completed(c) + "\n";
+            }));
         addresses_.push_back(*engines_.back()->start());
     }
     std::unique_ptr<front::Front> make_front() {
-        auto f = std::make_unique<front::Front>(
-            tap_, settings,
-            front::Deps{[this] { return random_.hex(32); }, 7, [](const std::string&) {},
-                        [this](const front::Finished& done) { finished.push_back(done); }, drop_event,
-                        ledger});
+        auto f = std::make_unique<front::Front>(tap_, settings,
+                                                front::Deps{[this] {
+                                                                return random_.hex(32);
+                                                            },
+                                                            7, [](const std::string&) {},
+                                                            [this](const front::Finished& done) {
+                                                                finished.push_back(done);
+                                                            },
+                                                            drop_event, ledger});
         auto bound = f->start();
-        if (!bound) throw std::runtime_error(bound.error());
+        if (!bound)
+            throw std::runtime_error(bound.error());
         settings.listen = {bound->front()};
         http = std::make_unique<http::Client>(loop, bound->front(),
                                               http::ClientOptions{.connect_time_out = kSecondMicros});
@@ -139,13 +164,18 @@
         note("asked", "");
         lab::ClientRecord& r = records.clients.back();
         for (const auto& c : truth_.classes)
-            if (source.starts_with(c.name)) r.cls = c.name, r.patience = c.deadline, r.aim = c.aim;
-        if (r.cls.empty()) r.cls = "short", r.patience = truth_.classes.back().deadline;
-        if (tag.starts_with("key=")) r.key = tag.substr(4);
+            if (source.starts_with(c.name))
+                r.cls = c.name, r.patience = c.deadline, r.aim = c.aim;
+        if (r.cls.empty())
+            r.cls = "short", r.patience = truth_.classes.back().deadline;
+        if (tag.starts_with("key="))
+            r.key = tag.substr(4);
         a.client->start(headers(source, a.trace, tag), sql,
                         {[&a, note](const statement::Document& d) {
-                             if (!std::exchange(a.taken, true)) note("taken", "");
-                             if (d.has_rows()) a.pages.push_back(d.data);
+                             if (!std::exchange(a.taken, true))
+                                 note("taken", "");
+                             if (d.has_rows())
+                                 a.pages.push_back(d.data);
                              a.finals += d.final();
                          },
                          [&a, note](const statement::ClientResult& done) {
@@ -183,8 +213,10 @@
         http::Headers h;
         h.add("X-Trino-User", "tester");
         h.add("X-Trino-Source", source);
-        if (!trace.empty()) h.add("X-Trino-Trace-Token", trace);
-        if (!tag.empty()) h.add("X-Trino-Client-Tags", tag);
+        if (!trace.empty())
+            h.add("X-Trino-Trace-Token", trace);
+        if (!tag.empty())
+            h.add("X-Trino-Client-Tags", tag);
         return h;
     }
     template <typename Condition>
@@ -196,24 +228,35 @@
                           http::Headers h = headers("test")) {
         http::Answer got;
         bool done = false;
-        auto call = http->send({method, target, 1, std::move(h), body, {}}, kLimit,
-                               [&](http::Answer a) { got = std::move(a), done = true; });
-        EXPECT_TRUE(until([&] { return done; }));
+        auto call = http->send({method, target, 1, std::move(h), body, {}}, kLimit, [&](http::Answer a) {
+            got = std::move(a), done = true;
+        });
+        EXPECT_TRUE(until([&] {
+            return done;
+        }));
         return got;
     }
     bool all_engines_on() const {
         const auto& all = front_->engines().all();
-        return std::all_of(all.begin(), all.end(),
-                           [](const auto& e) { return e.second->watch.entry().state == EngineState::on; });
+        return std::all_of(all.begin(), all.end(), [](const auto& e) {
+            return e.second->watch.entry().state == EngineState::on;
+        });
     }
     int count(const std::string& event, const std::string& trace = "") const {
         int n = 0;
-        for (const auto& e : journal) n += e.event == event && (trace.empty() || e.trace == trace);
+        for (const auto& e : journal)
+            n += e.event == event && (trace.empty() || e.trace == trace);
         return n;
     }
-    const net::Address& address(std::size_t i) const { return addresses_[i]; }
-    engine::Service& engine(std::size_t i) { return *engines_[i]; }
-    front::Front& front() { return *front_; }
+    const net::Address& address(std::size_t i) const {
+        return addresses_[i];
+    }
+    engine::Service& engine(std::size_t i) {
+        return *engines_[i];
+    }
+    front::Front& front() {
+        return *front_;
+    }
 
     net::PollLoop loop;
     SteppedLoop clock{loop};
@@ -228,8 +271,9 @@
     std::unique_ptr<http::Client> http;
 
 private:
-    net::TapLoop tap_{
-        clock, [this](const net::TapEvent& e) { records.sockets.push_back(lab::record_of("tested", e)); }};
+    net::TapLoop tap_{clock, [this](const net::TapEvent& e) {
+                          records.sockets.push_back(lab::record_of("tested", e));
+                      }};
     Settings truth_;
     Random random_{42};
     std::vector<net::Address> addresses_;
--- a/tests/fuzz/completed_fuzz.cpp
+++ b/tests/fuzz/completed_fuzz.cpp
@@ -10,12 +10,15 @@
 extern "C" int LLVMFuzzerTestOneInput(const unsigned char* data, std::size_t size) {
     const std::string_view text(reinterpret_cast<const char*>(data), size);
     if (const auto name = decide::attempt_of_tag(text))
-        if (!(decide::attempt_of_tag(decide::tag_of(*name)) == name)) std::abort();
+        if (!(decide::attempt_of_tag(decide::tag_of(*name)) == name))
+            std::abort();
     const auto first = statement::read_completed(text);
-    if (!first) return 0;
+    if (!first)
+        return 0;
     const std::string written = statement::write_completed(*first);
     const auto again = statement::read_completed(written);
-    if (!again || written.find('\n') != std::string::npos) std::abort();
+    if (!again || written.find('\n') != std::string::npos)
+        std::abort();
     if (again->tags.size() != first->tags.size() || again->spilled_bytes != first->spilled_bytes ||
         again->peak_memory_bytes != first->peak_memory_bytes || again->created != first->created)
         std::abort();
--- a/tests/fuzz/http_fuzz.cpp
+++ b/tests/fuzz/http_fuzz.cpp
@@ -16,7 +16,8 @@
         const std::size_t n = std::min(piece, text.size());
         in.append(text.substr(0, n));
         text.remove_prefix(n);
-        if (p.feed(in)) break;
+        if (p.feed(in))
+            break;
     }
     return p;
 }
@@ -27,13 +28,17 @@
     const std::string_view text(reinterpret_cast<const char*>(data), size);
     for (const auto kind : {Parser::Kind::request, Parser::Kind::response}) {
         Parser whole = run(kind, text, size + 1), bytes = run(kind, text, 1);
-        if (whole.state() != bytes.state()) std::abort();
-        if (whole.failed() && whole.error_status() != bytes.error_status()) std::abort();
-        if (!whole.done()) continue;
+        if (whole.state() != bytes.state())
+            std::abort();
+        if (whole.failed() && whole.error_status() != bytes.error_status())
+            std::abort();
+        if (!whole.done())
+            continue;
         if (!(whole.request().headers == bytes.request().headers) ||
             whole.request().body != bytes.request().body)
             std::abort();
-        if (kind != Parser::Kind::request) continue;
+        if (kind != Parser::Kind::request)
+            continue;
         auto request = whole.request();
         gatetiller::http::Headers kept;
         for (const auto& [key, value] : request.headers)
--- a/tests/fuzz/platform_fuzz.cpp
+++ b/tests/fuzz/platform_fuzz.cpp
@@ -9,12 +9,14 @@
 using namespace gatetiller;
 
 extern "C" int LLVMFuzzerTestOneInput(const unsigned char* data, std::size_t size) {
-    if (size == 0) return 0;
+    if (size == 0)
+        return 0;
     const std::string_view bytes(reinterpret_cast<const char*>(data) + 1, size - 1);
     switch (data[0] % 3) {
         case 0: {
             const auto call = thrift::read_call(bytes);
-            if (call && call->body.size() + call->method.size() > bytes.size()) std::abort();
+            if (call && call->body.size() + call->method.size() > bytes.size())
+                std::abort();
             break;
         }
         case 1: {
--- a/tests/http/parser_test.cpp
+++ b/tests/http/parser_test.cpp
@@ -33,11 +33,13 @@
     std::size_t at = 0;
     while (at < text.size()) {
         std::size_t n = most == 0 ? text.size() : most;
-        if (random) n = 1 + random->below(most);
+        if (random)
+            n = 1 + random->below(most);
         n = std::min(n, text.size() - at);
         in.append(std::string_view(text).substr(at, n));
         at += n;
-        if (p.feed(in)) break;
+        if (p.feed(in))
+            break;
     }
     Outcome o{p.state(),     p.error_status(), p.request(), p.response(), in.size() + text.size() - at,
               p.keep_alive()};
@@ -73,12 +75,20 @@
         for (std::uint64_t changes = random.below(4); changes > 0; --changes) {
             const std::size_t at = random.below(text.size());
             switch (random.below(4)) {
-                case 0: text[at] = kBytes[random.below(kBytes.size())]; break;
-                case 1: text.erase(at, 1 + random.below(5)); break;
-                case 2: text.insert(at, 1 + random.below(3), kBytes[random.below(kBytes.size())]); break;
-                default: text.insert(at, text.substr(at, random.below(80)));
+                case 0:
+                    text[at] = kBytes[random.below(kBytes.size())];
+                    break;
+                case 1:
+                    text.erase(at, 1 + random.below(5));
+                    break;
+                case 2:
+                    text.insert(at, 1 + random.below(3), kBytes[random.below(kBytes.size())]);
+                    break;
+                default:
+                    text.insert(at, text.substr(at, random.below(80)));
             }
-            if (text.empty()) text = " ";
+            if (text.empty())
+                text = " ";
         }
         const auto whole = parse(kind, text, 0);
         EXPECT_EQ(whole, parse(kind, text, 1)) << "seed " << seed << ": " << text;
--- a/tests/http/server_test.cpp
+++ b/tests/http/server_test.cpp
@@ -13,11 +13,16 @@
 // A peer that says exactly what it is told and keeps all that it hears.
 struct Raw final : net::StreamEvents {
     Raw(net::Loop& loop, const net::Address& to) : stream(loop.connect(to, *this, kSecondMicros)) {}
-    void on_data(Buffer& in) override { heard += in.view(), in.clear(); }
-    void on_closed(net::Closed how) override { closed = how; }
+    void on_data(Buffer& in) override {
+        heard += in.view(), in.clear();
+    }
+    void on_closed(net::Closed how) override {
+        closed = how;
+    }
     std::size_t count(const std::string& what) const {
         std::size_t n = 0;
-        for (std::size_t at = 0; (at = heard.find(what, at)) != std::string::npos; ++at) ++n;
+        for (std::size_t at = 0; (at = heard.find(what, at)) != std::string::npos; ++at)
+            ++n;
         return n;
     }
     std::string heard;
@@ -31,7 +36,8 @@
         server = std::make_unique<Server>(loop, options, [this](Request& r, Server::Reply reply) {
             targets.push_back(r.target);
             last = r;
-            if (r.target == "/later") return void(later.push_back(std::move(reply)));
+            if (r.target == "/later")
+                return void(later.push_back(std::move(reply)));
             reply.send({200, {}, "you said " + r.target + " " + std::to_string(r.body.size())});
         });
         address = *server->listen(*net::Address::parse(at));
@@ -54,10 +60,14 @@
     raw.stream->send(
         "GET /later HTTP/1.1\r\nHost: a\r\n\r\nGET /2 HTTP/1.1\r\nHost: a\r\n\r\nHEAD /3 HTTP/1.1\r\nHost: "
         "a\r\nConnection: close\r\n\r\n");
-    ASSERT_TRUE(until([&] { return later.size() == 1; }));
+    ASSERT_TRUE(until([&] {
+        return later.size() == 1;
+    }));
     EXPECT_EQ(targets, std::vector<std::string>{"/later"});
     later[0].send({200, {}, "first"});
-    ASSERT_TRUE(until([&] { return raw.closed.has_value(); }));
+    ASSERT_TRUE(until([&] {
+        return raw.closed.has_value();
+    }));
     EXPECT_LT(raw.heard.find("first"), raw.heard.find("/2"));
     EXPECT_EQ(raw.count("HTTP/1.1 200"), 3u);
     EXPECT_EQ(raw.heard.find("you said /3"), std::string::npos);  // HEAD has no body
@@ -67,9 +77,13 @@
     start();
     Raw raw(loop, address);
     raw.stream->send("POST /x HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 5\r\n\r\n");
-    ASSERT_TRUE(until([&] { return raw.count("100 Continue") == 1; }));
+    ASSERT_TRUE(until([&] {
+        return raw.count("100 Continue") == 1;
+    }));
     raw.stream->send("hello");
-    ASSERT_TRUE(until([&] { return raw.count("you said /x 5") == 1; }));
+    ASSERT_TRUE(until([&] {
+        return raw.count("you said /x 5") == 1;
+    }));
 }
 
 TEST_F(ServerTest, APostOfAByteAtATimeArrivesWholeAndOneThatIsTooSlowIsEnded) {
@@ -80,11 +94,15 @@
         quick.stream->send(std::string(1, c));
         loop.turn(kMillisecond);
     }
-    ASSERT_TRUE(until([&] { return quick.count("you said /slow 3") == 1; }));
+    ASSERT_TRUE(until([&] {
+        return quick.count("you said /slow 3") == 1;
+    }));
     Raw header(loop, address), body(loop, address);
     header.stream->send("POST /never HTT");
     body.stream->send("POST /never HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\na");
-    ASSERT_TRUE(until([&] { return header.closed && body.closed; }));
+    ASSERT_TRUE(until([&] {
+        return header.closed && body.closed;
+    }));
     EXPECT_EQ(header.count("408"), 1u);
     EXPECT_EQ(body.count("408"), 1u);
     EXPECT_EQ(server->counts().header_timed_out, 1u);
@@ -96,26 +114,37 @@
     Raw bad(loop, address), idle(loop, address), used(loop, address);
     bad.stream->send("GET /\n\n");
     used.stream->send("GET /1 HTTP/1.1\r\nHost: a\r\n\r\n");
-    ASSERT_TRUE(until([&] { return server->counts().accepted == 3; }));
-    ASSERT_TRUE(until([&] { return bad.closed && idle.closed && used.closed; }));
+    ASSERT_TRUE(until([&] {
+        return server->counts().accepted == 3;
+    }));
+    ASSERT_TRUE(until([&] {
+        return bad.closed && idle.closed && used.closed;
+    }));
     EXPECT_EQ(bad.count("400 Bad Request"), 1u);
     EXPECT_EQ(used.count("200 OK"), 1u);
     EXPECT_EQ(server->counts().malformed, 1u);
     EXPECT_EQ(server->counts().idle_timed_out, 2u);
     std::vector<std::unique_ptr<Raw>> crowd;
-    for (int i = 0; i < 5; ++i) crowd.push_back(std::make_unique<Raw>(loop, address));
-    ASSERT_TRUE(until([&] { return server->counts().over_limit == 2; }));
+    for (int i = 0; i < 5; ++i)
+        crowd.push_back(std::make_unique<Raw>(loop, address));
+    ASSERT_TRUE(until([&] {
+        return server->counts().over_limit == 2;
+    }));
 }
 
 TEST_F(ServerTest, AClientTellsExactlyHowFarACallCame) {
     start();
     Client client(loop, address, {});
     std::vector<Answer> answers;
-    const auto keep = [&](Answer a) { answers.push_back(std::move(a)); };
+    const auto keep = [&](Answer a) {
+        answers.push_back(std::move(a));
+    };
     const auto call = [&](Client& c, const std::string& target, Micros time_out) {
         answers.clear();
         auto active = c.send({"GET", target, 1, {}, {}, {}}, time_out, keep);
-        EXPECT_TRUE(until([&] { return !answers.empty(); }));
+        EXPECT_TRUE(until([&] {
+            return !answers.empty();
+        }));
         return answers.at(0).reached;
     };
     EXPECT_EQ(call(client, "/1", 0), Reached::answered);
@@ -124,9 +153,13 @@
     EXPECT_EQ(call(client, "/later", 50 * kMillisecond), Reached::late);
     answers.clear();
     auto broken = client.send({"GET", "/later", 1, {}, {}, {}}, 0, keep);
-    ASSERT_TRUE(until([&] { return later.size() == 2; }));
+    ASSERT_TRUE(until([&] {
+        return later.size() == 2;
+    }));
     later.back().break_connection();
-    ASSERT_TRUE(until([&] { return !answers.empty(); }));
+    ASSERT_TRUE(until([&] {
+        return !answers.empty();
+    }));
     EXPECT_EQ(answers[0].reached, Reached::broken);
     server->stop_listening();
     server->break_all();
@@ -137,18 +170,34 @@
     start();
     Client client(loop, address, {});
     int done = 0;
-    auto first = client.send({"GET", "/1", 1, {}, {}, {}}, 0, [&](const Answer&) { ++done; });
-    ASSERT_TRUE(until([&] { return done == 1; }));
+    auto first = client.send({"GET", "/1", 1, {}, {}, {}}, 0, [&](const Answer&) {
+        ++done;
+    });
+    ASSERT_TRUE(until([&] {
+        return done == 1;
+    }));
     // Its connection serves another call by now: an old handle must not end that.
-    auto second = client.send({"GET", "/later", 1, {}, {}, {}}, 0, [&](const Answer&) { ++done; });
+    auto second = client.send({"GET", "/later", 1, {}, {}, {}}, 0, [&](const Answer&) {
+        ++done;
+    });
     first.cancel();
-    ASSERT_TRUE(until([&] { return later.size() == 1; }));
+    ASSERT_TRUE(until([&] {
+        return later.size() == 1;
+    }));
     later[0].send({200, {}, ""});
-    ASSERT_TRUE(until([&] { return done == 2; }));
-    auto third = client.send({"GET", "/later", 1, {}, {}, {}}, 0, [&](const Answer&) { ++done; });
-    ASSERT_TRUE(until([&] { return later.size() == 2; }));
+    ASSERT_TRUE(until([&] {
+        return done == 2;
+    }));
+    auto third = client.send({"GET", "/later", 1, {}, {}, {}}, 0, [&](const Answer&) {
+        ++done;
+    });
+    ASSERT_TRUE(until([&] {
+        return later.size() == 2;
+    }));
     third.cancel();
-    ASSERT_TRUE(until([&] { return server->connections() == 0; }));
+    ASSERT_TRUE(until([&] {
+        return server->connections() == 0;
+    }));
     EXPECT_EQ(done, 2);
 }
 
@@ -158,9 +207,12 @@
         start({}, at.c_str());
         Client client(loop, address, {});
         bool fine = false;
-        auto call = client.send({"GET", "/", 1, {}, {}, {}}, kSecondMicros,
-                                [&](const Answer& a) { fine = a.reached == Reached::answered; });
-        EXPECT_TRUE(until([&] { return fine; })) << at;
+        auto call = client.send({"GET", "/", 1, {}, {}, {}}, kSecondMicros, [&](const Answer& a) {
+            fine = a.reached == Reached::answered;
+        });
+        EXPECT_TRUE(until([&] {
+            return fine;
+        })) << at;
     }
     server.reset();
     EXPECT_NE(::access(path.c_str(), F_OK), 0);  // it cleans up after itself
