--- a/tests/lab/broken_front_test.cpp
+++ b/tests/lab/broken_front_test.cpp
@@ -17,7 +17,9 @@
 }
 
 bool all_ended(Whole& w) {
-    return std::all_of(w.asked.begin(), w.asked.end(), [](const auto& a) { return a->ended; });
+    return std::all_of(w.asked.begin(), w.asked.end(), [](const auto& a) {
+        return a->ended;
+    });
 }
 
 // Runs a scene with a whole front and with a broken one.
@@ -38,14 +40,17 @@
     caught(
         1, 1, "", {},
         [](auto& s) {
-            for (auto& c : s.module.classes) c.deadline = 20 * kSecondMicros, c.late_share = 1;
+            for (auto& c : s.module.classes)
+                c.deadline = 20 * kSecondMicros, c.late_share = 1;
             s.calls.answer_time_out = 20 * kSecondMicros;
         },
         [](Whole& w) {
             w.engine(0).set({.hang = true});
             Asked& a = w.ask("SELECT 1 /* gt: work_ms=10 */", "unsafe");
             const Micros end = w.loop.now() + 5 * kSecondMicros + 20 * kMillisecond;
-            (void)w.until([&] { return a.ended || w.loop.now() >= end; });
+            (void)w.until([&] {
+                return a.ended || w.loop.now() >= end;
+            });
             if (!a.ended)
                 w.records.clients.push_back(
                     {w.loop.now(), "gave_up", a.trace, "tested", "", "", "", 0, 0, ""}),
@@ -57,12 +62,16 @@
     caught(
         2, 2, "", {},
         [](auto& s) {
-            for (auto& c : s.module.classes) c.effect = Effect::repeatable;
+            for (auto& c : s.module.classes)
+                c.effect = Effect::repeatable;
         },
         [](Whole& w) {
-            for (std::size_t i = 0; i < 2; ++i) w.engine(i).set({.fast_errors = 1});
+            for (std::size_t i = 0; i < 2; ++i)
+                w.engine(i).set({.fast_errors = 1});
             w.ask("INSERT 1", "unsafe");
-            ASSERT_TRUE(w.until([&] { return all_ended(w); }));
+            ASSERT_TRUE(w.until([&] {
+                return all_ended(w);
+            }));
         });
 }
 
@@ -77,14 +86,21 @@
                    change->engines[0].state == EngineState::fading;
         };
         w.restart();
-        ASSERT_TRUE(w.until([&] { return w.all_engines_on(); }));
+        ASSERT_TRUE(w.until([&] {
+            return w.all_engines_on();
+        }));
         deaf = !whole;
         w.engine(0).drain();
         // Longer than an engine that turned something away is left alone.
         w.ask("SELECT 1 /* gt: work_ms=1500 */", "long");
-        ASSERT_TRUE(w.until([&] { return all_ended(w); }));
-        for (int i = 0; i < 12; ++i) w.ask("SELECT 1 /* gt: work_ms=5 */");
-        ASSERT_TRUE(w.until([&] { return all_ended(w); }));
+        ASSERT_TRUE(w.until([&] {
+            return all_ended(w);
+        }));
+        for (int i = 0; i < 12; ++i)
+            w.ask("SELECT 1 /* gt: work_ms=5 */");
+        ASSERT_TRUE(w.until([&] {
+            return all_ended(w);
+        }));
         EXPECT_EQ(broken(w).contains(3), !whole);
     }
 }
@@ -95,13 +111,19 @@
     m.fall_for = kSecondMicros;
     caught(
         4, 1, "rules+: { warm_up: '20s', overload_for: '1s' }, kinds+: { std: g.kind(2, '16GiB') }", m,
-        [](auto& s) { s.module.warm_up = 0, s.module.kinds[0].cores = 100; },
+        [](auto& s) {
+            s.module.warm_up = 0, s.module.kinds[0].cores = 100;
+        },
         [](Whole& w) {
             // The engine's uptime is known before the first statement comes.
-            ASSERT_TRUE(w.until(
-                [&] { return w.front().engines().all().begin()->second->watch.entry().came_up > 0; }));
-            for (int i = 0; i < 40; ++i) w.ask("SELECT 1 /* gt: work_ms=100 */");
-            ASSERT_TRUE(w.until([&] { return all_ended(w) || w.count("fallen") > 0; }));
+            ASSERT_TRUE(w.until([&] {
+                return w.front().engines().all().begin()->second->watch.entry().came_up > 0;
+            }));
+            for (int i = 0; i < 40; ++i)
+                w.ask("SELECT 1 /* gt: work_ms=100 */");
+            ASSERT_TRUE(w.until([&] {
+                return all_ended(w) || w.count("fallen") > 0;
+            }));
         });
 }
 
@@ -109,14 +131,19 @@
     caught(
         5, 2, "classes+: { short+: { in_turn: true } }", {},
         [](auto& s) {
-            for (auto& c : s.module.classes) c.in_turn = false;
+            for (auto& c : s.module.classes)
+                c.in_turn = false;
         },
         [](Whole& w) {
             for (int i = 0; i < 4; ++i) {
                 w.ask("SELECT 1 /* gt: work_ms=50 */", "test", "", "key=k");
-                ASSERT_TRUE(w.until([&] { return w.asked.back()->taken; }));
+                ASSERT_TRUE(w.until([&] {
+                    return w.asked.back()->taken;
+                }));
             }
-            ASSERT_TRUE(w.until([&] { return all_ended(w); }));
+            ASSERT_TRUE(w.until([&] {
+                return all_ended(w);
+            }));
         });
 }
 
@@ -127,22 +154,32 @@
         "{ kind: 'other' } }",
         {},
         [](auto& s) {
-            for (auto& c : s.module.classes) c.served_on.reset();
+            for (auto& c : s.module.classes)
+                c.served_on.reset();
         },
         [](Whole& w) {
-            for (int i = 0; i < 12; ++i) w.ask("SELECT 1 /* gt: work_ms=5 */");
-            ASSERT_TRUE(w.until([&] { return all_ended(w); }));
+            for (int i = 0; i < 12; ++i)
+                w.ask("SELECT 1 /* gt: work_ms=5 */");
+            ASSERT_TRUE(w.until([&] {
+                return all_ended(w);
+            }));
         });
 }
 
 TEST(BrokenFront, ThatForgetsItsBudget) {
     caught(
         7, 2, "rules+: { warm_up: '0s', further_attempts: { free: 2, per_request: 0.1, span: '10s' } }", {},
-        [](auto& s) { s.module.extra_free.reset(), s.module.extra_per_request.reset(); },
+        [](auto& s) {
+            s.module.extra_free.reset(), s.module.extra_per_request.reset();
+        },
         [](Whole& w) {
-            for (std::size_t i = 0; i < 2; ++i) w.engine(i).set({.fast_errors = 0.8});
-            for (int i = 0; i < 30; ++i) w.ask("SELECT 1 /* gt: work_ms=5 */");
-            ASSERT_TRUE(w.until([&] { return all_ended(w); }));
+            for (std::size_t i = 0; i < 2; ++i)
+                w.engine(i).set({.fast_errors = 0.8});
+            for (int i = 0; i < 30; ++i)
+                w.ask("SELECT 1 /* gt: work_ms=5 */");
+            ASSERT_TRUE(w.until([&] {
+                return all_ended(w);
+            }));
         });
 }
 
--- a/tests/lab/checker_test.cpp
+++ b/tests/lab/checker_test.cpp
@@ -92,7 +92,8 @@
     std::vector<int> broken() {
         r.sort();
         std::vector<int> rules;
-        for (const auto& v : judge(r).violations) rules.push_back(v.rule);
+        for (const auto& v : judge(r).violations)
+            rules.push_back(v.rule);
         return rules;
     }
     Records r;
@@ -173,15 +174,19 @@
     EXPECT_EQ(list.broken(), Rules{3});
 }
 
-// Whatever became of the answers that would have told it; a process that is held still hears nothing meanwhile.
+// Whatever became of the answers that would have told it; a process that is held still hears nothing
+// meanwhile.
 TEST(Checker, Rule3ADrainCountsAsToldAtTheLatest) {
     const auto told = [](Micros sent, bool held_still) {
         Tape t;
         t.r.lab.push_back({1 * ms, "list_served", "f", "e1=on,e2=on"});
-        if (held_still) t.r.lab.push_back({5 * ms, "front_stopped", "f", ""});
+        if (held_still)
+            t.r.lab.push_back({5 * ms, "front_stopped", "f", ""});
         t.r.lab.push_back({10 * ms, "told_at_latest", "f", "e2=fading"});
-        if (held_still) t.r.lab.push_back({200 * ms, "front_continued", "f", ""});
-        t.taken(sent, "b.0", "short"), t.attempt(sent, "b.0", 2, sent + 10 * ms), t.final(sent + 20 * ms, "b.0");
+        if (held_still)
+            t.r.lab.push_back({200 * ms, "front_continued", "f", ""});
+        t.taken(sent, "b.0", "short"), t.attempt(sent, "b.0", 2, sent + 10 * ms),
+            t.final(sent + 20 * ms, "b.0");
         return t.broken();
     };
     EXPECT_EQ(told(500 * ms, false), Rules{});
@@ -288,8 +293,10 @@
     t.r.facts.classes[0].served_on = {"std"};
     t.r.facts.extra_free = 3, t.r.facts.extra_per_request = 0.5;
     std::string text = line_of(t.r.facts);
-    for (const auto& s : t.r.sockets) text += line_of(s);
-    for (const auto& c : t.r.clients) text += line_of(c);
+    for (const auto& s : t.r.sockets)
+        text += line_of(s);
+    for (const auto& c : t.r.clients)
+        text += line_of(c);
     text += line_of(LabRecord{5, "trouble", "x", "y"}) +
             line_of("e1", engine::Entry{7, "started", "a.0", "i", "f", "u", "s", "t", 1, 2, 3});
     Records back;
@@ -331,7 +338,9 @@
         c.patience = 4 * kSecondMicros;
         r.clients.push_back(c);
     }
-    void asked(const std::string& cls = "safe") { client(0, "asked", cls), client(0, "taken", cls); }
+    void asked(const std::string& cls = "safe") {
+        client(0, "asked", cls), client(0, "taken", cls);
+    }
     void engine(Micros at_ms, const std::string& name, const std::string& event) {
         engine::Entry e;
         e.at = at_ms * kMillisecond, e.event = event, e.trace = "t", e.front = "n";
@@ -345,7 +354,8 @@
     std::vector<int> rules() {
         r.sort();
         std::vector<int> broken;
-        for (const auto& v : judge(r).violations) broken.push_back(v.rule);
+        for (const auto& v : judge(r).violations)
+            broken.push_back(v.rule);
         return broken;
     }
 };
@@ -366,9 +376,15 @@
         doctor(p);
         return p.rules();
     };
-    EXPECT_EQ(broken("safe", [](Peers& p) { p.client(4'070, "gave_up"); }),
+    EXPECT_EQ(broken("safe",
+                     [](Peers& p) {
+                         p.client(4'070, "gave_up");
+                     }),
               std::vector<int>{1});  // never answered
-    EXPECT_EQ(broken("safe", [](Peers& p) { p.client(50, "lost"); }),
+    EXPECT_EQ(broken("safe",
+                     [](Peers& p) {
+                         p.client(50, "lost");
+                     }),
               std::vector<int>{1});  // its connection ended
     EXPECT_EQ(broken("safe",
                      [](Peers& p) {
@@ -420,7 +436,9 @@
                      }),
               std::vector<int>{3});
     EXPECT_EQ(broken("safe",
-                     [](Peers& p) { p.engine(10, "e1", "fallen"), p.client(50, "final", "safe", "failed"); }),
+                     [](Peers& p) {
+                         p.engine(10, "e1", "fallen"), p.client(50, "final", "safe", "failed");
+                     }),
               std::vector<int>{4});
 }
 
--- a/tests/lab/virtual_day_test.cpp
+++ b/tests/lab/virtual_day_test.cpp
@@ -24,8 +24,11 @@
         EXPECT_GT(day->logged, 0);
         EXPECT_GE(day->killed, 10u);
         EXPECT_EQ(day->gaps, day->killed);
-        // What a killed front may lose: a flush of 50 ms, and up to 1 s where nothing came; the stretch stated has a margin.
-        if (!o.clock_steps) { EXPECT_LE(day->longest_gap, 1300 * kMillisecond); }
+        // What a killed front may lose: a flush of 50 ms, and up to 1 s where nothing came; the stretch
+        // stated has a margin.
+        if (!o.clock_steps) {
+            EXPECT_LE(day->longest_gap, 1300 * kMillisecond);
+        }
         for (const auto& v : day->judgement.violations)
             ADD_FAILURE() << "rule " << v.rule << ": " << v.trace << ": " << v.what << "\n" << v.story;
         const auto again = run_virtual_day(o);
@@ -33,7 +36,9 @@
         EXPECT_EQ(again->report, day->report);
         EXPECT_EQ(again->events, day->events);
         o.seed += 100;
-        if (seed == 1) { EXPECT_NE(run_virtual_day(o)->report, day->report); }
+        if (seed == 1) {
+            EXPECT_NE(run_virtual_day(o)->report, day->report);
+        }
     }
     std::filesystem::remove_all(folder);
 }
--- a/tests/net/loop_test.cpp
+++ b/tests/net/loop_test.cpp
@@ -10,12 +10,19 @@
 namespace {
 
 struct End final : StreamEvents {
-    void on_connected() override { connected = true; }
+    void on_connected() override {
+        connected = true;
+    }
     void on_data(Buffer& in) override {
-        if (take) got += in.size(), in.take(in.size());
+        if (take)
+            got += in.size(), in.take(in.size());
+    }
+    void on_sent() override {
+        ++sent;
+    }
+    void on_closed(Closed how) override {
+        closed = how;
     }
-    void on_sent() override { ++sent; }
-    void on_closed(Closed how) override { closed = how; }
     bool connected = false, take = true;
     std::size_t got = 0;
     int sent = 0;
@@ -36,7 +43,9 @@
         });
         listener = std::move(*listening);
         client.stream = loop.connect(listener->address(), client, kSecondMicros);
-        ASSERT_TRUE(until([&] { return client.connected && server.stream; }));
+        ASSERT_TRUE(until([&] {
+            return client.connected && server.stream;
+        }));
     }
     PollLoop loop{{.input = 64 * 1024}};
     End client, server;
@@ -48,13 +57,16 @@
     server.take = false;
     const std::size_t size = 32 << 20;
     client.stream->send(std::string(size, 'x'));
-    for (int i = 0; i < 200; ++i) loop.turn(kMillisecond);
+    for (int i = 0; i < 200; ++i)
+        loop.turn(kMillisecond);
     EXPECT_GT(client.stream->unsent(),
               size / 2);  // the kernel's buffers are full, and this side holds the rest
     EXPECT_EQ(client.sent, 0);
     server.take = true;
     server.stream->offer();
-    ASSERT_TRUE(until([&] { return server.got == size; }));
+    ASSERT_TRUE(until([&] {
+        return server.got == size;
+    }));
     EXPECT_EQ(client.sent, 1);
     EXPECT_EQ(client.stream->unsent(), 0u);
 }
@@ -63,12 +75,16 @@
     join();
     server.stream->read(false);
     client.stream->send("last words");
-    for (int i = 0; i < 20; ++i) loop.turn(kMillisecond);
+    for (int i = 0; i < 20; ++i)
+        loop.turn(kMillisecond);
     client.stream.reset();
-    for (int i = 0; i < 50; ++i) loop.turn(kMillisecond);
+    for (int i = 0; i < 50; ++i)
+        loop.turn(kMillisecond);
     EXPECT_EQ(server.got, 0u);
     server.stream->read(true);
-    ASSERT_TRUE(until([&] { return server.closed.has_value(); }));
+    ASSERT_TRUE(until([&] {
+        return server.closed.has_value();
+    }));
     EXPECT_EQ(server.got, 10u);
 }
 
@@ -79,22 +95,34 @@
     End refused;
     refused.stream = loop.connect(gone, refused, kSecondMicros);
     EXPECT_FALSE(refused.closed);
-    ASSERT_TRUE(until([&] { return refused.closed.has_value(); }));
+    ASSERT_TRUE(until([&] {
+        return refused.closed.has_value();
+    }));
     EXPECT_EQ(*refused.closed, Closed::refused);
 }
 
 TEST_F(LoopTest, TimersRingInOrderAfterWhatHasComeAndOneOfNoDelayDoesNotHoldUpTheLoop) {
     join();
     std::string order;
-    loop.after(2 * kMillisecond, [&] { order += 'b'; });
-    loop.after(kMillisecond, [&] { order += 'a'; });
-    const auto never = loop.after(kMillisecond, [&] { order += 'x'; });
+    loop.after(2 * kMillisecond, [&] {
+        order += 'b';
+    });
+    loop.after(kMillisecond, [&] {
+        order += 'a';
+    });
+    const auto never = loop.after(kMillisecond, [&] {
+        order += 'x';
+    });
     loop.cancel(never);
     loop.cancel(12345);
-    ASSERT_TRUE(until([&] { return order.size() == 2; }));
+    ASSERT_TRUE(until([&] {
+        return order.size() == 2;
+    }));
     EXPECT_EQ(order, "ab");
     int again = 0;
-    std::function<void()> self = [&] { ++again, loop.after(0, self); };
+    std::function<void()> self = [&] {
+        ++again, loop.after(0, self);
+    };
     self();
     const int before = again;
     loop.turn(0);
@@ -103,7 +131,9 @@
     client.stream->send("answer");
     loop.turn(0);
     bool late = false;
-    loop.after(10 * kMillisecond, [&] { late = server.got == 0; });
+    loop.after(10 * kMillisecond, [&] {
+        late = server.got == 0;
+    });
     const timespec stall{0, 30'000'000};
     nanosleep(&stall, nullptr);
     loop.turn(0);
@@ -118,15 +148,18 @@
         Late(PollLoop& l, std::unique_ptr<Stream> s) : loop(l), stream(std::move(s)) {
             stream->events(*this);
         }
-        void on_data(Buffer& in) override { in.clear(), waited = loop.unseen(); }
+        void on_data(Buffer& in) override {
+            in.clear(), waited = loop.unseen();
+        }
         void on_closed(Closed) override {}
         PollLoop& loop;
         std::unique_ptr<Stream> stream;
         std::optional<Micros> waited;
     };
     std::vector<std::unique_ptr<Late>> late;
-    auto door = loop.listen(*Address::parse("127.0.0.1:0"),
-                            [&](auto s) { late.push_back(std::make_unique<Late>(loop, std::move(s))); });
+    auto door = loop.listen(*Address::parse("127.0.0.1:0"), [&](auto s) {
+        late.push_back(std::make_unique<Late>(loop, std::move(s)));
+    });
     loop.turn(0);
     PollLoop other;
     std::vector<std::unique_ptr<End>> ends;
@@ -135,14 +168,17 @@
         ends.back()->stream = other.connect((*door)->address(), *ends.back(), kSecondMicros);
         ends.back()->stream->send("old");
     }
-    for (int i = 0; i < 20; ++i) other.turn(kMillisecond);
+    for (int i = 0; i < 20; ++i)
+        other.turn(kMillisecond);
     const timespec stall{0, 40'000'000};
     nanosleep(&stall, nullptr);
     ASSERT_TRUE(until([&] {
-        return late.size() == 150 &&
-               std::all_of(late.begin(), late.end(), [](auto& l) { return l->waited.has_value(); });
+        return late.size() == 150 && std::all_of(late.begin(), late.end(), [](auto& l) {
+                   return l->waited.has_value();
+               });
     }));
-    for (const auto& l : late) EXPECT_GE(*l->waited, 35 * kMillisecond);
+    for (const auto& l : late)
+        EXPECT_GE(*l->waited, 35 * kMillisecond);
 }
 
 // What waits for a connection, or for the next turn, can be taken back out of the middle, and never arrives.
@@ -157,14 +193,19 @@
                third = client.stream->send("three");
     EXPECT_EQ(client.stream->written(second), Written::nothing);
     EXPECT_TRUE(client.stream->take_back(second));
-    ASSERT_TRUE(until([&] { return server.got == 9; }));
+    ASSERT_TRUE(until([&] {
+        return server.got == 9;
+    }));
     EXPECT_EQ(client.stream->written(first), Written::whole);
     EXPECT_FALSE(client.stream->take_back(third));
     const auto later = client.stream->send("in this turn");
     EXPECT_TRUE(client.stream->take_back(later));
     client.stream->send("!");
-    ASSERT_TRUE(until([&] { return server.got > 9; }));
-    for (int i = 0; i < 5; ++i) loop.turn(0);
+    ASSERT_TRUE(until([&] {
+        return server.got > 9;
+    }));
+    for (int i = 0; i < 5; ++i)
+        loop.turn(0);
     EXPECT_EQ(server.got, 10u);
 }
 
@@ -173,7 +214,8 @@
     join();
     server.stream->read(false);
     const auto large = client.stream->send(std::string(32 << 20, 'x'));
-    for (int i = 0; i < 50; ++i) loop.turn(0);
+    for (int i = 0; i < 50; ++i)
+        loop.turn(0);
     const auto behind = client.stream->send("behind");
     loop.turn(0);
     EXPECT_EQ(client.stream->written(large), Written::part);
@@ -184,7 +226,9 @@
     // The peer ends over it: known to have been handed over in part, and nothing of what follows.
     const auto last = client.stream->send("last");
     server.stream.reset();
-    ASSERT_TRUE(until([&] { return client.closed.has_value(); }));
+    ASSERT_TRUE(until([&] {
+        return client.closed.has_value();
+    }));
     EXPECT_EQ(client.stream->written(large), Written::part);
     EXPECT_EQ(client.stream->written(last), Written::nothing);
 }
@@ -197,21 +241,27 @@
     const std::size_t size = 16 << 20;
     server.stream->send(std::string(size, 'x'));
     client.stream->send("a request that crosses the close");
-    for (int i = 0; i < 20; ++i) loop.turn(0);
+    for (int i = 0; i < 20; ++i)
+        loop.turn(0);
     const std::size_t heard = server.got;
     server.stream->finish();
     client.stream->send("and another one");
-    for (int i = 0; i < 20; ++i) loop.turn(0);
+    for (int i = 0; i < 20; ++i)
+        loop.turn(0);
     EXPECT_EQ(server.got, heard);  // read after the shutdown: dropped, nobody hears of it
     EXPECT_FALSE(server.closed);
     client.take = true;
     client.stream->read(true);
-    ASSERT_TRUE(until([&] { return client.closed.has_value(); }));
+    ASSERT_TRUE(until([&] {
+        return client.closed.has_value();
+    }));
     EXPECT_EQ(*client.closed, Closed::by_peer);
     EXPECT_EQ(client.got, size);
     EXPECT_EQ(server.stream->send("too late"), 0u);
     client.stream.reset();
-    ASSERT_TRUE(until([&] { return server.closed.has_value(); }));
+    ASSERT_TRUE(until([&] {
+        return server.closed.has_value();
+    }));
     EXPECT_EQ(*server.closed, Closed::by_peer);
 }
 
@@ -220,7 +270,9 @@
     join();
     client.stream->send("request");
     client.stream.reset();
-    ASSERT_TRUE(until([&] { return server.got == 7; }));
+    ASSERT_TRUE(until([&] {
+        return server.got == 7;
+    }));
     EXPECT_TRUE(server.closed.has_value());
 }
 
@@ -231,7 +283,9 @@
     listener->accept(false);
     late.stream = other.connect(listener->address(), late, kSecondMicros);
     late.stream->send("waits");
-    ASSERT_TRUE(gatetiller::testing::await(other, [&] { return late.connected && late.sent == 1; }));
+    ASSERT_TRUE(gatetiller::testing::await(other, [&] {
+        return late.connected && late.sent == 1;
+    }));
     server.stream.reset();
     client.closed.reset(), server.got = 0;
     listener->accept_waiting(0);
@@ -241,16 +295,21 @@
     EXPECT_EQ(server.got, 5u);
     late.stream->send("more");
     other.turn(0);
-    while (server.got < 9) server.stream->read_now();
+    while (server.got < 9)
+        server.stream->read_now();
     listener.reset();
     EXPECT_FALSE(late.closed);
 }
 
 TEST_F(LoopTest, SignalsComeAsCalls) {
     int got = 0;
-    ASSERT_TRUE(loop.on_signals({SIGUSR1}, [&](int s) { got = s; }));
+    ASSERT_TRUE(loop.on_signals({SIGUSR1}, [&](int s) {
+        got = s;
+    }));
     raise(SIGUSR1);
-    EXPECT_TRUE(until([&] { return got == SIGUSR1; }));
+    EXPECT_TRUE(until([&] {
+        return got == SIGUSR1;
+    }));
 }
 
 TEST(Address, ReadsThreeFormsAndSaysWhatIsWrongWithOthers) {
--- a/tests/node/crossing_test.cpp
+++ b/tests/node/crossing_test.cpp
@@ -1,4 +1,5 @@
-// Events that cross, over loopback sockets: the peer forces their order. docs/design/front-node.md has the table.
+// Events that cross, over loopback sockets: the peer forces their order. docs/design/front-node.md has the
+// table.
 #include <arpa/inet.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -16,7 +17,9 @@
 class RawSocket {
 public:
     explicit RawSocket(int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)) : fd_(fd) {}
-    ~RawSocket() { close(); }
+    ~RawSocket() {
+        close();
+    }
     RawSocket(const RawSocket&) = delete;
     RawSocket& operator=(const RawSocket&) = delete;
     static sockaddr_in kernel(const net::Address& to) {
@@ -66,7 +69,8 @@
         setsockopt(fd_, SOL_SOCKET, SO_RCVBUF, &size, sizeof size);
     }
     void close() {
-        if (fd_ >= 0) ::close(std::exchange(fd_, -1));
+        if (fd_ >= 0)
+            ::close(std::exchange(fd_, -1));
     }
 
     std::string got;
@@ -79,10 +83,18 @@
 // An engine whose machine takes no connection until it is told to: whoever connects waits.
 class HeldEngine {
 public:
-    HeldEngine() : address(listener_.listen(0)) { filler_.connect(address); }
-    bool full() const { return filler_.connected(); }
-    void let_in() { EXPECT_TRUE(listener_.accept()); }
-    std::unique_ptr<RawSocket> accept() { return listener_.accept(); }
+    HeldEngine() : address(listener_.listen(0)) {
+        filler_.connect(address);
+    }
+    bool full() const {
+        return filler_.connected();
+    }
+    void let_in() {
+        EXPECT_TRUE(listener_.accept());
+    }
+    std::unique_ptr<RawSocket> accept() {
+        return listener_.accept();
+    }
 
 private:
     RawSocket listener_, filler_;
@@ -93,21 +105,30 @@
 
 class Crossing : public SocketRig {
 protected:
-    Crossing() { settings.connect_time_out = 20 * kSecondMicros; }
+    Crossing() {
+        settings.connect_time_out = 20 * kSecondMicros;
+    }
 
     // What a client's request is, by its bytes.
     std::string call(const lab::PlatformClient::Ask& a, std::int32_t seq) const {
-        Fields f{{"route", a.cls}, {"trace", a.trace}, {"customer", a.tenant},
+        Fields f{{"route", a.cls},
+                 {"trace", a.trace},
+                 {"customer", a.tenant},
                  {"patience", std::to_string(a.patience / kMillisecond)}};
-        if (!a.nonce.empty()) f["nonce"] = a.nonce;
+        if (!a.nonce.empty())
+            f["nonce"] = a.nonce;
         return thrift::process_call(seq, f, a.sql);
     }
     // Until the node's connection to a held engine has come up; what it then says first.
     std::string said_once_up(HeldEngine& held, std::size_t least) {
         held.let_in();
         std::unique_ptr<RawSocket> up;
-        EXPECT_TRUE(until([&] { return (up = held.accept()) != nullptr; }));
-        EXPECT_TRUE(until([&] { return !up->read() || up->got.size() >= least; }));
+        EXPECT_TRUE(until([&] {
+            return (up = held.accept()) != nullptr;
+        }));
+        EXPECT_TRUE(until([&] {
+            return !up->read() || up->got.size() >= least;
+        }));
         return up->got;
     }
     // More clients than the table has places, each with a request of so much work, and a planned restart.
@@ -121,10 +142,16 @@
             busy.push_back(&client());
             busy.back()->ask(ask("lookup", work_ms));
         }
-        ASSERT_TRUE(until([&] { return node->status().find("waits=0") == std::string::npos; })) << node->status();
+        ASSERT_TRUE(until([&] {
+            return node->status().find("waits=0") == std::string::npos;
+        })) << node->status();
         bool over = false;
-        node->drain([&] { over = true; });
-        ASSERT_TRUE(until([&] { return over; }));
+        node->drain([&] {
+            over = true;
+        });
+        ASSERT_TRUE(until([&] {
+            return over;
+        }));
         for (const auto* c : busy) {
             EXPECT_EQ(c->open(), 0u);
             EXPECT_TRUE(c->got().contains(1)) << "ended without an answer";
@@ -134,8 +161,9 @@
     // With one engine that holds whoever connects: a request that waits to go out to it.
     void request_waits(lab::PlatformClient& c, const lab::PlatformClient::Ask& a) {
         c.ask(a);
-        ASSERT_TRUE(until([&] { return node->status().find("s-held:1/1/1") != std::string::npos; }))
-            << node->status();
+        ASSERT_TRUE(until([&] {
+            return node->status().find("s-held:1/1/1") != std::string::npos;
+        })) << node->status();
     }
 };
 
@@ -147,14 +175,18 @@
         node.reset(), clients.clear(), settings.known.clear();
         settings.listen = at("");
         HeldEngine held;
-        ASSERT_TRUE(until([&] { return held.full(); }));
+        ASSERT_TRUE(until([&] {
+            return held.full();
+        }));
         list("s-held", held.address);
         start();
         auto& leaves = client();
         const auto left = ask(), after = ask();
         request_waits(leaves, left);
         leaves.give_up(1);
-        ASSERT_TRUE(until([&] { return node->requests() == 0; }));
+        ASSERT_TRUE(until([&] {
+            return node->requests() == 0;
+        }));
         // Another one over the same connection is the first that the engine hears of.
         auto& stays = client();
         request_waits(stays, after);
@@ -174,15 +206,20 @@
     {
         RawSocket leaves;
         leaves.connect(settings.listen);
-        ASSERT_TRUE(until([&] { return leaves.connected(); }));
+        ASSERT_TRUE(until([&] {
+            return leaves.connected();
+        }));
         leaves.send(call(gone, 1));
     }  // its end stands behind the request
     auto& stays = client();
     const auto seq = stays.ask(ask());
-    ASSERT_TRUE(until([&] { return stays.open() == 0 && node->requests() == 0; }));
+    ASSERT_TRUE(until([&] {
+        return stays.open() == 0 && node->requests() == 0;
+    }));
     EXPECT_EQ(stays.got().at(seq).how, "served");
     for (const auto& r : records.engines)
-        for (const auto& a : {left, gone}) EXPECT_NE(r.entry.trace, a.trace) << r.entry.event;
+        for (const auto& a : {left, gone})
+            EXPECT_NE(r.entry.trace, a.trace) << r.entry.event;
     EXPECT_TRUE(e.commands.empty()) << e.commands[0];
     expect_rules_kept();
 }
@@ -196,14 +233,18 @@
 
 TEST_F(Crossing, TheTimeThatAConnectionTakesIsTakenOffTheDeadlinePassedOn) {
     HeldEngine held;
-    ASSERT_TRUE(until([&] { return held.full(); }));
+    ASSERT_TRUE(until([&] {
+        return held.full();
+    }));
     list("s-held", held.address);
     start();
     auto& c = client();
     const auto a = ask();
     const Micros asked = loop.now();
     request_waits(c, a);
-    ASSERT_TRUE(until([&] { return loop.now() - asked > 800 * kMillisecond; }));
+    ASSERT_TRUE(until([&] {
+        return loop.now() - asked > 800 * kMillisecond;
+    }));
     const std::string said = said_once_up(held, 60);
     const Micros left = asked + a.patience - loop.now();
     ASSERT_GT(passed_on_ms(said), 0) << said;
@@ -216,9 +257,12 @@
     start();
     RawSocket c;
     c.connect(settings.listen);
-    ASSERT_TRUE(until([&] { return c.connected(); }));
+    ASSERT_TRUE(until([&] {
+        return c.connected();
+    }));
     std::string many;
-    for (int i = 1; i <= 80; ++i) many += thrift::give_up_call(i, 1);
+    for (int i = 1; i <= 80; ++i)
+        many += thrift::give_up_call(i, 1);
     const auto a = ask();
     many += call(a, 81);
     loop.after(0, [&] {
@@ -226,7 +270,9 @@
         const timespec stall{0, 200'000'000};
         ::nanosleep(&stall, nullptr);
     });
-    ASSERT_TRUE(until([&] { return log.find(a.trace + " lookup taken") != std::string::npos; }));
+    ASSERT_TRUE(until([&] {
+        return log.find(a.trace + " lookup taken") != std::string::npos;
+    }));
     const auto left_at = log.find("left_ms=", log.find(a.trace + " lookup taken"));
     EXPECT_LE(std::stoll(log.substr(left_at + 8)), a.patience / kMillisecond - 150);
 }
@@ -235,10 +281,16 @@
 
 struct Ends final : node::Exchange::Events {
     void on_note(NoteTopic, double) override {}
-    void on_end(decide::ExchangeEnd e) override { how = e.how, why = e.why; }
+    void on_end(decide::ExchangeEnd e) override {
+        how = e.how, why = e.why;
+    }
     std::string why;
-    std::optional<Request> request() override { return Request{"-", body}; }
-    bool may_begin(std::uint64_t) override { return allowed; }
+    std::optional<Request> request() override {
+        return Request{"-", body};
+    }
+    bool may_begin(std::uint64_t) override {
+        return allowed;
+    }
     bool allowed = true;
     std::optional<How> how;
     std::string body = std::string(40'000, 'x');
@@ -270,8 +322,11 @@
             ends.push_back(std::make_unique<Ends>());
             exchanges.push_back(link->ask(permit(), "id-" + std::to_string(i) + ".", *ends.back()));
         }
-        ASSERT_TRUE(await(loop, [&] { return (peer = raw.accept()) != nullptr; }));
-        for (int i = 0; i < 50; ++i) loop.turn(0);
+        ASSERT_TRUE(await(loop, [&] {
+            return (peer = raw.accept()) != nullptr;
+        }));
+        for (int i = 0; i < 50; ++i)
+            loop.turn(0);
     }
     net::PollLoop loop;
     RawSocket raw;
@@ -298,38 +353,49 @@
     EXPECT_EQ(peer->got.find("undo"), std::string::npos);
 }
 
-// Of a request given up while it goes out, the rest must not follow: its attempt would begin when its client is long gone.
+// Of a request given up while it goes out, the rest must not follow: its attempt would begin when its client
+// is long gone.
 TEST_F(DeafEngine, ARequestGivenUpInTheMiddleOfItsSendingNeverArrivesWhole) {
-    // The first that a look at the buffer can't take back is either whole with the kernel or partly so: all of those.
+    // The first that a look at the buffer can't take back is either whole with the kernel or partly so: all
+    // of those.
     for (auto& e : exchanges)
-        if (!e->take_back()) e.reset();
+        if (!e->take_back())
+            e.reset();
     ASSERT_TRUE(await(loop, [&] {
         const bool open = peer->read();
         return !open || link->connections() == 0;
     }));
-    for (int i = 0; i < 50; ++i) loop.turn(kMillisecond);
+    for (int i = 0; i < 50; ++i)
+        loop.turn(kMillisecond);
     peer->read();
     // Every request that came whole was handed to the kernel before; what was cut stands at the very end.
     std::vector<std::string_view> words;
     std::size_t size = 0;
     std::string_view rest = peer->got;
-    while (resp::read_array(rest, {4, 64 * 1024}, words, size) == resp::Reading::whole) rest.remove_prefix(size);
+    while (resp::read_array(rest, {4, 64 * 1024}, words, size) == resp::Reading::whole)
+        rest.remove_prefix(size);
     EXPECT_EQ(rest.find("undo"), std::string_view::npos);
     EXPECT_EQ(rest.find("\r\n*"), std::string_view::npos) << "something followed a request cut in its middle";
     EXPECT_EQ(link->connections(), 0u);
 }
 
-// What the kernel still holds of requests given up, for an engine that has acknowledged nothing of it, would begin whenever
-// that engine reads again: seconds after its drain's grace, or after its client has left.
+// What the kernel still holds of requests given up, for an engine that has acknowledged nothing of it, would
+// begin whenever that engine reads again: seconds after its drain's grace, or after its client has left.
 TEST_F(DeafEngine, WhatTheKernelHoldsOfRequestsGivenUpNeverArrives) {
-    for (auto& e : exchanges) e.reset();
-    ASSERT_TRUE(await(loop, [&] { return link->connections() == 0; }));
-    ASSERT_TRUE(await(loop, [&] { return !peer->read(); }));
+    for (auto& e : exchanges)
+        e.reset();
+    ASSERT_TRUE(await(loop, [&] {
+        return link->connections() == 0;
+    }));
+    ASSERT_TRUE(await(loop, [&] {
+        return !peer->read();
+    }));
     EXPECT_TRUE(peer->reset);
     EXPECT_LT(peer->got.size(), 200'000u) << "more than its own buffer had taken";
 }
 
-// The permit of a request counts when its first byte goes to the kernel, however shortly before it was written down.
+// The permit of a request counts when its first byte goes to the kernel, however shortly before it was
+// written down.
 TEST(EngineLinkTest, ARequestThatMayNotBeginAnyMoreWhenItsConnectionComesUpNeverDoes) {
     net::PollLoop loop;
     RawSocket raw;
@@ -339,7 +405,9 @@
     const auto a = link.ask(permit(), "id-a.", first), b = link.ask(permit(), "id-b.", second);
     first.allowed = false;
     std::unique_ptr<RawSocket> peer;
-    ASSERT_TRUE(await(loop, [&] { return (peer = raw.accept()) != nullptr; }));
+    ASSERT_TRUE(await(loop, [&] {
+        return (peer = raw.accept()) != nullptr;
+    }));
     ASSERT_TRUE(await(loop, [&] {
         peer->read();
         return first.how && peer->got.find("id-b.") != std::string::npos;
@@ -348,8 +416,8 @@
     EXPECT_EQ(peer->got.find("id-a."), std::string::npos);
 }
 
-// An engine that reads nothing, and so acknowledges little: most of a large request stays with this machine's kernel. Its
-// attempts may not be called off, so that nothing but the rule itself ends them.
+// An engine that reads nothing, and so acknowledges little: most of a large request stays with this machine's
+// kernel. Its attempts may not be called off, so that nothing but the rule itself ends them.
 class UnacknowledgedRequest : public Crossing {
 protected:
     UnacknowledgedRequest() {
@@ -364,14 +432,25 @@
         auto a = ask("load");
         a.sql += std::string(20'000, 'x');
         seq = client().ask(a);
-        ASSERT_TRUE(until([&] { return (peer = raw.accept()) != nullptr; }));
-        ASSERT_TRUE(until([&] { return log.find(a.trace + " load attempt 0 at s-raw begins") != std::string::npos; }));
+        ASSERT_TRUE(until([&] {
+            return (peer = raw.accept()) != nullptr;
+        }));
+        ASSERT_TRUE(until([&] {
+            return log.find(a.trace + " load attempt 0 at s-raw begins") != std::string::npos;
+        }));
         began = loop.now();
     }
     // Nobody reads meanwhile: what has been discarded never arrives.
     void expect_discarded_by(Micros longest) {
-        ASSERT_TRUE(until([&] { return node->status().find("discarded=1") != std::string::npos; }, longest)) << node->status();
-        ASSERT_TRUE(until([&] { return !peer->read(); }));
+        ASSERT_TRUE(until(
+            [&] {
+                return node->status().find("discarded=1") != std::string::npos;
+            },
+            longest))
+            << node->status();
+        ASSERT_TRUE(until([&] {
+            return !peer->read();
+        }));
         EXPECT_TRUE(peer->reset);
         EXPECT_LT(peer->got.size(), 20'000u);
     }
@@ -386,10 +465,14 @@
     begin_one();
     engine("s-2");
     list("s-raw", address, true);
-    ASSERT_TRUE(until([&] { return log.find("engine s-raw drains") != std::string::npos; }));
+    ASSERT_TRUE(until([&] {
+        return log.find("engine s-raw drains") != std::string::npos;
+    }));
     expect_discarded_by(settings.module.drain_grace + 50 * kMillisecond);
     auto& c = *clients.back();
-    ASSERT_TRUE(until([&] { return c.open() == 0; }));
+    ASSERT_TRUE(until([&] {
+        return c.open() == 0;
+    }));
     EXPECT_EQ(c.got().at(seq).how, "served");
     EXPECT_LT(loop.now() - began, 3 * kSecondMicros);
 }
@@ -398,20 +481,27 @@
     begin_one();
     clients.back()->give_up(seq);
     expect_discarded_by(100 * kMillisecond);
-    ASSERT_TRUE(until([&] { return node->requests() == 0; }));
+    ASSERT_TRUE(until([&] {
+        return node->requests() == 0;
+    }));
 }
 
 // Its deadline is what is left when it goes out, also behind an engine that reads nothing for a while.
 TEST_F(DeafEngine, WhatWaitsBehindOneThatReadsNothingIsWrittenAnewWhenItGoesOut) {
-    for (const auto& e : ends) e->body = std::string(40'000, 'y');
+    for (const auto& e : ends)
+        e->body = std::string(40'000, 'y');
     const Micros since = loop.now();
-    ASSERT_TRUE(await(loop, [&] { return loop.now() - since > 50 * kMillisecond; }));
+    ASSERT_TRUE(await(loop, [&] {
+        return loop.now() - since > 50 * kMillisecond;
+    }));
     ASSERT_TRUE(await(loop, [&] {
         peer->read();
-        return ends.back()->how || (peer->got.find("id-299.") != std::string::npos && peer->got.ends_with("y\r\n"));
+        return ends.back()->how ||
+               (peer->got.find("id-299.") != std::string::npos && peer->got.ends_with("y\r\n"));
     }));
     if (ends.back()->how) {
-        // This machine took longer over one request than a part of it may be out: it is cut off, and the last never goes out.
+        // This machine took longer over one request than a part of it may be out: it is cut off, and the last
+        // never goes out.
         EXPECT_EQ(ends.back()->why, "its first part had gone out too long ago");
         EXPECT_EQ(ends.back()->how, How::unsent);
         EXPECT_GT(loop.now() - since, 120 * kMillisecond);
@@ -435,19 +525,25 @@
 TEST_F(DeafEngine, AResetLosesWhatWasWrittenAndProvesThatTheRestNeverRan) {
     peer->close();  // over unread bytes: a reset
     ASSERT_TRUE(await(loop, [&] {
-        return std::all_of(ends.begin(), ends.end(), [](const auto& e) { return e->how.has_value(); });
+        return std::all_of(ends.begin(), ends.end(), [](const auto& e) {
+            return e->how.has_value();
+        });
     }));
     EXPECT_EQ(ends.front()->how, How::lost);
     EXPECT_EQ(ends.back()->how, How::unsent);
     // In the order of sending: all that may have run before all that can't have.
-    const auto first_unsent = std::find_if(ends.begin(), ends.end(), [](const auto& e) { return e->how == How::unsent; });
+    const auto first_unsent = std::find_if(ends.begin(), ends.end(), [](const auto& e) {
+        return e->how == How::unsent;
+    });
     for (auto e = ends.begin(); e != ends.end(); ++e)
         EXPECT_EQ((*e)->how, e < first_unsent ? How::lost : How::unsent);
 }
 
 TEST_F(DeafEngine, AnAnswerThatCantBeReadLosesNothingThatWasNeverSent) {
     peer->send("*1\r\n$-7\r\n");
-    ASSERT_TRUE(await(loop, [&] { return ends.back()->how.has_value(); }));
+    ASSERT_TRUE(await(loop, [&] {
+        return ends.back()->how.has_value();
+    }));
     EXPECT_EQ(ends.front()->how, How::lost);
     EXPECT_EQ(ends.back()->how, How::unsent);
 }
@@ -456,7 +552,9 @@
 TEST_F(Crossing, OnceIsTriedAgainOnlyWhereItWasProvablyNeverSent) {
     settings.module.classes[1].effect = Effect::once;
     HeldEngine held;
-    ASSERT_TRUE(until([&] { return held.full(); }));
+    ASSERT_TRUE(until([&] {
+        return held.full();
+    }));
     list("s-held", held.address);
     start();
     auto& c = client();
@@ -465,7 +563,9 @@
     // Its engine begins to drain: what waits is taken back, and goes to one that was listed meanwhile.
     engine("s-2");
     list("s-held", held.address, true);
-    ASSERT_TRUE(until([&] { return c.open() == 0; }));
+    ASSERT_TRUE(until([&] {
+        return c.open() == 0;
+    }));
     EXPECT_EQ(c.got().at(1).how, "served");
     expect_rules_kept();
 }
@@ -474,20 +574,29 @@
 TEST_F(Crossing, ARepeatThatWaitsPastItsWindowIsTakenBack) {
     settings.module.classes[1].window = 1'500 * kMillisecond;
     HeldEngine held;
-    ASSERT_TRUE(until([&] { return held.full(); }));
+    ASSERT_TRUE(until([&] {
+        return held.full();
+    }));
     auto& first = engine("s-1");
     first.set({.silent = 1});
     start();
     auto& c = client();
     const auto a = ask("load", 1);
     c.ask(a);
-    ASSERT_TRUE(until([&] { return first.open() == 1; }));
+    ASSERT_TRUE(until([&] {
+        return first.open() == 1;
+    }));
     list("s-held", held.address);
-    ASSERT_TRUE(until([&] { return node->status().find("s-held") != std::string::npos; }));
+    ASSERT_TRUE(until([&] {
+        return node->status().find("s-held") != std::string::npos;
+    }));
     first.die();
-    ASSERT_TRUE(until([&] { return node->status().find("s-held:1/1/1") != std::string::npos; }))
-        << node->status();
-    ASSERT_TRUE(until([&] { return c.open() == 0; }));
+    ASSERT_TRUE(until([&] {
+        return node->status().find("s-held:1/1/1") != std::string::npos;
+    })) << node->status();
+    ASSERT_TRUE(until([&] {
+        return c.open() == 0;
+    }));
     EXPECT_EQ(c.got().at(1).how, "refused");  // whoever asks again with the key is told by any engine
     EXPECT_NE(node->status().find("s-held:0/0/1"), std::string::npos) << node->status();
     auto& stays = client();
@@ -505,17 +614,23 @@
     start();
     auto& c = client();
     c.ask(ask("lookup", 3'500));
-    ASSERT_TRUE(until([&] { return e.open() == 1; }));
+    ASSERT_TRUE(until([&] {
+        return e.open() == 1;
+    }));
     const Micros since = loop.now();
     lab::PlatformEngineSettings other;
     other.name = "s-1", other.at_once = 8;
     lab::PlatformEngine moved(loop, other, records);
     const auto place = moved.listen("n0", at(""));
     list("s-1", *place);
-    ASSERT_TRUE(until([&] { return moved.open() == 1; }));
+    ASSERT_TRUE(until([&] {
+        return moved.open() == 1;
+    }));
     EXPECT_LT(loop.now() - since, 3 * kSecondMicros);  // not when its own time was up
     c.give_up(1);
-    ASSERT_TRUE(until([&] { return moved.open() == 0 && e.open() == 0; }));
+    ASSERT_TRUE(until([&] {
+        return moved.open() == 0 && e.open() == 0;
+    }));
     expect_rules_kept();
 }
 
@@ -528,16 +643,21 @@
     const auto comes = [&] {
         auto& c = client();
         c.ask(ask("lookup", 1));
-        ASSERT_TRUE(until([&] { return c.open() == 0; })) << node->status();
+        ASSERT_TRUE(until([&] {
+            return c.open() == 0;
+        })) << node->status();
         ASSERT_EQ(c.got().size(), 1u) << node->status();
         ASSERT_EQ(c.got().at(1).how, "served");
     };
     const auto clients_now = [&] {
         return std::stoul(node->status().substr(node->status().find("clients=") + 8));
     };
-    while (clients_now() + 1 < table - table / 8) comes();
+    while (clients_now() + 1 < table - table / 8)
+        comes();
     const Micros full = loop.now();
-    ASSERT_TRUE(until([&] { return loop.now() > full + decide::ClientTimes{}.to_ask_again; }));
+    ASSERT_TRUE(until([&] {
+        return loop.now() > full + decide::ClientTimes{}.to_ask_again;
+    }));
     // All have asked once and stay. A silent one ahead of each newcomer must not make it wait.
     for (std::size_t i = 0; i < table / 4; ++i) {
         client();
@@ -556,13 +676,19 @@
     const std::size_t table = decide::bounds_of(settings.sockets, settings.memory_mb).clients;
     RawSocket rests;
     rests.connect(settings.listen);
-    ASSERT_TRUE(until([&] { return rests.connected(); }));
+    ASSERT_TRUE(until([&] {
+        return rests.connected();
+    }));
     rests.send(call(ask("lookup", 1), 1));
-    ASSERT_TRUE(until([&] { return rests.read() && !rests.got.empty(); }));
+    ASSERT_TRUE(until([&] {
+        return rests.read() && !rests.got.empty();
+    }));
     const Micros full = loop.now();
-    ASSERT_TRUE(until([&] { return loop.now() > full + decide::ClientTimes{}.to_ask_again; }));
-    // As many as fill the table stand in the listen backlog when it speaks: they are taken in in one turn, ahead
-    // of it or behind it.
+    ASSERT_TRUE(until([&] {
+        return loop.now() > full + decide::ClientTimes{}.to_ask_again;
+    }));
+    // As many as fill the table stand in the listen backlog when it speaks: they are taken in in one turn,
+    // ahead of it or behind it.
     std::vector<std::unique_ptr<RawSocket>> many;
     for (std::size_t i = 0; i < table; ++i) {
         many.push_back(std::make_unique<RawSocket>());
@@ -570,7 +696,9 @@
     }
     rests.got.clear();
     rests.send(call(ask("lookup", 1), 2));
-    ASSERT_TRUE(until([&] { return !rests.read() || !rests.got.empty(); }));
+    ASSERT_TRUE(until([&] {
+        return !rests.read() || !rests.got.empty();
+    }));
     EXPECT_NE(rests.got.find("row 2"), std::string::npos) << node->status();
     expect_rules_kept();
 }
@@ -580,39 +708,53 @@
     start();
     RawSocket c;
     c.connect(settings.listen);
-    ASSERT_TRUE(until([&] { return c.connected(); }));
+    ASSERT_TRUE(until([&] {
+        return c.connected();
+    }));
     const auto slow = ask("lookup", 2'600), half = ask();
     const std::string second = call(half, 2);
     c.send(call(slow, 1) + second.substr(0, 30));
     // Past the time for half a request, with the first one still out: its answer comes, then the rest counts.
-    ASSERT_TRUE(until([&] { return !c.read() || c.got.find("row 2") != std::string::npos; }));
+    ASSERT_TRUE(until([&] {
+        return !c.read() || c.got.find("row 2") != std::string::npos;
+    }));
     ASSERT_NE(c.got.find("row 2"), std::string::npos) << "closed: " << node->status();
     expect_rules_kept();
 }
 
-// Half a message stands for its two seconds; the rest of it, many that need no answer and a request come in the very
-// moment in which its connection would be closed for that.
+// Half a message stands for its two seconds; the rest of it, many that need no answer and a request come in
+// the very moment in which its connection would be closed for that.
 TEST_F(Crossing, ARequestBehindManyMessagesIsServedWhenItsConnectionIsAboutToBeClosed) {
     engine("s-1");
     start();
     RawSocket c;
     c.connect(settings.listen);
-    ASSERT_TRUE(until([&] { return c.connected(); }));
+    ASSERT_TRUE(until([&] {
+        return c.connected();
+    }));
     const std::string first = thrift::give_up_call(1, 1);
     c.send(first.substr(0, 10));
     const Micros half = loop.now();
     std::string rest = first.substr(10);
-    for (int i = 2; i <= 40; ++i) rest += thrift::give_up_call(i, 1);
+    for (int i = 2; i <= 40; ++i)
+        rest += thrift::give_up_call(i, 1);
     rest += call(ask("lookup", 1), 41);
     const Micros limit = decide::ClientTimes{}.half_request;
-    ASSERT_TRUE(until([&] { return loop.now() - half > limit - 50 * kMillisecond; }));
-    // All due in one turn: this process stands still for longer than the time between two looks at the clients.
+    ASSERT_TRUE(until([&] {
+        return loop.now() - half > limit - 50 * kMillisecond;
+    }));
+    // All due in one turn: this process stands still for longer than the time between two looks at the
+    // clients.
     loop.after(0, [] {
         const timespec stall{0, 150'000'000};
         ::nanosleep(&stall, nullptr);
     });
-    loop.after(kMillisecond, [&] { c.send(rest); });
-    ASSERT_TRUE(until([&] { return !c.read() || c.got.find("row 2") != std::string::npos; }));
+    loop.after(kMillisecond, [&] {
+        c.send(rest);
+    });
+    ASSERT_TRUE(until([&] {
+        return !c.read() || c.got.find("row 2") != std::string::npos;
+    }));
     EXPECT_NE(c.got.find("row 2"), std::string::npos) << "closed without an answer: " << node->status();
     expect_rules_kept();
 }
@@ -626,9 +768,12 @@
     RawSocket c;
     c.receive_little();
     c.connect(settings.listen);
-    ASSERT_TRUE(until([&] { return c.connected(); }));
+    ASSERT_TRUE(until([&] {
+        return c.connected();
+    }));
     std::string all;
-    for (int i = 1; i <= 32; ++i) all += call(ask("lookup", 1, 700), i);
+    for (int i = 1; i <= 32; ++i)
+        all += call(ask("lookup", 1, 700), i);
     std::size_t sent = 0;
     ASSERT_TRUE(until([&] {
         if (sent < all.size()) {
@@ -639,17 +784,27 @@
     })) << node->status();
     bool over = false;
     const Micros since = loop.now();
-    node->drain([&] { over = true; });
+    node->drain([&] {
+        over = true;
+    });
     const auto times = decide::restart_times(settings.module);
-    ASSERT_TRUE(until([&] { return loop.now() - since > times.stays + 100 * kMillisecond; }));
+    ASSERT_TRUE(until([&] {
+        return loop.now() - since > times.stays + 100 * kMillisecond;
+    }));
     EXPECT_FALSE(over) << "answers stood unsent";
-    ASSERT_TRUE(until([&] { return !c.read(); }));
+    ASSERT_TRUE(until([&] {
+        return !c.read();
+    }));
     EXPECT_FALSE(c.reset);
     std::size_t answers = 0;
-    for (std::size_t at = c.got.find("row 699\n"); at != std::string::npos; at = c.got.find("row 699\n", at + 1)) ++answers;
+    for (std::size_t at = c.got.find("row 699\n"); at != std::string::npos;
+         at = c.got.find("row 699\n", at + 1))
+        ++answers;
     EXPECT_EQ(answers, 32u);
     c.close();
-    ASSERT_TRUE(until([&] { return over; }));
+    ASSERT_TRUE(until([&] {
+        return over;
+    }));
     EXPECT_LT(loop.now() - since, times.leaves);
 }
 
@@ -658,18 +813,29 @@
     start();
     RawSocket rests;
     rests.connect(settings.listen);
-    ASSERT_TRUE(until([&] { return rests.connected(); }));
+    ASSERT_TRUE(until([&] {
+        return rests.connected();
+    }));
     rests.send(call(ask("lookup", 1), 1));
-    ASSERT_TRUE(until([&] { return rests.read() && !rests.got.empty(); }));
+    ASSERT_TRUE(until([&] {
+        return rests.read() && !rests.got.empty();
+    }));
     bool over = false;
-    node->drain([&] { over = true; });
-    ASSERT_TRUE(until([&] { return !rests.read(); }));  // it is ended, in order
+    node->drain([&] {
+        over = true;
+    });
+    ASSERT_TRUE(until([&] {
+        return !rests.read();
+    }));  // it is ended, in order
     EXPECT_FALSE(rests.reset);
     const std::string before = rests.got;
     const auto crossing = ask();
     rests.send(call(crossing, 2));
-    ASSERT_TRUE(until([&] { return over; }));
-    for (const auto& r : records.engines) EXPECT_NE(r.entry.trace, crossing.trace);
+    ASSERT_TRUE(until([&] {
+        return over;
+    }));
+    for (const auto& r : records.engines)
+        EXPECT_NE(r.entry.trace, crossing.trace);
     rests.read();
     EXPECT_EQ(rests.got, before);
     EXPECT_EQ(e.open(), 0u);
--- a/tests/node/discovery_test.cpp
+++ b/tests/node/discovery_test.cpp
@@ -11,7 +11,11 @@
 class Discovery : public NodeRig {
 protected:
     bool hears_of(const std::string& name, Micros longest) {
-        return until([&] { return node->status().find(name) != std::string::npos; }, longest);
+        return until(
+            [&] {
+                return node->status().find(name) != std::string::npos;
+            },
+            longest);
     }
 };
 
@@ -23,7 +27,8 @@
         pass(10 * kSecondMicros);
         const std::string name = "s-new-" + std::to_string(seconds);
         list(name, at("127.1.9." + std::to_string(seconds) + ":5050"));
-        EXPECT_TRUE(hears_of(name, (2 * seconds + 3) * kSecondMicros)) << "answers that take " << seconds << " s";
+        EXPECT_TRUE(hears_of(name, (2 * seconds + 3) * kSecondMicros))
+            << "answers that take " << seconds << " s";
     }
 }
 
@@ -137,7 +142,11 @@
     for (int i = 0; i < 5; ++i) {
         const std::string name = "s-new-" + std::to_string(i);
         list(name, at("127.1.9." + std::to_string(i + 1) + ":5050"));
-        EXPECT_TRUE(until([&] { return log.find("engine " + name + " is on") != std::string::npos; }, 1'500 * kMillisecond));
+        EXPECT_TRUE(until(
+            [&] {
+                return log.find("engine " + name + " is on") != std::string::npos;
+            },
+            1'500 * kMillisecond));
         pass(700 * kMillisecond);
     }
 }
@@ -147,12 +156,15 @@
 protected:
     void SetUp() override {
         start_with_many();
-        const auto asker = loop.datagrams(at("127.2.0.8:1053"), [this](const net::Address&, std::string_view bytes) {
-            first = second = bytes;
-        });
+        const auto asker =
+            loop.datagrams(at("127.2.0.8:1053"), [this](const net::Address&, std::string_view bytes) {
+                first = second = bytes;
+            });
         ASSERT_TRUE(asker) << asker.error();
         (*asker)->send(settings.dns, dns::srv_question(1, "_work._tcp.fleet.local"));
-        ASSERT_TRUE(until([&] { return !first.empty(); }));
+        ASSERT_TRUE(until([&] {
+            return !first.empty();
+        }));
         node.reset();
         second.replace(second.rfind("kind=std"), 8, "kind=big");
     }
@@ -160,18 +172,28 @@
     double cpu_seconds(std::size_t answers, bool in_turn) {
         std::size_t said = 0, heard = 0;
         net::Datagrams* answering = nullptr;
-        const auto service = loop.datagrams(at("127.2.0.9:1053"), [&](const net::Address& from, std::string_view question) {
-            std::string answer = in_turn && ++said % 2 == 0 ? second : first;
-            answering->send(from, answer.replace(0, 2, question.substr(0, 2)));
-        });
+        const auto service =
+            loop.datagrams(at("127.2.0.9:1053"), [&](const net::Address& from, std::string_view question) {
+                std::string answer = in_turn && ++said % 2 == 0 ? second : first;
+                answering->send(from, answer.replace(0, 2, question.substr(0, 2)));
+            });
         EXPECT_TRUE(service) << service.error();
         answering = service->get();
         roster::DnsSource source(loop, "_work._tcp.fleet.local", 5, {},
-                                 {[&](const auto&) { ++heard; }, [&](std::uint32_t) { return ++heard, true; },
+                                 {[&](const auto&) {
+                                      ++heard;
+                                  },
+                                  [&](std::uint32_t) {
+                                      return ++heard, true;
+                                  },
                                   [](const std::string&) {}});
         EXPECT_TRUE(source.start(at("127.2.0.8:0"), answering->address()));
         const std::clock_t before = std::clock();
-        EXPECT_TRUE(until([&] { return heard >= answers; }, 600 * kSecondMicros));
+        EXPECT_TRUE(until(
+            [&] {
+                return heard >= answers;
+            },
+            600 * kSecondMicros));
         return static_cast<double>(std::clock() - before) / CLOCKS_PER_SEC;
     }
     std::string first, second;
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -10,8 +10,9 @@
     return std::find(e.commands.begin(), e.commands.end(), command) != e.commands.end();
 }
 std::size_t count_with(const lab::Records& r, const std::string& event) {
-    return static_cast<std::size_t>(std::count_if(r.engines.begin(), r.engines.end(),
-                                                  [&](const auto& e) { return e.entry.event == event; }));
+    return static_cast<std::size_t>(std::count_if(r.engines.begin(), r.engines.end(), [&](const auto& e) {
+        return e.entry.event == event;
+    }));
 }
 
 TEST_F(NodeRig, ServesWholeResultsPageByPage) {
@@ -19,9 +20,13 @@
     start();
     auto& c = client();
     std::map<std::int32_t, std::size_t> rows;
-    for (const std::size_t n : {0u, 1u, 60u, 900u}) rows[c.ask(ask("lookup", 5, n))] = n;
-    ASSERT_TRUE(until([&] { return c.open() == 0; }));
-    for (const auto& [seq, n] : rows) EXPECT_EQ(c.got().at(seq).how, "served") << n << " rows";
+    for (const std::size_t n : {0u, 1u, 60u, 900u})
+        rows[c.ask(ask("lookup", 5, n))] = n;
+    ASSERT_TRUE(until([&] {
+        return c.open() == 0;
+    }));
+    for (const auto& [seq, n] : rows)
+        EXPECT_EQ(c.got().at(seq).how, "served") << n << " rows";
     expect_rules_kept();
 }
 
@@ -31,10 +36,16 @@
     auto& c = client();
     const auto a = ask("lookup", 3000);
     const auto seq = c.ask(a);
-    ASSERT_TRUE(until([&] { return e.open() == 1; }));
+    ASSERT_TRUE(until([&] {
+        return e.open() == 1;
+    }));
     c.give_up(seq);
-    ASSERT_TRUE(until([&] { return e.open() == 0; }));
-    ASSERT_TRUE(until([&] { return node->requests() == 0; }));
+    ASSERT_TRUE(until([&] {
+        return e.open() == 0;
+    }));
+    ASSERT_TRUE(until([&] {
+        return node->requests() == 0;
+    }));
     EXPECT_TRUE(told(e, "undo " + a.trace));
     EXPECT_FALSE(c.got().contains(seq));
     expect_rules_kept();
@@ -47,9 +58,13 @@
     start();
     auto& c = client();
     const auto seq = c.ask(ask());
-    ASSERT_TRUE(until([&] { return count_with(records, "fault") >= 2; }));
+    ASSERT_TRUE(until([&] {
+        return count_with(records, "fault") >= 2;
+    }));
     e.set({});
-    ASSERT_TRUE(until([&] { return c.open() == 0; }));
+    ASSERT_TRUE(until([&] {
+        return c.open() == 0;
+    }));
     EXPECT_EQ(c.got().at(seq).how, "served");
     EXPECT_GE(count_with(records, "arrived"), 3u);
     expect_rules_kept();
@@ -60,15 +75,19 @@
     auto& two = engine("s-2");
     start();
     auto& c = client();
-    for (auto* e : {&one, &two}) e->set({.spoilt = 0.3, .doubled = 0.3});
+    for (auto* e : {&one, &two})
+        e->set({.spoilt = 0.3, .doubled = 0.3});
     std::vector<std::int32_t> asked;
     for (int i = 0; i < 200; ++i) {
         asked.push_back(c.ask(ask(i % 5 == 0 ? "load" : "lookup", 10, static_cast<std::size_t>(i))));
         pass(40 * kMillisecond);
     }
-    ASSERT_TRUE(until([&] { return c.open() == 0; }));
+    ASSERT_TRUE(until([&] {
+        return c.open() == 0;
+    }));
     int served = 0;
-    for (const auto seq : asked) served += c.got().contains(seq) && c.got().at(seq).how == "served";
+    for (const auto seq : asked)
+        served += c.got().contains(seq) && c.got().at(seq).how == "served";
     EXPECT_GT(served, 150);
     expect_rules_kept();
 }
@@ -84,7 +103,9 @@
         c.ask(ask("load", 10));
         pass(100 * kMillisecond);
     }
-    ASSERT_TRUE(until([&] { return c.open() == 0; }));
+    ASSERT_TRUE(until([&] {
+        return c.open() == 0;
+    }));
     EXPECT_GT(count_with(records, "shed"), 10u);
     expect_rules_kept();
 }
@@ -112,10 +133,14 @@
     load(3 * kSecondMicros);
     EXPECT_GT(
         std::count_if(records.engines.begin() + static_cast<std::ptrdiff_t>(before), records.engines.end(),
-                      [](const auto& r) { return r.engine == "s-3" && r.entry.event == "hit"; }),
+                      [](const auto& r) {
+                          return r.engine == "s-3" && r.entry.event == "hit";
+                      }),
         3);
     (void)fresh;
-    ASSERT_TRUE(until([&] { return c.open() == 0; }));
+    ASSERT_TRUE(until([&] {
+        return c.open() == 0;
+    }));
     const auto j = judged();
     EXPECT_GT(j.drains, 0u);
     expect_rules_kept();
@@ -131,9 +156,13 @@
             names.put({"s-1", "z", "std", {{"n0", *net::Address::parse("127.1.0.1:5050")}}, i == 20});
         c.ask(ask());
         pass(100 * kMillisecond);
-        if (i == 35) { EXPECT_NE(node->status().find("list=3"), std::string::npos) << node->status(); }
+        if (i == 35) {
+            EXPECT_NE(node->status().find("list=3"), std::string::npos) << node->status();
+        }
     }
-    ASSERT_TRUE(until([&] { return c.open() == 0; }));
+    ASSERT_TRUE(until([&] {
+        return c.open() == 0;
+    }));
     EXPECT_NE(node->status().find("list=4"), std::string::npos) << node->status();
     expect_rules_kept();
 }
@@ -149,7 +178,11 @@
     node->reload(moved);
     EXPECT_NE(log.find("1024 descriptors"), std::string::npos) << log;
     EXPECT_NE(log.find("needs a restart"), std::string::npos) << log;
-    ASSERT_TRUE(until([&] { return node->status().find("list=3") != std::string::npos; }, 2 * kSecondMicros));
+    ASSERT_TRUE(until(
+        [&] {
+            return node->status().find("list=3") != std::string::npos;
+        },
+        2 * kSecondMicros));
 }
 
 // Its name service says nothing yet: what the new configuration knows is all there is to hear.
@@ -162,7 +195,8 @@
     moved.dns = *names.listen("n0", *net::Address::parse("127.2.0.2:1053"));
     moved.known_number = names.number();
     for (auto& e : moved.known)
-        if (e.name == "s-1") e.state = EngineState::fading;
+        if (e.name == "s-1")
+            e.state = EngineState::fading;
     node->reload(moved);
     EXPECT_NE(log.find("engine s-1 drains"), std::string::npos) << log;
     // An older one changes nothing.
@@ -184,8 +218,10 @@
         {"route", "lookup"}, {"trace", "9b1f03aa5c7e2d41"}, {"customer", "acme"}, {"patience", "1500"}};
     const auto but = [&](const std::string& name, const std::string& value) {
         Fields f = good;
-        if (value.empty()) f.erase(name);
-        else f[name] = value;
+        if (value.empty())
+            f.erase(name);
+        else
+            f[name] = value;
         return f;
     };
     std::vector<std::string> bad{"GET / HTTP/1.1\r\n\r\n",
@@ -203,8 +239,13 @@
                                  ""};
     for (const auto& bytes : bad) {
         auto& c = client();
-        if (!bytes.empty()) c.raw(bytes);
-        EXPECT_TRUE(until([&] { return c.ended() || c.exceptions() > 0; }, 3 * kSecondMicros))
+        if (!bytes.empty())
+            c.raw(bytes);
+        EXPECT_TRUE(until(
+            [&] {
+                return c.ended() || c.exceptions() > 0;
+            },
+            3 * kSecondMicros))
             << bytes.substr(0, 60);
     }
     EXPECT_EQ(count_with(records, "arrived"), 0u);
@@ -212,7 +253,11 @@
     auto& twice = client();
     twice.raw(frame(good, "SELECT 1 /* gt: work_ms=3000 */", 1) +
               frame(but("trace", "9b1f03aa5c7e2d42"), "SELECT 2", 1));
-    EXPECT_TRUE(until([&] { return twice.ended(); }, 3 * kSecondMicros));
+    EXPECT_TRUE(until(
+        [&] {
+            return twice.ended();
+        },
+        3 * kSecondMicros));
     // More at once than the protocol allows.
     auto& many = client();
     std::string all;
@@ -222,15 +267,25 @@
         all += frame(but("trace", id), "SELECT 1 /* gt: work_ms=3000 */", i);
     }
     many.raw(all);
-    EXPECT_TRUE(until([&] { return many.ended(); }, 3 * kSecondMicros));
-    ASSERT_TRUE(until([&] { return node->requests() == 0; }));
+    EXPECT_TRUE(until(
+        [&] {
+            return many.ended();
+        },
+        3 * kSecondMicros));
+    ASSERT_TRUE(until([&] {
+        return node->requests() == 0;
+    }));
     // Hundreds that say nothing take no room from those that ask.
-    for (int i = 0; i < 400; ++i) client();
+    for (int i = 0; i < 400; ++i)
+        client();
     auto& usual = client();
     const auto seq = usual.ask(whole);
-    ASSERT_TRUE(until([&] { return usual.open() == 0; }));
+    ASSERT_TRUE(until([&] {
+        return usual.open() == 0;
+    }));
     EXPECT_EQ(usual.got().at(seq).how, "served");
-    for (const auto& e : engines) EXPECT_TRUE(e->unusable().empty()) << e->unusable()[0];
+    for (const auto& e : engines)
+        EXPECT_TRUE(e->unusable().empty()) << e->unusable()[0];
 }
 
 // What was taken before it is still owed its answer: nobody but the malformed message is to blame.
@@ -242,10 +297,21 @@
     for (const auto& bytes : malformed) {
         auto& c = client();
         const auto first = c.ask(ask("lookup", 300)), second = c.ask(ask("load", 600));
-        ASSERT_TRUE(until([&] { return engines[0]->open() == 2; }));
+        ASSERT_TRUE(until([&] {
+            return engines[0]->open() == 2;
+        }));
         c.raw(bytes);
-        ASSERT_TRUE(until([&] { return c.exceptions() == 1; }, kSecondMicros)) << bytes.substr(0, 20);
-        EXPECT_TRUE(until([&] { return c.ended(); }, 5 * kSecondMicros));
+        ASSERT_TRUE(until(
+            [&] {
+                return c.exceptions() == 1;
+            },
+            kSecondMicros))
+            << bytes.substr(0, 20);
+        EXPECT_TRUE(until(
+            [&] {
+                return c.ended();
+            },
+            5 * kSecondMicros));
         ASSERT_TRUE(c.got().contains(first) && c.got().contains(second)) << bytes.substr(0, 20);
         EXPECT_EQ(c.got().at(first).how, "served");
         EXPECT_EQ(c.got().at(second).how, "served");
@@ -259,9 +325,15 @@
     start();
     auto& c = client();
     const auto other = c.ask(ask("lookup", 300)), twice = c.ask(ask("lookup", 300));
-    ASSERT_TRUE(until([&] { return engines[0]->open() == 2; }));
+    ASSERT_TRUE(until([&] {
+        return engines[0]->open() == 2;
+    }));
     c.raw(thrift::process_call(twice, {}, "SELECT 1"));
-    EXPECT_TRUE(until([&] { return c.ended(); }, 5 * kSecondMicros));
+    EXPECT_TRUE(until(
+        [&] {
+            return c.ended();
+        },
+        5 * kSecondMicros));
     EXPECT_EQ(c.exceptions(), 1u);
     EXPECT_EQ(c.got().at(twice).how, "failed");
     ASSERT_TRUE(c.got().contains(other));
@@ -276,20 +348,25 @@
     start();
     std::vector<lab::PlatformClient*> usual;
     for (int i = 0; i < 1500; ++i) {
-        if (i % 300 == 299) pass(60 * kMillisecond);
+        if (i % 300 == 299)
+            pass(60 * kMillisecond);
         auto& c = client();
-        if (i % 60 != 30) continue;
+        if (i % 60 != 30)
+            continue;
         usual.push_back(&c);
         c.ask(ask());
     }
     ASSERT_TRUE(until([&] {
-        return std::all_of(usual.begin(), usual.end(), [](const auto* c) { return c->open() == 0; });
+        return std::all_of(usual.begin(), usual.end(), [](const auto* c) {
+            return c->open() == 0;
+        });
     }));
     // Each pause lets one more in: without closing as many as are over, the table grew by one a pause.
     const auto at = node->status().find("clients=") + 8;
     EXPECT_LE(std::stoul(node->status().substr(at)), decide::bounds_of(256, 32).clients + 1)
         << node->status();
-    for (const auto* c : usual) EXPECT_TRUE(c->got().contains(1) && c->got().at(1).how == "served");
+    for (const auto* c : usual)
+        EXPECT_TRUE(c->got().contains(1) && c->got().at(1).how == "served");
     expect_rules_kept();
 }
 
@@ -312,13 +389,18 @@
             pass(30 * kMillisecond);
         }
         // At rest both sides must come to nothing; while busy, the module's count is the sockets'.
-        for (const auto& [module, sockets] : node->out_by_engine()) EXPECT_EQ(module, sockets);
+        for (const auto& [module, sockets] : node->out_by_engine())
+            EXPECT_EQ(module, sockets);
     }
-    ASSERT_TRUE(until([&] { return c.open() == 0 && node->requests() == 0; }));
+    ASSERT_TRUE(until([&] {
+        return c.open() == 0 && node->requests() == 0;
+    }));
     for (const auto& [module, sockets] : node->out_by_engine())
         EXPECT_EQ(std::pair(module, sockets), std::pair(std::size_t{0}, std::size_t{0}));
     ASSERT_TRUE(until([&] {
-        return std::all_of(engines.begin(), engines.end(), [](const auto& e) { return e->open() == 0; });
+        return std::all_of(engines.begin(), engines.end(), [](const auto& e) {
+            return e->open() == 0;
+        });
     }));
     expect_rules_kept();
 }
@@ -330,7 +412,9 @@
     const auto quick = c.ask(ask("lookup", 50)), slow = c.ask(ask("load", 8'000));
     pass(10 * kMillisecond);
     bool over = false;
-    node->drain([&] { over = true; });
+    node->drain([&] {
+        over = true;
+    });
     pass(300 * kMillisecond);
     auto& late = client();
     const auto still = late.ask(ask("lookup", 50));
@@ -339,7 +423,11 @@
     EXPECT_TRUE(late.ended());
     auto& last = client();
     const auto refused = last.ask(ask("lookup", 50));
-    ASSERT_TRUE(until([&] { return over; }, 3'600 * kMillisecond));
+    ASSERT_TRUE(until(
+        [&] {
+            return over;
+        },
+        3'600 * kMillisecond));
     EXPECT_EQ(c.got().at(quick).how, "served");
     EXPECT_EQ(late.got().at(still).how, "served");
     EXPECT_EQ(last.got().at(refused).how, "refused");
@@ -354,10 +442,18 @@
     start();
     auto& c = client();
     const auto out = c.ask(ask("load", 8'000));
-    ASSERT_TRUE(until([&] { return e.open() == 1; }));
+    ASSERT_TRUE(until([&] {
+        return e.open() == 1;
+    }));
     bool over = false;
-    node->drain([&] { over = true; });
-    ASSERT_TRUE(until([&] { return over; }, 4 * kSecondMicros));
+    node->drain([&] {
+        over = true;
+    });
+    ASSERT_TRUE(until(
+        [&] {
+            return over;
+        },
+        4 * kSecondMicros));
     EXPECT_EQ(c.got().at(out).how, "failed");
     expect_rules_kept();
 }
--- a/tests/node/rig.hpp
+++ b/tests/node/rig.hpp
@@ -1,5 +1,5 @@
-// A front node among the platform's stand-ins, in virtual time (NodeRig) or over loopback sockets (SocketRig);
-// every test ends with the rules judged from what passed on the sockets.
+// A front node among the platform's stand-ins, in virtual time (NodeRig) or over loopback sockets
+// (SocketRig); every test ends with the rules judged from what passed on the sockets.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -18,8 +18,10 @@
     static constexpr Micros kLimit = 60 * kSecondMicros;
     static constexpr bool kVirtual = std::is_same_v<Loop, sim::VirtualLoop>;
     static auto loop_settings() {
-        if constexpr (kVirtual) return sim::VirtualSettings{.seed = 1};
-        else return net::PollLoop::Limits{.input = 96 * 1024};
+        if constexpr (kVirtual)
+            return sim::VirtualSettings{.seed = 1};
+        else
+            return net::PollLoop::Limits{.input = 96 * 1024};
     }
     // On real sockets the kernel picks the ports.
     static net::Address at(const std::string& address) {
@@ -75,7 +77,8 @@
     // would hold it.
     void list(const std::string& name, const net::Address& place, bool draining = false) {
         names.put({name, "z", "std", {{"n0", place}}, draining});
-        if (node) return;
+        if (node)
+            return;
         decide::ListedEngine e;
         e.name = name, e.address = place.text(), e.zone = "z", e.kind = "std";
         settings.known.push_back(std::move(e));
@@ -85,9 +88,13 @@
         ASSERT_TRUE(dns);
         settings.dns = *dns;
         settings.known_number = names.number();
-        node = std::make_unique<node::Node>(
-            loop, settings, node::NodeDeps{[this](const std::string& t) { log += t + "\n"; },
-                                         [this](const std::string& t) { log += t + "\n"; }});
+        node = std::make_unique<node::Node>(loop, settings,
+                                            node::NodeDeps{[this](const std::string& t) {
+                                                               log += t + "\n";
+                                                           },
+                                                           [this](const std::string& t) {
+                                                               log += t + "\n";
+                                                           }});
         const auto bound = node->start();
         ASSERT_TRUE(bound) << bound.error();
         settings.listen = *bound;
@@ -100,7 +107,9 @@
     void ready() {
         auto& c = client();
         c.probe();
-        ASSERT_TRUE(until([&] { return c.ready(); }));
+        ASSERT_TRUE(until([&] {
+            return c.ready();
+        }));
     }
     lab::PlatformClient::Ask ask(const std::string& cls = "lookup", int work_ms = 20, std::size_t rows = 3) {
         lab::PlatformClient::Ask a;
@@ -109,19 +118,26 @@
         a.sql = "SELECT a, b, c FROM sales_3.t /* gt: work_ms=" + std::to_string(work_ms) +
                 " rows=" + std::to_string(rows) + " */ -- " + a.trace;
         a.aim = kSecondMicros, a.patience = cls == "load" ? 9 * kSecondMicros : 4 * kSecondMicros;
-        if (cls == "load") a.nonce = random.hex(32);
+        if (cls == "load")
+            a.nonce = random.hex(32);
         return a;
     }
     template <typename C>
     bool until(C condition, Micros longest = kLimit) {
-        if constexpr (kVirtual) return loop.run(condition, longest);
-        else return await(loop, condition, longest);
+        if constexpr (kVirtual)
+            return loop.run(condition, longest);
+        else
+            return await(loop, condition, longest);
     }
     void pass(Micros span) {  // of virtual time
         static_assert(kVirtual, "conditions are awaited on real sockets");
         const Micros end = loop.now() + span;
         loop.after(span, [] {});
-        loop.run([&] { return loop.now() >= end; }, span + 1);
+        loop.run(
+            [&] {
+                return loop.now() >= end;
+            },
+            span + 1);
     }
     lab::Judgement judged() {
         records.facts.classes = settings.module.classes;
@@ -134,7 +150,8 @@
         const auto j = judged();
         for (const auto& v : j.violations)
             ADD_FAILURE() << "rule " << v.rule << ": " << v.what << "\n" << v.story;
-        for (const auto& e : engines) EXPECT_TRUE(e->unusable().empty()) << e->unusable()[0];
+        for (const auto& e : engines)
+            EXPECT_TRUE(e->unusable().empty()) << e->unusable()[0];
     }
 
     Loop loop{loop_settings()};
--- a/tests/policy/fit_test.cpp
+++ b/tests/policy/fit_test.cpp
@@ -42,8 +42,12 @@
     EXPECT_LE(budget, 1e7);
 }
 
-TEST(Alpha, FallsByGammaOverCv) { EXPECT_NEAR(next_alpha(0.5, 0.5, 0.2, 2.0), 0.5 - 0.025, 1e-12); }
-TEST(Alpha, GrowsByBetaWhenTheWorstPasses) { EXPECT_NEAR(next_alpha(0.4, 1.2, 0.2, 1.0), 0.5, 1e-12); }
+TEST(Alpha, FallsByGammaOverCv) {
+    EXPECT_NEAR(next_alpha(0.5, 0.5, 0.2, 2.0), 0.5 - 0.025, 1e-12);
+}
+TEST(Alpha, GrowsByBetaWhenTheWorstPasses) {
+    EXPECT_NEAR(next_alpha(0.4, 1.2, 0.2, 1.0), 0.5, 1e-12);
+}
 TEST(Alpha, HoldsBetween) {
     EXPECT_EQ(next_alpha(0.4, 0.97, 0.96, 1.0), 0.4);  // worst under theta, best not under zeta
 }
--- a/tests/policy/fleet_test.cpp
+++ b/tests/policy/fleet_test.cpp
@@ -15,7 +15,8 @@
 }
 std::vector<EngineEntry> fleet(EngineId count) {
     std::vector<EngineEntry> all;
-    for (EngineId id = 1; id <= count; ++id) all.push_back(engine(id));
+    for (EngineId id = 1; id <= count; ++id)
+        all.push_back(engine(id));
     return all;
 }
 // A short query that comes back at once from whatever engine had it, with so many queries reported there.
@@ -57,7 +58,8 @@
     int n = 0;
     std::size_t most = 0;
     for (int second = 1; second <= seconds; ++second) {
-        while (n < second * 10) rig.demand(nth("l", n++), "long");
+        while (n < second * 10)
+            rig.demand(nth("l", n++), "long");
         rig.run_until(second * 1'000'000);
         most = std::max(most, rig.sends.size());
         for (const Send& send : std::exchange(rig.sends, {}))
@@ -78,7 +80,8 @@
 TEST(Fleet, ReportsOfRoomLetMorePass) {
     Rig rig(one_of(170));
     rig.list(fleet(30));
-    for (int i = 0; i < 10; ++i) hear(rig, nth("h", i), 2);
+    for (int i = 0; i < 10; ++i)
+        hear(rig, nth("h", i), 2);
     rig.demands(10, "l", "long");
     EXPECT_EQ(rig.sends_of('l'), 10);
 }
@@ -86,7 +89,8 @@
 TEST(Fleet, BestEffortWaitsWhileReportsTellOfACrowdAndSensitiveGoesOn) {
     Rig rig(one_of(170));
     rig.list(fleet(30));
-    for (int i = 0; i < 25; ++i) hear(rig, nth("h", i), 19);
+    for (int i = 0; i < 25; ++i)
+        hear(rig, nth("h", i), 19);
     rig.demand("l", "long");
     EXPECT_EQ(rig.sends_of('l'), 0);
     rig.demand("s", "short");
@@ -101,7 +105,8 @@
     Rig rig(s);
     rig.list(fleet(30));
     rig.demand("s0", "short");
-    for (const char* id : {"s1", "s2", "s3", "s4"}) rig.demand(id, "short");
+    for (const char* id : {"s1", "s2", "s3", "s4"})
+        rig.demand(id, "short");
     const auto before = rig.sends.size();
     rig.run_until(3'000'000, false);
     EXPECT_GT(rig.sends.size(), before);
@@ -112,7 +117,8 @@
     for (const double held : {60.0, 2.0}) {
         Rig rig(one_of(2));
         rig.list({engine(1)});
-        for (int i = 0; i < 30; ++i) hear(rig, nth("w", i), 2);  // and what a query costs
+        for (int i = 0; i < 30; ++i)
+            hear(rig, nth("w", i), 2);  // and what a query costs
         rig.demand("l", "long");
         rig.outcome("l", 0, 1, Outcome::done, true, 1'000'000);
         hear(rig, "h", held);
@@ -149,13 +155,15 @@
                     }
             };
             for (int step = 0; step < 7; ++step) {  // far more is asked for than the engine may get
-                for (int i = 0; i < 3; ++i) rig.demand(nth("s", step * 3 + i), "short");
+                for (int i = 0; i < 3; ++i)
+                    rig.demand(nth("s", step * 3 + i), "short");
                 take();
                 rig.run_until(2'000'000 * (step + 1) - 900'000, false);
                 take();
             }
         }
-        for (const double sent : window) EXPECT_LT(sent, budget);
+        for (const double sent : window)
+            EXPECT_LT(sent, budget);
         EXPECT_GT(all, budget);  // over seven windows
     }
 }
@@ -182,7 +190,8 @@
     int probes = 0;
     std::set<EngineId> asked;
     for (const Action& action : rig.others)
-        if (const auto* p = std::get_if<Probe>(&action)) ++probes, asked.insert(p->engine);
+        if (const auto* p = std::get_if<Probe>(&action))
+            ++probes, asked.insert(p->engine);
     EXPECT_LE(probes, 21);
     EXPECT_GE(probes, 15);
     EXPECT_GE(asked.size(), 15u);  // the one not asked for longest goes first
@@ -205,7 +214,8 @@
         }
 }
 
-// Nothing is told: no reports, estimates, memory, tenants, cores or notes; the list comes once, and time jumps.
+// Nothing is told: no reports, estimates, memory, tenants, cores or notes; the list comes once, and time
+// jumps.
 TEST(Fleet, WithEverythingAbsentAndTimeJumpingEveryRequestGetsItsAnswer) {
     for (const int fronts : {1, 300}) {
         Settings s = one_of(fronts);
--- a/tests/policy/front_test.cpp
+++ b/tests/policy/front_test.cpp
@@ -13,7 +13,8 @@
 // How many sends went to each engine since `from`.
 std::map<EngineId, int> tally(const Rig& rig, std::size_t from) {
     std::map<EngineId, int> count;
-    for (std::size_t i = from; i < rig.sends.size(); ++i) ++count[rig.sends[i].engine];
+    for (std::size_t i = from; i < rig.sends.size(); ++i)
+        ++count[rig.sends[i].engine];
     return count;
 }
 }  // namespace
@@ -53,7 +54,8 @@
     rig.demands(30, "b", "long", "one");
     rig.demands(30, "c", "long", "two");
     const auto first = rig.sends.size();
-    for (std::size_t i = 0; i < 10; ++i) rig.outcome(rig.sends[i].id, 0, 1, Outcome::done, true, 1'000'000);
+    for (std::size_t i = 0; i < 10; ++i)
+        rig.outcome(rig.sends[i].id, 0, 1, Outcome::done, true, 1'000'000);
     EXPECT_GE(rig.sends_of('c', first),
               5);  // the tenant that came second is not behind the whole line of the first
 }
@@ -81,8 +83,10 @@
         for (std::size_t k = n; k < rig.sends.size(); ++k) {
             const Send sent = rig.sends[k];
             const int attempt = static_cast<int>(k - n);
-            if (sent.engine == 2) rig.outcome(sent.id, attempt, 2, Outcome::err, false, 1'000);
-            else rig.outcome(sent.id, attempt, sent.engine, Outcome::done, true, 100'000);
+            if (sent.engine == 2)
+                rig.outcome(sent.id, attempt, 2, Outcome::err, false, 1'000);
+            else
+                rig.outcome(sent.id, attempt, sent.engine, Outcome::done, true, 100'000);
         }
     }
     EXPECT_LT(tally(rig, 0)[2], 12);
@@ -122,8 +126,8 @@
     EXPECT_EQ(tally(rig, 1)[silent], 0);
 }
 
-// Incident r0e61aa: 1.5% of all answers never came, from any engine; notes of the attempt stopped with its work, those of
-// others on the same engine went on, and reports were waited for until their deadline.
+// Incident r0e61aa: 1.5% of all answers never came, from any engine; notes of the attempt stopped with its
+// work, those of others on the same engine went on, and reports were waited for until their deadline.
 TEST(Health, AnAttemptWithoutNotesOfItsOwnIsTriedAgainThoughItsEngineLives) {
     Settings s = plain();
     s.note_period = 400'000;
@@ -134,11 +138,13 @@
     for (Micros t = 400'000; t <= 3'200'000; t += 400'000) {
         rig.run_until(t, false);
         rig.feed(Note{"good", 0, 1, NoteTopic::progress, 0.1 + static_cast<double>(t) / 4e6});
-        if (t == 400'000) rig.feed(Note{"lost", 0, 1, NoteTopic::progress, 0.2});
+        if (t == 400'000)
+            rig.feed(Note{"lost", 0, 1, NoteTopic::progress, 0.2});
         EXPECT_TRUE(t >= 1'500'000 || rig.cancels.empty()) << t;
     }
     ASSERT_FALSE(rig.cancels.empty());
-    for (const Cancel& c : rig.cancels) EXPECT_EQ(c.id, "lost");
+    for (const Cancel& c : rig.cancels)
+        EXPECT_EQ(c.id, "lost");
     rig.outcome("lost", 0, 1, Outcome::ecanceled);
     EXPECT_EQ(rig.sends.back().id, "lost");
 }
@@ -156,14 +162,16 @@
         EXPECT_TRUE(rig.cancels.empty());  // slow as yet
         rig.run_until(500'000, false);
         EXPECT_EQ(rig.cancels.empty(), late_share > 0);
-        if (late_share > 0) continue;
+        if (late_share > 0)
+            continue;
         rig.outcome("a", 0, rig.sends[0].engine, Outcome::ecanceled);
         ASSERT_EQ(rig.sends.size(), 2u);
         EXPECT_NE(rig.sends[1].engine, rig.sends[0].engine);
     }
 }
 
-// Seen on a day of churn: look-ups estimated at a few milliseconds were called off at every tick, five times over.
+// Seen on a day of churn: look-ups estimated at a few milliseconds were called off at every tick, five times
+// over.
 TEST(Health, AQueryOfTinyEstimateIsNotCalledOffBeforeItsClassUsuallyEnds) {
     Settings s = plain();
     s.note_period = 1'000'000;
@@ -215,7 +223,8 @@
     for (int n = 0; n < 2; ++n) {
         rig.at((n + 1) * 1'000'000);
         rig.feed(Note{"l", n, rig.sends.back().engine, NoteTopic::progress, n == 0 ? 0.03 : 0.06});
-        if (n == 0) rig.outcome("l", n, rig.sends.back().engine, Outcome::ecanceled);
+        if (n == 0)
+            rig.outcome("l", n, rig.sends.back().engine, Outcome::ecanceled);
     }
     return rig.cancels.size();
 }
@@ -229,14 +238,17 @@
     Rig rig(plain());
     rig.list({engine(1), engine(2)});
     // The seed is aim times threads over four.
-    const auto ask = [&](const std::string& id) { rig.feed(unestimated(id, "long", 20'000'000)); };
+    const auto ask = [&](const std::string& id) {
+        rig.feed(unestimated(id, "long", 20'000'000));
+    };
     for (int i = 0; i < 40; ++i) {
         ask(nth("l", i));
         rig.outcome(nth("l", i), 0, rig.sends.back().engine, Outcome::done, true, 3'000'000);
     }
     ask("slow");
     rig.at(1'000'000);
-    rig.feed(Note{"slow", 0, rig.sends.back().engine, NoteTopic::progress, 0.2});  // five seconds: usual by now
+    rig.feed(
+        Note{"slow", 0, rig.sends.back().engine, NoteTopic::progress, 0.2});  // five seconds: usual by now
     EXPECT_EQ(rig.cancels.size(), 0u);
 }
 
@@ -249,7 +261,8 @@
         rig.feed(Note{"s", n, rig.sends.back().engine, NoteTopic::waits, 1});  // for memory: moves nothing
         EXPECT_EQ(rig.cancels.size(), static_cast<std::size_t>(n));
         rig.feed(Note{"s", n, rig.sends.back().engine, NoteTopic::waits, 2});
-        if (n < 2) rig.outcome("s", n, rig.sends.back().engine, Outcome::ecanceled);
+        if (n < 2)
+            rig.outcome("s", n, rig.sends.back().engine, Outcome::ecanceled);
     }
     EXPECT_EQ(rig.cancels.size(), 2u);
 }
@@ -263,21 +276,25 @@
     rig.demand("s", "short");
     for (int n = 0; n < 3; ++n) {
         rig.feed(Note{"s", n, rig.sends.back().engine, NoteTopic::waits, 2});
-        if (n < 2) rig.outcome("s", n, rig.sends.back().engine, Outcome::ecanceled);
+        if (n < 2)
+            rig.outcome("s", n, rig.sends.back().engine, Outcome::ecanceled);
     }
     EXPECT_EQ(rig.cancels.size(), 2u);
     EXPECT_EQ(rig.sends.size(), 3u);
 }
 
-// One of a hundred fronts on ten engines, and one answer with a report: how many of twenty short queries go out.
+// One of a hundred fronts on ten engines, and one answer with a report: how many of twenty short queries go
+// out.
 std::size_t sent_after(double told, int crawling_notes) {
     Settings s = plain();
     s.siblings = 100, s.reports = ReportSource::answers;
     Rig rig(s);
     std::vector<EngineEntry> engines;
-    for (EngineId id = 1; id <= 10; ++id) engines.push_back(engine(id));
+    for (EngineId id = 1; id <= 10; ++id)
+        engines.push_back(engine(id));
     rig.list(engines);
-    if (crawling_notes > 0) rig.demand("l", "long");
+    if (crawling_notes > 0)
+        rig.demand("l", "long");
     rig.demand("first", "short");
     const EngineId heard = rig.sends.back().engine;
     rig.at(100'000);
@@ -354,7 +371,8 @@
     }
 }
 
-// Grants for a long query estimated at 20 MB, after so many like it have told in notes that they lacked 40 MB.
+// Grants for a long query estimated at 20 MB, after so many like it have told in notes that they lacked 40
+// MB.
 double grant_after(int spills, WhenShort when_short, bool told) {
     Settings s = plain();
     s.when_short = when_short, s.cost_in_answers = told;
@@ -362,7 +380,8 @@
     rig.list({engine(1)});
     for (int i = 0; i <= spills; ++i) {
         rig.demand(nth("l", i), "long");
-        if (i == spills) break;
+        if (i == spills)
+            break;
         rig.feed(Note{nth("l", i), 0, 1, NoteTopic::spills, 40});
         rig.outcome(nth("l", i), 0, 1, Outcome::done, true, 1'000'000);
     }
@@ -372,9 +391,10 @@
 TEST(Grants, NeedsAreLearntFromNotesOfSpilling) {
     EXPECT_NEAR(grant_after(0, WhenShort::trim, false), 25, 1e-9);
     EXPECT_GT(grant_after(20, WhenShort::trim, false), 60);
-    EXPECT_LE(grant_after(500, WhenShort::trim, false), 16384.0 * 2 / 16 + 100);  // what all of C can have, at most
-    EXPECT_NEAR(grant_after(20, WhenShort::trim, true), 25, 1e-9);                // answers tell the need
-    EXPECT_NEAR(grant_after(20, WhenShort::swap, false), 60, 1e-9);               // the grant is free there
+    EXPECT_LE(grant_after(500, WhenShort::trim, false),
+              16384.0 * 2 / 16 + 100);                               // what all of C can have, at most
+    EXPECT_NEAR(grant_after(20, WhenShort::trim, true), 25, 1e-9);   // answers tell the need
+    EXPECT_NEAR(grant_after(20, WhenShort::swap, false), 60, 1e-9);  // the grant is free there
 }
 
 TEST(Discovery, AskedAtTheStartAndAgainWhenLost) {
@@ -383,8 +403,9 @@
     s.ask_within = 4'000'000;
     Rig rig(s);
     const auto asks = [&] {
-        return std::count_if(rig.others.begin(), rig.others.end(),
-                             [](const Action& a) { return std::holds_alternative<Observe>(a); });
+        return std::count_if(rig.others.begin(), rig.others.end(), [](const Action& a) {
+            return std::holds_alternative<Observe>(a);
+        });
     };
     EXPECT_EQ(asks(), 1);
     rig.list({engine(1)});
@@ -423,10 +444,12 @@
     const auto play = [] {
         Rig rig(plain(), 11);
         rig.list({engine(1), engine(2), engine(3)});
-        for (int i = 0; i < 50; ++i) rig.demand(nth("a", i), i % 3 ? "short" : "long");
+        for (int i = 0; i < 50; ++i)
+            rig.demand(nth("a", i), i % 3 ? "short" : "long");
         rig.run_until(6'000'000);
         std::vector<std::pair<std::string, EngineId>> sent;
-        for (const Send& send : rig.sends) sent.emplace_back(send.id, send.engine);
+        for (const Send& send : rig.sends)
+            sent.emplace_back(send.id, send.engine);
         return sent;
     };
     EXPECT_EQ(play(), play());
@@ -439,9 +462,11 @@
     rig.run_until(100'000);
     rig.demands(4, "short", "short");
     const auto before = rig.sends.size();
-    for (std::size_t i = 0; i < 4; ++i) rig.outcome(rig.sends[i].id, 0, 1, Outcome::done, true, 1'000'000);
+    for (std::size_t i = 0; i < 4; ++i)
+        rig.outcome(rig.sends[i].id, 0, 1, Outcome::done, true, 1'000'000);
     int quick = 0;
-    for (std::size_t i = before; i < rig.sends.size(); ++i) quick += rig.sends[i].id[0] == 's';
+    for (std::size_t i = before; i < rig.sends.size(); ++i)
+        quick += rig.sends[i].id[0] == 's';
     EXPECT_EQ(quick, 4);
 }
 
@@ -471,8 +496,8 @@
     EXPECT_EQ(tally(rig, 1)[full], 0);
 }
 
-// Incident r24f211: two of five engines turned away every report, at once and with little to do; resting whole for a
-// second each time, they were lost to look-ups too.
+// Incident r24f211: two of five engines turned away every report, at once and with little to do; resting
+// whole for a second each time, they were lost to look-ups too.
 TEST(Health, AnEngineThatTurnsAwayOneClassWithoutACrowdStillGetsOthers) {
     for (const double held : {1.0, 30.0}) {
         Rig rig(plain());
@@ -487,16 +512,19 @@
         rig.demands(12, "s", "short"), rig.demands(4, "l", "long");
         int shorts = 0, longs = 0;
         for (std::size_t i = 1; i < rig.sends.size(); ++i)
-            if (rig.sends[i].engine == away.engine) ++(rig.sends[i].id[0] == 's' ? shorts : longs);
+            if (rig.sends[i].engine == away.engine)
+                ++(rig.sends[i].id[0] == 's' ? shorts : longs);
         EXPECT_EQ(longs, 0);
-        if (held < 10) EXPECT_GT(shorts, 0);
-        else EXPECT_EQ(shorts, 0);  // full by its own word: nothing goes there
+        if (held < 10)
+            EXPECT_GT(shorts, 0);
+        else
+            EXPECT_EQ(shorts, 0);  // full by its own word: nothing goes there
         rig.run_until(1'100'000);
     }
 }
 
-// Seen on the platform's sockets: a request that no engine can use is answered with an error by each, six tries within a
-// millisecond, and three engines were shunned for it.
+// Seen on the platform's sockets: a request that no engine can use is answered with an error by each, six
+// tries within a millisecond, and three engines were shunned for it.
 TEST(Health, ARequestThatFailsEverywhereCostsNoEngineItsTrust) {
     Settings s = plain();
     s.attempts_cap = 6;
@@ -510,7 +538,8 @@
     rig.demands(40, "s", "short");
     std::set<EngineId> used;
     for (const Send& send : rig.sends)
-        if (send.id[0] == 's') used.insert(send.engine);
+        if (send.id[0] == 's')
+            used.insert(send.engine);
     EXPECT_EQ(used.size(), 8u);
     EXPECT_EQ(rig.sends_of('s'), 40);
 }
@@ -525,7 +554,8 @@
         for (std::size_t n = from; n < rig.sends.size(); ++n) {  // what it tries again is sent meanwhile
             const Send send = rig.sends[n];
             const bool fails = send.engine == 2;
-            rig.outcome(send.id, static_cast<int>(n - from), send.engine, fails ? Outcome::err : Outcome::done, !fails);
+            rig.outcome(send.id, static_cast<int>(n - from), send.engine,
+                        fails ? Outcome::err : Outcome::done, !fails);
         }
     }
     EXPECT_LE(tally(rig, 0)[2], 4);
--- a/tests/policy/rig.hpp
+++ b/tests/policy/rig.hpp
@@ -38,7 +38,9 @@
     return s;
 }
 
-inline std::string nth(const std::string& name, int i) { return name + std::to_string(i); }
+inline std::string nth(const std::string& name, int i) {
+    return name + std::to_string(i);
+}
 
 inline EngineEntry engine(EngineId id, std::int64_t cell = 0) {
     EngineEntry e;
@@ -55,11 +57,19 @@
 
 class Rig {
 public:
-    explicit Rig(Settings s, std::uint64_t seed = 7) : brain(0, seed, std::move(s)) { keep(brain.start()); }
+    explicit Rig(Settings s, std::uint64_t seed = 7) : brain(0, seed, std::move(s)) {
+        keep(brain.start());
+    }
 
-    void at(Micros time) { now = time; }
-    void feed(const Event& event) { keep(brain.handle(now, event)); }
-    void list(std::vector<EngineEntry> engines) { feed(ListChange{ListForm::total, std::move(engines)}); }
+    void at(Micros time) {
+        now = time;
+    }
+    void feed(const Event& event) {
+        keep(brain.handle(now, event));
+    }
+    void list(std::vector<EngineEntry> engines) {
+        feed(ListChange{ListForm::total, std::move(engines)});
+    }
     void demand(const std::string& id, const std::string& type, const std::string& key = "",
                 const std::string& tenant = "") {
         Demand d;
@@ -71,7 +81,8 @@
     }
     void demands(int count, const std::string& name, const std::string& type,
                  const std::string& tenant = "") {
-        for (int i = 0; i < count; ++i) demand(nth(name, i), type, "", tenant);
+        for (int i = 0; i < count; ++i)
+            demand(nth(name, i), type, "", tenant);
     }
     void outcome(const std::string& id, int attempt, EngineId engine, Outcome outcome, bool finished = false,
                  Micros taken = 100'000) {
@@ -92,17 +103,26 @@
         }
         now = std::max(now, end);
     }
-    int refused(const std::string& id) const { return count(refusals, id); }
-    int failed(const std::string& id) const { return count(failures, id); }
-    Micros ended_at(const std::string& id) const { return ends.at(id); }
+    int refused(const std::string& id) const {
+        return count(refusals, id);
+    }
+    int failed(const std::string& id) const {
+        return count(failures, id);
+    }
+    Micros ended_at(const std::string& id) const {
+        return ends.at(id);
+    }
     int sends_of(char initial, std::size_t from = 0) const {
-        const auto named = [&](const Send& send) { return send.id[0] == initial; };
+        const auto named = [&](const Send& send) {
+            return send.id[0] == initial;
+        };
         return static_cast<int>(
             std::count_if(sends.begin() + static_cast<std::ptrdiff_t>(from), sends.end(), named));
     }
     std::vector<std::string> sent_ids() const {
         std::vector<std::string> ids;
-        for (const Send& send : sends) ids.push_back(send.id);
+        for (const Send& send : sends)
+            ids.push_back(send.id);
         return ids;
     }
 
@@ -120,18 +140,26 @@
     template <typename T>
     static int count(const std::vector<T>& all, const std::string& id) {
         int n = 0;
-        for (const T& one : all) n += one.id == id;
+        for (const T& one : all)
+            n += one.id == id;
         return n;
     }
     void keep(const std::vector<Action>& actions) {
         for (const Action& action : actions) {
-            if (const auto* a = std::get_if<Send>(&action)) sends.push_back(*a);
-            else if (const auto* b = std::get_if<Refuse>(&action)) refusals.push_back(*b), ends[b->id] = now;
-            else if (const auto* c = std::get_if<Fail>(&action)) failures.push_back(*c), ends[c->id] = now;
-            else if (const auto* d = std::get_if<Cancel>(&action)) cancels.push_back(*d);
-            else if (const auto* e = std::get_if<Terms>(&action)) terms.push_back(*e);
-            else if (const auto* f = std::get_if<SetTimer>(&action)) timers.emplace(now + f->delay, f->name);
-            else others.push_back(action);
+            if (const auto* a = std::get_if<Send>(&action))
+                sends.push_back(*a);
+            else if (const auto* b = std::get_if<Refuse>(&action))
+                refusals.push_back(*b), ends[b->id] = now;
+            else if (const auto* c = std::get_if<Fail>(&action))
+                failures.push_back(*c), ends[c->id] = now;
+            else if (const auto* d = std::get_if<Cancel>(&action))
+                cancels.push_back(*d);
+            else if (const auto* e = std::get_if<Terms>(&action))
+                terms.push_back(*e);
+            else if (const auto* f = std::get_if<SetTimer>(&action))
+                timers.emplace(now + f->delay, f->name);
+            else
+                others.push_back(action);
         }
     }
     std::map<std::string, Micros> ends;
--- a/tests/policy/rules_test.cpp
+++ b/tests/policy/rules_test.cpp
@@ -103,7 +103,8 @@
     const EngineId first = rig.sends[0].engine;
     rig.outcome("a", 0, first, Outcome::econnreset);
     rig.run_until(4'000'000, false);
-    for (const Send& send : rig.sends) EXPECT_EQ(send.engine, first);
+    for (const Send& send : rig.sends)
+        EXPECT_EQ(send.engine, first);
     rig.list({engine(first == 1 ? 2 : 1, first == 1 ? 1 : 0)});
     rig.outcome("a", static_cast<int>(rig.sends.size()) - 1, first, Outcome::econnreset);
     rig.run_until(24'900'000, false);
@@ -141,7 +142,8 @@
     rig.list({engine(1), engine(2)});
     rig.list({engine(2)});
     rig.demands(20, "a", "short");
-    for (const Send& send : rig.sends) EXPECT_EQ(send.engine, 2u);
+    for (const Send& send : rig.sends)
+        EXPECT_EQ(send.engine, 2u);
 }
 
 TEST(Drains, AHeldRequestDoesNotFollowAnEngineThatDrained) {
@@ -204,11 +206,12 @@
     }
 }
 
-// A front that has just started and knows nothing of a class's work: what takes as long as its aim is to be expected, or
-// one front alone sends a cold engine more than it can bear.
+// A front that has just started and knows nothing of a class's work: what takes as long as its aim is to be
+// expected, or one front alone sends a cold engine more than it can bear.
 TEST(Cold, AClassWhoseWorkNobodyKnowsCountsAsLongAsItsAim) {
     ColdRig rig(1);
-    for (int i = 0; i < 100; ++i) rig.feed(unestimated(nth("u", i), "long", 20'000'000));
+    for (int i = 0; i < 100; ++i)
+        rig.feed(unestimated(nth("u", i), "long", 20'000'000));
     const double aim_core_seconds = 3.0 * 2;
     EXPECT_GE(rig.sends.size(), 1u);
     EXPECT_LE(static_cast<double>(rig.sends.size()) * aim_core_seconds, 12.24);
@@ -235,7 +238,8 @@
 void press_a_cold_one_instead(Rig& rig, Micros came_up) {
     list_a_cold_one_instead(rig, came_up);
     rig.sends.clear();
-    for (int i = 0; i < 100; ++i) rig.feed(unestimated(nth("v", i), "long", 20'000'000));
+    for (int i = 0; i < 100; ++i)
+        rig.feed(unestimated(nth("v", i), "long", 20'000'000));
 }
 
 // The first answers tell more of a class's work than what it was taken for before.
@@ -280,13 +284,16 @@
         if (!rig.sends.empty() && rig.answered < rig.sends.size())
             rig.outcome(rig.sends[rig.answered].id, 0, 1, Outcome::done, true), ++rig.answered;
     };
-    for (int i = 0; i < 3; ++i) ask(nth("a", i), 100'000);
-    for (int i = 0; i < 100; ++i) ask(nth("b", i), 1'000'000);
+    for (int i = 0; i < 3; ++i)
+        ask(nth("a", i), 100'000);
+    for (int i = 0; i < 100; ++i)
+        ask(nth("b", i), 1'000'000);
     EXPECT_GE(rig.sends_of('b'), 1);
     EXPECT_LE(rig.sends_of('b') * 1.0 + rig.sends_of('a') * 0.1, 12.24);
 }
 
-// Once a class is well known, its short queries don't each take the place of a usual one, and what was sent still fits.
+// Once a class is well known, its short queries don't each take the place of a usual one, and what was sent
+// still fits.
 TEST(Cold, AKnownClassOfShortAndLongQueriesUsesTheBudget) {
     Settings s = plain();
     s.cost_in_answers = true;
@@ -297,15 +304,18 @@
         d.cost = cost;
         const auto before = rig.sends.size();
         rig.feed(d);
-        if (rig.sends.size() == before) return;
+        if (rig.sends.size() == before)
+            return;
         Completed answer = told_work(rig.sends.back().id, cost, static_cast<double>(cost) / 1000);
         answer.engine = rig.sends.back().engine;
         rig.feed(answer);
     };
-    for (int i = 0; i < 30; ++i) ask(nth("a", i), 40'000), ask(nth("A", i), 360'000);
+    for (int i = 0; i < 30; ++i)
+        ask(nth("a", i), 40'000), ask(nth("A", i), 360'000);
     rig.at(2'000'000);
     list_a_cold_one_instead(rig, 1'900'000);
-    for (int i = 0; i < 30; ++i) ask(nth("b", i), 40'000), ask(nth("c", i), 360'000);
+    for (int i = 0; i < 30; ++i)
+        ask(nth("b", i), 40'000), ask(nth("c", i), 360'000);
     const double sent = rig.sends_of('b') * 0.04 + rig.sends_of('c') * 0.36;
     EXPECT_GE(sent, 0.9 * 0.6 * 12.24);
     EXPECT_LE(sent, 12.24);
@@ -371,7 +381,8 @@
         rig.outcome(rig.sends[i].id, 0, rig.sends[i].engine, Outcome::econnrefused);
     rig.run_until(1'500'000, false);
     ASSERT_GT(rig.sends.size(), first);
-    for (const Send& send : rig.sends) EXPECT_EQ(send.engine, send.id[0] == 's' ? 2u : 3u);
+    for (const Send& send : rig.sends)
+        EXPECT_EQ(send.engine, send.id[0] == 's' ? 2u : 3u);
     rig.list({engine(1)});
     const auto before = rig.sends.size();
     rig.demand("s-late", "short");
@@ -392,7 +403,8 @@
     rig.list({engine(1), engine(2)});
     rig.demands(10, "a", "short");
     ASSERT_EQ(rig.sends.size(), 10u);
-    for (int i = 0; i < 10; ++i) rig.outcome(rig.sends[i].id, 0, rig.sends[i].engine, Outcome::err);
+    for (int i = 0; i < 10; ++i)
+        rig.outcome(rig.sends[i].id, 0, rig.sends[i].engine, Outcome::err);
     rig.run_until(700'000, false);
     EXPECT_EQ(rig.sends.size() - 10, 4u);  // 2 + 0.2 x 10, and no more
 }
@@ -402,7 +414,8 @@
     rig.list({engine(1), engine(2)});
     rig.demand("a", "short");
     for (int i = 0; i < 8 && rig.refused("a") == 0; ++i) {
-        if (rig.sends.size() <= static_cast<std::size_t>(i)) break;
+        if (rig.sends.size() <= static_cast<std::size_t>(i))
+            break;
         rig.outcome("a", i, rig.sends[i].engine, Outcome::err);
     }
     rig.run_until(1'000'000, false);
--- a/tests/report/report_test.cpp
+++ b/tests/report/report_test.cpp
@@ -21,7 +21,8 @@
 
 Calendar month(const std::string& zone, const std::string& text) {
     auto c = Calendar::month(zone, text);
-    if (!c) throw std::runtime_error(c.error());
+    if (!c)
+        throw std::runtime_error(c.error());
     return *c;
 }
 
@@ -42,7 +43,8 @@
         std::vector<Calendar> year;
         for (int m = 1; m <= 12; ++m)
             year.push_back(month(zone, "2026-" + std::string(m < 10 ? "0" : "") + std::to_string(m)));
-        for (std::size_t i = 0; i + 1 < 12; ++i) EXPECT_EQ(year[i].until(), year[i + 1].from()) << zone;
+        for (std::size_t i = 0; i + 1 < 12; ++i)
+            EXPECT_EQ(year[i].until(), year[i + 1].from()) << zone;
         for (int i = 0; i < 500; ++i) {
             const Micros t = year[0].from() + static_cast<Micros>(random.below(static_cast<std::uint64_t>(
                                                   year[11].until() - year[0].from())));
@@ -54,7 +56,8 @@
                     ASSERT_GE(day, 0);
                     ASSERT_LT(static_cast<std::size_t>(day), c.dates().size());
                     Micros start = c.from();
-                    for (int d = 0; d < day; ++d) start += c.length(d);
+                    for (int d = 0; d < day; ++d)
+                        start += c.length(d);
                     EXPECT_TRUE(t >= start && t < start + c.length(day));
                 }
             EXPECT_EQ(in, 1) << zone << " " << t;
@@ -88,10 +91,13 @@
         std::filesystem::remove_all(folder);
         std::filesystem::create_directories(folder);
         auto s = load_settlement_text("s", kSettlement);
-        if (!s) throw std::runtime_error(s.error());
+        if (!s)
+            throw std::runtime_error(s.error());
         settlement = *s;
     }
-    ~ReportTest() override { std::filesystem::remove_all(folder); }
+    ~ReportTest() override {
+        std::filesystem::remove_all(folder);
+    }
 
     // A front's ledger over October with everything in it, drawn.
     std::string ledger(int front, Random& random, int requests) {
@@ -131,7 +137,8 @@
     }
     Report report(store::Books& books, const std::string& which = "2026-10") {
         auto r = make_report(books, settlement, month(settlement.zone, which), {});
-        if (!r) throw std::runtime_error(r.error());
+        if (!r)
+            throw std::runtime_error(r.error());
         return *r;
     }
     std::string folder = ::testing::TempDir() + "report-" + std::to_string(::getpid());
@@ -142,7 +149,8 @@
     std::vector<std::vector<std::string>> rows;
     for (const auto line : split(text, '\n')) {
         rows.emplace_back();
-        for (const auto cell : split(line.substr(0, line.find('\r')), ',')) rows.back().emplace_back(cell);
+        for (const auto cell : split(line.substr(0, line.find('\r')), ','))
+            rows.back().emplace_back(cell);
     }
     return rows;
 }
@@ -155,8 +163,10 @@
         store::Books one, other;
         ASSERT_FALSE(one.open(":memory:"));
         ASSERT_FALSE(other.open(":memory:"));
-        for (const auto& file : {first, second}) ASSERT_TRUE(one.collect_ledger(file));
-        for (const auto& file : {second, first, second}) ASSERT_TRUE(other.collect_ledger(file));
+        for (const auto& file : {first, second})
+            ASSERT_TRUE(one.collect_ledger(file));
+        for (const auto& file : {second, first, second})
+            ASSERT_TRUE(other.collect_ledger(file));
         const auto r = report(one);
         EXPECT_EQ(to_json(r).dump(), to_json(report(other)).dump());
         std::map<std::string, std::int64_t> sums;
@@ -171,14 +181,17 @@
                                                              heads.begin());
                     std::string digits = rows[i][at];
                     std::erase(digits, '.');
-                    if (std::string(column) == "core_s") continue;  // cut to milliseconds cell by cell
+                    if (std::string(column) == "core_s")
+                        continue;  // cut to milliseconds cell by cell
                     sum[column] += *to_number<std::int64_t>(digits);
                 }
-            if (sums.empty()) sums = sum;
+            if (sums.empty())
+                sums = sum;
             EXPECT_EQ(sum, sums) << by;
         }
         decide::Line total;
-        for (const auto& [key, line] : r.lines) total += line;
+        for (const auto& [key, line] : r.lines)
+            total += line;
         EXPECT_EQ(decide::decimal_text(total.amount[0] + total.amount[1], 2),
                   std::to_string(sums["EUR_all"] / 100) + "." + (sums["EUR_all"] % 100 < 10 ? "0" : "") +
                       std::to_string(sums["EUR_all"] % 100));
@@ -188,7 +201,9 @@
 
 TEST_F(ReportTest, TeamsAreThoseOfTheArrival) {
     decide::Teams teams(settlement.rules, settlement.teams);
-    const auto at = [&](const std::string& text) { return *local_time(settlement.zone, text); };
+    const auto at = [&](const std::string& text) {
+        return *local_time(settlement.zone, text);
+    };
     const decide::Who east{"u", "s", "a=2,x=1", "c", "east"}, plain{"u", "s", "", "c", "east"};
     EXPECT_EQ(teams.of(east, at("2026-10-14T23:59:59")), "old");
     EXPECT_EQ(teams.of(east, at("2026-10-15")), "new");  // split off
--- a/tests/resp/resp_test.cpp
+++ b/tests/resp/resp_test.cpp
@@ -60,7 +60,9 @@
         for (std::size_t n = 1; n <= bad.size() && pieces == Reading::none; ++n)
             pieces = read(std::string_view(bad).substr(0, n), again, size_again);
         ASSERT_EQ(pieces, whole) << "seed " << seed;
-        if (whole == Reading::whole) { ASSERT_EQ(size, size_again) << "seed " << seed; }
+        if (whole == Reading::whole) {
+            ASSERT_EQ(size, size_again) << "seed " << seed;
+        }
     }
 }
 
--- a/tests/roster/roster_test.cpp
+++ b/tests/roster/roster_test.cpp
@@ -26,8 +26,12 @@
 protected:
     void start(const config::RosterSettings& settings) {
         source = make_source(loop, settings, "f1");
-        source->start({[this](auto list) { last = std::move(list), ++lists; },
-                       [this](const std::string& why) { reason = why, ++lost; }});
+        source->start({[this](auto list) {
+                           last = std::move(list), ++lists;
+                       },
+                       [this](const std::string& why) {
+                           reason = why, ++lost;
+                       }});
     }
     template <typename C>
     bool until(C condition) {
@@ -42,23 +46,35 @@
 
 TEST_F(RosterTest, AWatchedFileThatIsBrokenOrGoneLeavesTheLastListInForce) {
     const std::string file = ::testing::TempDir() + "roster-" + std::to_string(::getpid()) + ".json";
-    const auto write = [&](const std::string& text) { std::ofstream(file) << text; };
+    const auto write = [&](const std::string& text) {
+        std::ofstream(file) << text;
+    };
     write(list_of({"a", "b"}));
     start({.file = file, .every = 5 * kMillisecond});
-    ASSERT_TRUE(until([&] { return lists == 1; }));
+    ASSERT_TRUE(until([&] {
+        return lists == 1;
+    }));
     EXPECT_EQ(last.size(), 2u);
     write("{\"engines\": {\"a\"");  // as read while it is being written
-    ASSERT_TRUE(until([&] { return lost == 1; }));
+    ASSERT_TRUE(until([&] {
+        return lost == 1;
+    }));
     EXPECT_NE(reason.find(file), std::string::npos);
     std::filesystem::remove(file);
-    for (int i = 0; i < 20; ++i) loop.turn(5 * kMillisecond);
+    for (int i = 0; i < 20; ++i)
+        loop.turn(5 * kMillisecond);
     EXPECT_EQ(lost, 1);  // told once
     write(list_of({"a", "b"}));
-    ASSERT_TRUE(until([&] { return lists == 2; }));  // the same list, but found again: told
+    ASSERT_TRUE(until([&] {
+        return lists == 2;
+    }));  // the same list, but found again: told
     write(list_of({"a"}, "fading"));
-    ASSERT_TRUE(until([&] { return lists == 3; }));
+    ASSERT_TRUE(until([&] {
+        return lists == 3;
+    }));
     EXPECT_EQ(last.at(0).state, EngineState::fading);
-    for (int i = 0; i < 20; ++i) loop.turn(5 * kMillisecond);
+    for (int i = 0; i < 20; ++i)
+        loop.turn(5 * kMillisecond);
     EXPECT_EQ(lists, 3);  // nothing new, nothing told
     std::filesystem::remove(file);
 }
@@ -70,33 +86,47 @@
     std::string agent;
     http::Server server(loop, {}, [&](http::Request& r, http::Server::Reply reply) {
         agent = r.headers.find("User-Agent").value_or("");
-        if (down) return reply.send({503, {}, ""});
+        if (down)
+            return reply.send({503, {}, ""});
         http::Response answer{200, {}, body};
-        if (r.headers.find("If-None-Match") == tag) answer = {304, {}, ""}, ++unchanged;
-        else ++full;
+        if (r.headers.find("If-None-Match") == tag)
+            answer = {304, {}, ""}, ++unchanged;
+        else
+            ++full;
         answer.headers.add("ETag", tag);
         reply.send(answer);
     });
     const auto at = *server.listen(*net::Address::parse("127.0.0.1:0"));
     start({.http = at, .path = "/list", .every = 5 * kMillisecond});
-    ASSERT_TRUE(until([&] { return lists == 1 && unchanged >= 3; }));
+    ASSERT_TRUE(until([&] {
+        return lists == 1 && unchanged >= 3;
+    }));
     EXPECT_EQ(full, 1);
     EXPECT_EQ(agent, "gatetiller/f1");
     down = true;
-    ASSERT_TRUE(until([&] { return lost == 1; }));
-    for (int i = 0; i < 10; ++i) loop.turn(5 * kMillisecond);
+    ASSERT_TRUE(until([&] {
+        return lost == 1;
+    }));
+    for (int i = 0; i < 10; ++i)
+        loop.turn(5 * kMillisecond);
     EXPECT_EQ(lost, 1);
     ASSERT_TRUE(until([&] {
         source->ask();  // passed over while a call is in flight
         return lost == 2;
     }));
     down = false;
-    ASSERT_TRUE(until([&] { return lists >= 2; }));  // unchanged, but there again
+    ASSERT_TRUE(until([&] {
+        return lists >= 2;
+    }));  // unchanged, but there again
     tag = "\"2\"", body = list_of({"a", "c"});
-    ASSERT_TRUE(until([&] { return last.size() == 2; }));
+    ASSERT_TRUE(until([&] {
+        return last.size() == 2;
+    }));
     body = "no list", tag = "\"3\"";
     const int before = lost;
-    ASSERT_TRUE(until([&] { return lost > before; }));
+    ASSERT_TRUE(until([&] {
+        return lost > before;
+    }));
     EXPECT_EQ(last.size(), 2u);
 }
 
--- a/tests/shim/fault_shim.cpp
+++ b/tests/shim/fault_shim.cpp
@@ -1,7 +1,5 @@
-// A library that stands before the C library's system calls and makes them fail as Linux documents: loaded into
-// the program with LD_PRELOAD by the soak, linked by tests of the loop. For tests only.
-#include "shim/fault_control.hpp"
-
+// A library that stands before the C library's system calls and makes them fail as Linux documents: loaded
+// into the program with LD_PRELOAD by the soak, linked by tests of the loop. For tests only.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <poll.h>
@@ -19,6 +17,8 @@
 #include <cstdlib>
 #include <ctime>
 
+#include "shim/fault_control.hpp"
+
 namespace {
 
 using gatetiller::testing::Call;
@@ -38,10 +38,12 @@
 FaultControl* map_control() {
     static FaultControl own;
     const char* file = std::getenv(gatetiller::testing::kControlVariable);
-    if (!file) return &own;
+    if (!file)
+        return &own;
     static const auto open_file = next<int(const char*, int, ...)>("open");
     const int fd = open_file(file, O_RDWR | O_CLOEXEC);
-    if (fd < 0) return &own;
+    if (fd < 0)
+        return &own;
     void* const shared = ::mmap(nullptr, sizeof(FaultControl), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
     ::close(fd);
     return shared == MAP_FAILED ? &own : static_cast<FaultControl*>(shared);
@@ -53,8 +55,10 @@
 }
 
 bool drawn(std::uint32_t per_mille) {
-    if (per_mille == 0) return false;
-    if (per_mille >= 1000) return true;
+    if (per_mille == 0)
+        return false;
+    if (per_mille >= 1000)
+        return true;
     std::uint64_t x = control().random.fetch_add(0x9e3779b97f4a7c15) + 0x9e3779b97f4a7c15;  // splitmix64
     x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9;
     x = (x ^ (x >> 27)) * 0x94d049bb133111eb;
@@ -65,10 +69,13 @@
 bool fails(Call call) {
     CallFaults& faults = control().of(call);
     faults.calls.fetch_add(1, std::memory_order_relaxed);
-    if (!drawn(faults.per_mille)) return false;
+    if (!drawn(faults.per_mille))
+        return false;
     for (std::uint32_t left = faults.left; left != kNoEnd;) {
-        if (left == 0) return false;
-        if (faults.left.compare_exchange_weak(left, left - 1)) break;
+        if (left == 0)
+            return false;
+        if (faults.left.compare_exchange_weak(left, left - 1))
+            break;
     }
     faults.failed.fetch_add(1, std::memory_order_relaxed);
     errno = faults.error;
@@ -76,7 +83,8 @@
 }
 
 std::size_t shortened(std::size_t size) {
-    if (size <= 1 || !drawn(control().short_per_mille)) return size;
+    if (size <= 1 || !drawn(control().short_per_mille))
+        return size;
     control().shortened.fetch_add(1, std::memory_order_relaxed);
     return std::min(size, kShortMost);
 }
@@ -89,14 +97,16 @@
 // Half of the last write reaches the file, then the process is gone.
 template <typename Write>
 void die_if_told(std::size_t size, Write write) {
-    if (control().die_in_write.exchange(0) == 0) return;
+    if (control().die_in_write.exchange(0) == 0)
+        return;
     (void)!write(size / 2);
     ::kill(::getpid(), SIGKILL);
 }
 
 void stall_if_told() {
     const std::uint32_t span = control().stall_after_poll_us.exchange(0);
-    if (span == 0) return;
+    if (span == 0)
+        return;
     const timespec rest{span / 1'000'000, static_cast<long>(span % 1'000'000) * 1000};
     ::nanosleep(&rest, nullptr);
 }
@@ -105,8 +115,10 @@
     const std::int64_t offset = control().wall_offset_us;
     std::int64_t nanos = t.tv_nsec + offset % 1'000'000 * 1000;
     t.tv_sec += offset / 1'000'000;
-    if (nanos < 0) nanos += 1'000'000'000, --t.tv_sec;
-    if (nanos >= 1'000'000'000) nanos -= 1'000'000'000, ++t.tv_sec;
+    if (nanos < 0)
+        nanos += 1'000'000'000, --t.tv_sec;
+    if (nanos >= 1'000'000'000)
+        nanos -= 1'000'000'000, ++t.tv_sec;
     t.tv_nsec = nanos;
 }
 
@@ -114,7 +126,9 @@
 
 extern "C" {
 
-FaultControl* gatetiller_fault_control() { return &control(); }
+FaultControl* gatetiller_fault_control() {
+    return &control();
+}
 
 int accept4(int fd, sockaddr* address, socklen_t* size, int flags) {
     GATETILLER_NEXT(accept4);
@@ -128,7 +142,8 @@
 
 int connect(int fd, const sockaddr* address, socklen_t size) {
     GATETILLER_NEXT(connect);
-    if (!fails(Call::connect)) return real(fd, address, size);
+    if (!fails(Call::connect))
+        return real(fd, address, size);
     // An interrupted connect goes on by itself.
     if (errno == EINTR) {
         (void)real(fd, address, size);
@@ -174,9 +189,11 @@
 
 int ppoll(pollfd* polled, nfds_t count, const timespec* time_out, const sigset_t* mask) {
     GATETILLER_NEXT(ppoll);
-    if (fails(Call::poll)) return -1;
+    if (fails(Call::poll))
+        return -1;
     const int ready = real(polled, count, time_out, mask);
-    if (ready > 0) stall_if_told();
+    if (ready > 0)
+        stall_if_told();
     return ready;
 }
 
@@ -185,33 +202,38 @@
     return fails(Call::signalfd) ? -1 : real(fd, mask, flags);
 }
 
-#define GATETILLER_OPEN(name)                                                   \
-    int name(const char* path, int flags, ...) {                                \
-        GATETILLER_NEXT(name);                                                  \
-        mode_t mode = 0;                                                        \
-        if (flags & (O_CREAT | O_TMPFILE)) {                                    \
-            va_list arguments;                                                  \
-            va_start(arguments, flags);                                         \
-            mode = static_cast<mode_t>(va_arg(arguments, int));                 \
-            va_end(arguments);                                                  \
-        }                                                                       \
-        return fails(Call::open) ? -1 : real(path, flags, mode);                \
+#define GATETILLER_OPEN(name)                                    \
+    int name(const char* path, int flags, ...) {                 \
+        GATETILLER_NEXT(name);                                   \
+        mode_t mode = 0;                                         \
+        if (flags & (O_CREAT | O_TMPFILE)) {                     \
+            va_list arguments;                                   \
+            va_start(arguments, flags);                          \
+            mode = static_cast<mode_t>(va_arg(arguments, int));  \
+            va_end(arguments);                                   \
+        }                                                        \
+        return fails(Call::open) ? -1 : real(path, flags, mode); \
     }
 GATETILLER_OPEN(open)
 GATETILLER_OPEN(open64)
 
 ssize_t write(int fd, const void* bytes, size_t size) {
     GATETILLER_NEXT(write);
-    if (!regular_file(fd)) return real(fd, bytes, size);
-    die_if_told(size, [&](std::size_t half) { return real(fd, bytes, half); });
+    if (!regular_file(fd))
+        return real(fd, bytes, size);
+    die_if_told(size, [&](std::size_t half) {
+        return real(fd, bytes, half);
+    });
     return fails(Call::write) ? -1 : real(fd, bytes, shortened(size));
 }
 
-#define GATETILLER_PWRITE(name, offset_type)                                                      \
-    ssize_t name(int fd, const void* bytes, size_t size, offset_type at) {                        \
-        GATETILLER_NEXT(name);                                                                    \
-        die_if_told(size, [&](std::size_t half) { return real(fd, bytes, half, at); });           \
-        return fails(Call::write) ? -1 : real(fd, bytes, size, at);                               \
+#define GATETILLER_PWRITE(name, offset_type)                               \
+    ssize_t name(int fd, const void* bytes, size_t size, offset_type at) { \
+        GATETILLER_NEXT(name);                                             \
+        die_if_told(size, [&](std::size_t half) {                          \
+            return real(fd, bytes, half, at);                              \
+        });                                                                \
+        return fails(Call::write) ? -1 : real(fd, bytes, size, at);        \
     }
 GATETILLER_PWRITE(pwrite, off_t)
 GATETILLER_PWRITE(pwrite64, off64_t)
@@ -234,7 +256,8 @@
 int clock_gettime(clockid_t clock, timespec* t) noexcept {
     GATETILLER_NEXT(clock_gettime);
     const int result = real(clock, t);
-    if (result == 0 && (clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE)) step(*t);
+    if (result == 0 && (clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE))
+        step(*t);
     return result;
 }
 
@@ -248,7 +271,8 @@
 time_t time(time_t* into) noexcept {
     timespec now{};
     clock_gettime(CLOCK_REALTIME, &now);
-    if (into) *into = now.tv_sec;
+    if (into)
+        *into = now.tv_sec;
     return now.tv_sec;
 }
 
--- a/tests/sim/virtual_loop_test.cpp
+++ b/tests/sim/virtual_loop_test.cpp
@@ -9,13 +9,19 @@
 using net::Closed;
 
 struct Peer final : net::StreamEvents {
-    void on_connected() override { ++connected; }
+    void on_connected() override {
+        ++connected;
+    }
     void on_data(Buffer& in) override {
         got += in.view();
         in.clear();
     }
-    void on_sent() override { ++sent; }
-    void on_closed(Closed how) override { closed = how; }
+    void on_sent() override {
+        ++sent;
+    }
+    void on_closed(Closed how) override {
+        closed = how;
+    }
     std::unique_ptr<net::Stream> stream;
     std::string got;
     int connected = 0, sent = 0;
@@ -27,16 +33,34 @@
 TEST(VirtualLoop, TimersRingInOrderAndTimeStandsStillBetweenThem) {
     VirtualLoop loop({});
     std::string order;
-    loop.after(20, [&] { order += 'c'; });
-    loop.after(10, [&] { order += 'a'; });
-    loop.after(10, [&] { order += 'b'; });
-    const auto never = loop.after(15, [&] { order += 'x'; });
-    loop.after(12, [&] { loop.cancel(never); });
+    loop.after(20, [&] {
+        order += 'c';
+    });
+    loop.after(10, [&] {
+        order += 'a';
+    });
+    loop.after(10, [&] {
+        order += 'b';
+    });
+    const auto never = loop.after(15, [&] {
+        order += 'x';
+    });
+    loop.after(12, [&] {
+        loop.cancel(never);
+    });
     const Micros wall = loop.wall();
-    EXPECT_TRUE(loop.run([&] { return order == "abc"; }, kSecondMicros));
+    EXPECT_TRUE(loop.run(
+        [&] {
+            return order == "abc";
+        },
+        kSecondMicros));
     EXPECT_EQ(loop.now(), 20);
     EXPECT_EQ(loop.wall() - wall, 20);
-    EXPECT_FALSE(loop.run([] { return false; }, 100));
+    EXPECT_FALSE(loop.run(
+        [] {
+            return false;
+        },
+        100));
     EXPECT_EQ(loop.now(), 120);
 }
 
@@ -56,24 +80,45 @@
         std::string up, down;
         for (int i = 0; i < 200; ++i) {
             const std::string piece = random.hex(1 + random.below(30));
-            if (random.chance(0.5)) client.stream->send(piece), up += piece;
-            else if (server.stream) server.stream->send(piece), down += piece;
-            if (random.chance(0.1)) client.stream->read(random.chance(0.6));
-            if (server.stream && random.chance(0.1)) server.stream->read(random.chance(0.6));
-            if (random.chance(0.5)) loop.step();
+            if (random.chance(0.5))
+                client.stream->send(piece), up += piece;
+            else if (server.stream)
+                server.stream->send(piece), down += piece;
+            if (random.chance(0.1))
+                client.stream->read(random.chance(0.6));
+            if (server.stream && random.chance(0.1))
+                server.stream->read(random.chance(0.6));
+            if (random.chance(0.5))
+                loop.step();
         }
-        ASSERT_TRUE(loop.run([&] { return server.stream != nullptr; }, kSecondMicros));
+        ASSERT_TRUE(loop.run(
+            [&] {
+                return server.stream != nullptr;
+            },
+            kSecondMicros));
         client.stream->read(true), server.stream->read(true);
-        EXPECT_TRUE(loop.run([&] { return server.got == up && client.got == down; }, kSecondMicros));
+        EXPECT_TRUE(loop.run(
+            [&] {
+                return server.got == up && client.got == down;
+            },
+            kSecondMicros));
         EXPECT_EQ(client.connected, 1);
         EXPECT_EQ(client.stream->unsent(), 0u);
         // What was sent before the end is read before it.
         server.stream->send("last");
         server.stream.reset();
         client.stream->read(false);
-        EXPECT_FALSE(loop.run([&] { return client.closed.has_value(); }, kSecondMicros));
+        EXPECT_FALSE(loop.run(
+            [&] {
+                return client.closed.has_value();
+            },
+            kSecondMicros));
         client.stream->read(true);
-        EXPECT_TRUE(loop.run([&] { return client.closed.has_value(); }, kSecondMicros));
+        EXPECT_TRUE(loop.run(
+            [&] {
+                return client.closed.has_value();
+            },
+            kSecondMicros));
         EXPECT_EQ(client.got, down + "last");
         EXPECT_EQ(client.closed, Closed::by_peer);
     }
@@ -88,7 +133,11 @@
     EXPECT_FALSE(loop.listen(at, [](auto) {}));
     door->reset();
     client.stream = loop.connect(at, client, kSecondMicros);
-    EXPECT_TRUE(loop.run([&] { return client.closed == Closed::refused; }, kSecondMicros));
+    EXPECT_TRUE(loop.run(
+        [&] {
+            return client.closed == Closed::refused;
+        },
+        kSecondMicros));
     EXPECT_TRUE(loop.listen(at, [](auto) {}));
 }
 
--- a/tests/soak/fault_proxy.cpp
+++ b/tests/soak/fault_proxy.cpp
@@ -22,7 +22,8 @@
 constexpr std::size_t kBufferMost = 256 * 1024;
 constexpr std::size_t kTrickle = 3;
 constexpr Micros kTurn = 2 * kMillisecond;
-constexpr Micros kHeldTail = 50 * kMillisecond;  // within which what had been held is read, or taken from the backlog
+constexpr Micros kHeldTail =
+    50 * kMillisecond;  // within which what had been held is read, or taken from the backlog
 const resp::Limits kMessage{4, 64 * 1024};
 
 Micros now_micros() {
@@ -32,14 +33,16 @@
 }
 
 void reset_and_close(int& fd) {
-    if (fd < 0) return;
+    if (fd < 0)
+        return;
     const linger at_once{1, 0};
     ::setsockopt(fd, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
     ::close(std::exchange(fd, -1));
 }
 
 void close_descriptor(int& fd) {
-    if (fd >= 0) ::close(std::exchange(fd, -1));
+    if (fd >= 0)
+        ::close(std::exchange(fd, -1));
 }
 
 }  // namespace
@@ -49,10 +52,11 @@
     bool engine = false, closed = false;
     net::Address target;
     int listener = -1;
-    int kept_port = -1;  // bound and not listening, once it is closed: nodes that still know the port must not meet another link
+    int kept_port = -1;  // bound and not listening, once it is closed: nodes that still know the port must
+                         // not meet another link
     LinkFaults faults;
     Micros held_since = 0, held_until = 0;  // when it last was held, and the time after it
-    std::vector<int> backlog;        // connections of ours that fill the listen backlog while it is late
+    std::vector<int> backlog;  // connections of ours that fill the listen backlog while it is late
     net::Address address;
 };
 
@@ -66,16 +70,21 @@
     std::set<std::string> open;                          // requests
 };
 
-FaultProxy::FaultProxy(std::uint64_t seed) : random_(seed), thread_([this] { run(); }) {}
+FaultProxy::FaultProxy(std::uint64_t seed)
+    : random_(seed), thread_([this] {
+          run();
+      }) {}
 
 FaultProxy::~FaultProxy() {
     stopping_ = true;
     thread_.join();
-    for (auto& pair : pairs_) close_descriptor(pair->front), close_descriptor(pair->target);
+    for (auto& pair : pairs_)
+        close_descriptor(pair->front), close_descriptor(pair->target);
     for (auto& link : links_) {
         close_descriptor(link->listener);
         close_descriptor(link->kept_port);
-        for (int& fd : link->backlog) close_descriptor(fd);
+        for (int& fd : link->backlog)
+            close_descriptor(fd);
     }
 }
 
@@ -103,18 +112,26 @@
 void FaultProxy::set(LinkId id, const LinkFaults& faults) {
     const std::lock_guard lock(mutex_);
     Link& link = *links_[id];
-    if (link.closed) return;
+    if (link.closed)
+        return;
     if (faults.half_open && !link.faults.half_open)
         for (auto& pair : pairs_)
-            if (pair->link == &link) pair->dead = true;
+            if (pair->link == &link)
+                pair->dead = true;
     // Where one has been held while connecting, the client's side may be up long before ours.
-    const auto holds = [](const LinkFaults& f) { return f.held || f.late; };
-    if (holds(faults) && !holds(link.faults)) link.held_since = now_micros();
+    const auto holds = [](const LinkFaults& f) {
+        return f.held || f.late;
+    };
+    if (holds(faults) && !holds(link.faults))
+        link.held_since = now_micros();
     // Later connections, as at a second SYN, are up at both ends at once: what comes over them was not held.
-    if (holds(link.faults) && !holds(faults)) link.held_until = now_micros() + kHeldTail;
-    if (faults.late && !link.faults.late) fill_backlog(link);
+    if (holds(link.faults) && !holds(faults))
+        link.held_until = now_micros() + kHeldTail;
+    if (faults.late && !link.faults.late)
+        fill_backlog(link);
     if (!faults.late && link.faults.late) {
-        for (int& fd : link.backlog) close_descriptor(fd);
+        for (int& fd : link.backlog)
+            close_descriptor(fd);
         link.backlog.clear();
         ::listen(link.listener, 512);
     }
@@ -127,7 +144,8 @@
     auto to = net::to_kernel(link.address);
     for (int i = 0; i < 2; ++i) {
         const int fd = net::open_socket(link.address);
-        if (fd < 0) return;
+        if (fd < 0)
+            return;
         (void)::connect(fd, to.get(), to.size);
         link.backlog.push_back(fd);
     }
@@ -136,7 +154,8 @@
 void FaultProxy::reset(LinkId link) {
     const std::lock_guard lock(mutex_);
     for (auto& pair : pairs_)
-        if (pair->link->id == link && !pair->over) ++resets_, end(*pair, true);
+        if (pair->link->id == link && !pair->over)
+            ++resets_, end(*pair, true);
 }
 
 void FaultProxy::close(LinkId link) {
@@ -158,7 +177,8 @@
 }
 
 void FaultProxy::run() {
-    while (!stopping_) turn();
+    while (!stopping_)
+        turn();
 }
 
 // One look at everything: descriptors are polled with the lock released.
@@ -167,29 +187,39 @@
     {
         const std::lock_guard lock(mutex_);
         for (const auto& link : links_)
-            if (link->listener >= 0 && !link->faults.late) polled.push_back({link->listener, POLLIN, 0});
+            if (link->listener >= 0 && !link->faults.late)
+                polled.push_back({link->listener, POLLIN, 0});
         for (const auto& pair : pairs_) {
-            if (pair->link->faults.held || pair->link->faults.trickle) continue;
+            if (pair->link->faults.held || pair->link->faults.trickle)
+                continue;
             if (pair->front >= 0 && !pair->front_ended && pair->to_target.size() < kBufferMost)
                 polled.push_back({pair->front, POLLIN, 0});
-            if (pair->dead) continue;
-            if (pair->target >= 0 && !pair->connecting && !pair->target_ended && pair->to_front.size() < kBufferMost)
+            if (pair->dead)
+                continue;
+            if (pair->target >= 0 && !pair->connecting && !pair->target_ended &&
+                pair->to_front.size() < kBufferMost)
                 polled.push_back({pair->target, POLLIN, 0});
-            if (pair->connecting && pair->target >= 0) polled.push_back({pair->target, POLLOUT, 0});
+            if (pair->connecting && pair->target >= 0)
+                polled.push_back({pair->target, POLLOUT, 0});
         }
     }
     ::poll(polled.data(), polled.size(), static_cast<int>(kTurn / kMillisecond));
     const std::lock_guard lock(mutex_);
     for (const auto& link : links_)
-        if (link->listener >= 0 && !link->faults.late) accept_on(*link);
-    for (std::size_t i = 0; i < pairs_.size(); ++i) forward(*pairs_[i]);
-    std::erase_if(pairs_, [](const auto& pair) { return pair->over; });
+        if (link->listener >= 0 && !link->faults.late)
+            accept_on(*link);
+    for (std::size_t i = 0; i < pairs_.size(); ++i)
+        forward(*pairs_[i]);
+    std::erase_if(pairs_, [](const auto& pair) {
+        return pair->over;
+    });
 }
 
 void FaultProxy::accept_on(Link& link) {
     for (;;) {
         const int fd = ::accept4(link.listener, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
-        if (fd < 0) return;
+        if (fd < 0)
+            return;
         ++connections_;
         net::no_delay(fd);
         auto pair = std::make_unique<Pair>();
@@ -207,28 +237,36 @@
 
 void FaultProxy::forward(Pair& pair) {
     const LinkFaults& faults = pair.link->faults;
-    if (pair.over || faults.held) return;
+    if (pair.over || faults.held)
+        return;
     read_side(pair, true);
-    if (pair.over) return;
-    if (pair.dead) return pair.to_target.clear();  // what its front says is heard here and goes nowhere
+    if (pair.over)
+        return;
+    if (pair.dead)
+        return pair.to_target.clear();  // what its front says is heard here and goes nowhere
     if (pair.connecting) {
         pollfd up{pair.target, POLLOUT, 0};
-        if (::poll(&up, 1, 0) != 1) return;
+        if (::poll(&up, 1, 0) != 1)
+            return;
         int error = 0;
         socklen_t size = sizeof error;
         ::getsockopt(pair.target, SOL_SOCKET, SO_ERROR, &error, &size);
-        if (error != 0) return end(pair, true);
+        if (error != 0)
+            return end(pair, true);
         pair.connecting = false;
     }
     read_side(pair, false);
-    if (!pair.over) (void)(pass(pair, true) && pass(pair, false));
-    if (pair.over) return;
+    if (!pair.over)
+        (void)(pass(pair, true) && pass(pair, false));
+    if (pair.over)
+        return;
     // An end in order follows what was said before it.
     if (pair.front_ended && pair.to_target.empty() && !std::exchange(pair.target_told, true))
         ::shutdown(pair.target, SHUT_WR);
     if (pair.target_ended && pair.to_front.empty() && !std::exchange(pair.front_told, true))
         ::shutdown(pair.front, SHUT_WR);
-    if (pair.front_told && pair.target_told) end(pair, false);
+    if (pair.front_told && pair.target_told)
+        end(pair, false);
 }
 
 void FaultProxy::read_side(Pair& pair, bool from_front) {
@@ -240,7 +278,8 @@
         const ssize_t n = ::recv(fd, piece, sizeof piece, 0);
         if (n > 0) {
             into.append(piece, static_cast<std::size_t>(n));
-            if (from_front) note_front_said(pair, {piece, static_cast<std::size_t>(n)});
+            if (from_front)
+                note_front_said(pair, {piece, static_cast<std::size_t>(n)});
         } else if (n == 0) {
             ended = true;
         } else if (errno == EAGAIN) {
@@ -251,7 +290,8 @@
     }
     // Whoever has ended takes nothing back: its requests are over.
     if (from_front && ended && pair.link->engine)
-        for (const auto& request : std::exchange(pair.open, {})) record(pair, "connection_ended", request);
+        for (const auto& request : std::exchange(pair.open, {}))
+            record(pair, "connection_ended", request);
 }
 
 // False: the pair is over.
@@ -262,27 +302,37 @@
     while (!from.empty()) {
         std::size_t size = faults.trickle ? std::min(from.size(), kTrickle) : from.size();
         const bool breaks = faults.reset > 0 && random_.chance(faults.reset);
-        if (breaks) size = random_.below(size + 1);  // before, inside or behind
+        if (breaks)
+            size = random_.below(size + 1);  // before, inside or behind
         const ssize_t n = size == 0 ? 0 : ::send(fd, from.data(), size, MSG_NOSIGNAL);
-        if (n < 0 && errno == EAGAIN) return true;
-        if (n < 0) return end(pair, true), false;
-        if (!to_target) note_engine_said(pair, std::string_view(from).substr(0, static_cast<std::size_t>(n)));
+        if (n < 0 && errno == EAGAIN)
+            return true;
+        if (n < 0)
+            return end(pair, true), false;
+        if (!to_target)
+            note_engine_said(pair, std::string_view(from).substr(0, static_cast<std::size_t>(n)));
         from.erase(0, static_cast<std::size_t>(n));
         if (breaks) {
             ++resets_;
             return end(pair, true), false;
         }
-        if (faults.trickle) return true;
+        if (faults.trickle)
+            return true;
     }
     return true;
 }
 
 void FaultProxy::end(Pair& pair, bool with_reset) {
-    if (std::exchange(pair.over, true)) return;
-    if (with_reset) reset_and_close(pair.front), reset_and_close(pair.target);
-    else close_descriptor(pair.front), close_descriptor(pair.target);
-    if (!pair.link->engine) return;
-    for (const auto& request : std::exchange(pair.open, {})) record(pair, "connection_ended", request);
+    if (std::exchange(pair.over, true))
+        return;
+    if (with_reset)
+        reset_and_close(pair.front), reset_and_close(pair.target);
+    else
+        close_descriptor(pair.front), close_descriptor(pair.target);
+    if (!pair.link->engine)
+        return;
+    for (const auto& request : std::exchange(pair.open, {}))
+        record(pair, "connection_ended", request);
 }
 
 // ---- What passes between front nodes and engines
@@ -290,7 +340,8 @@
 void FaultProxy::record(const Pair& pair, const char* event, const std::string& request, std::int64_t ms) {
     PassedMessage m;
     m.at = now_micros(), m.link = pair.link->id, m.event = event, m.request = request, m.ms = ms;
-    if (m.at < pair.link->held_until || pair.link->faults.late || pair.link->faults.held) m.held_since = pair.link->held_since;
+    if (m.at < pair.link->held_until || pair.link->faults.late || pair.link->faults.held)
+        m.held_since = pair.link->held_since;
     messages_.push_back(std::move(m));
 }
 
@@ -310,7 +361,8 @@
 }  // namespace
 
 void FaultProxy::note_front_said(Pair& pair, std::string_view bytes) {
-    if (!pair.link->engine) return;
+    if (!pair.link->engine)
+        return;
     pair.said_by_front.append(bytes);
     take_messages_of(pair.said_by_front, [&](const std::vector<std::string_view>& words) {
         const std::string id(words.size() > 1 ? words[1] : "");
@@ -326,7 +378,8 @@
 }
 
 void FaultProxy::note_engine_said(Pair& pair, std::string_view bytes) {
-    if (!pair.link->engine) return;
+    if (!pair.link->engine)
+        return;
     pair.said_by_engine.append(bytes);
     take_messages_of(pair.said_by_engine, [&](const std::vector<std::string_view>& words) {
         const std::string id(words[0]);
@@ -336,7 +389,8 @@
                                   : word == "FAULT" ? "fault"
                                   : word == "LATE"  ? "late"
                                                     : nullptr;
-        if (event && pair.open.erase(id) > 0) record(pair, event, id);
+        if (event && pair.open.erase(id) > 0)
+            record(pair, event, id);
     });
 }
 
--- a/tests/soak/fault_proxy.hpp
+++ b/tests/soak/fault_proxy.hpp
@@ -1,6 +1,6 @@
-// A proxy between processes of the soak that misbehaves as networks do: late connections, resets at any byte, ends that
-// nobody hears of, bytes that trickle or are held back. One thread carries all links. What passes between front nodes
-// and engines is read on the way and recorded, with the moment at which it passed.
+// A proxy between processes of the soak that misbehaves as networks do: late connections, resets at any byte,
+// ends that nobody hears of, bytes that trickle or are held back. One thread carries all links. What passes
+// between front nodes and engines is read on the way and recorded, with the moment at which it passed.
 #pragma once
 
 #include <atomic>
@@ -21,11 +21,11 @@
 using LinkId = std::size_t;
 
 struct LinkFaults {
-    bool late = false;        // new connections come up only after it ends (and the kernel's next try)
-    bool held = false;        // nothing is forwarded, in either direction, while it lasts
-    bool half_open = false;   // connections that stand when it begins never say anything again, and never end
-    bool trickle = false;     // a few bytes at a time
-    double reset = 0;         // of forwarded pieces: the connection is reset before, inside or behind it
+    bool late = false;       // new connections come up only after it ends (and the kernel's next try)
+    bool held = false;       // nothing is forwarded, in either direction, while it lasts
+    bool half_open = false;  // connections that stand when it begins never say anything again, and never end
+    bool trickle = false;    // a few bytes at a time
+    double reset = 0;        // of forwarded pieces: the connection is reset before, inside or behind it
 };
 
 // What passed on a link to an engine, on the front's side of the network.
@@ -35,7 +35,8 @@
     std::string event;  // arrived, undone, hit, shed, fault, late, connection_ended
     std::string request;
     std::int64_t ms = 0;  // arrived: the deadline passed on
-    Micros held_since = 0;  // it was read after the link had been held from then on, and may have come at any time since
+    Micros held_since =
+        0;  // it was read after the link had been held from then on, and may have come at any time since
 };
 
 class FaultProxy {
@@ -45,15 +46,20 @@
     FaultProxy(const FaultProxy&) = delete;
     FaultProxy& operator=(const FaultProxy&) = delete;
 
-    // A link to `target`; whoever connects to the address given back is led there. `engine`: what passes is recorded.
+    // A link to `target`; whoever connects to the address given back is led there. `engine`: what passes is
+    // recorded.
     Result<net::Address> open(const net::Address& target, bool engine, LinkId& id);
     void aim(LinkId link, const net::Address& target);  // for connections from now on
     void set(LinkId link, const LinkFaults& faults);
     void reset(LinkId link);  // every connection on it, at once
     void close(LinkId link);  // no new ones, and those that stand are reset
     std::vector<PassedMessage> take_messages();
-    std::uint64_t resets() const { return resets_; }
-    std::uint64_t connections() const { return connections_; }
+    std::uint64_t resets() const {
+        return resets_;
+    }
+    std::uint64_t connections() const {
+        return connections_;
+    }
 
 private:
     struct Link;
--- a/tests/soak/fleet.hpp
+++ b/tests/soak/fleet.hpp
@@ -22,9 +22,15 @@
     ~ControlFile();
     ControlFile(const ControlFile&) = delete;
     ControlFile& operator=(const ControlFile&) = delete;
-    testing::FaultControl& operator*() { return *control_; }
-    testing::FaultControl* operator->() { return control_; }
-    const std::string& file() const { return file_; }
+    testing::FaultControl& operator*() {
+        return *control_;
+    }
+    testing::FaultControl* operator->() {
+        return control_;
+    }
+    const std::string& file() const {
+        return file_;
+    }
 
 private:
     ControlFile() = default;
@@ -42,18 +48,28 @@
     LinkId link = 0;
     net::Address address;  // of its link
     std::unique_ptr<lab::PlatformClient> connection;
-    std::vector<Asked> asked;              // on this connection
+    std::vector<Asked> asked;  // on this connection
 };
 
 // A request whose client's record has to be read with care.
 struct ClientEnd {
     std::string trace;
-    enum class Why { left, cut, crossed } why = Why::left;
+    enum class Why {
+        left,
+        cut,
+        crossed
+    } why = Why::left;
     Micros at = 0;
 };
 
 struct Node {
-    enum class State { down, starting, up, ending, stopped };
+    enum class State {
+        down,
+        starting,
+        up,
+        ending,
+        stopped
+    };
     std::string name, config, log;
     net::Address listen, dns;
     State state = State::down;
@@ -102,10 +118,14 @@
     void leave(Client& client, Node& node, bool cut);
     void rude_client(Node& node);
     void idle_crowd(Node& node, std::size_t size);
-    void drop_crowd() { crowd_.clear(); }
+    void drop_crowd() {
+        crowd_.clear();
+    }
 
     std::vector<Engine*> engines_up();
-    void find(const std::string& kind, const std::string& what) { result_.findings.push_back({kind, what}); }
+    void find(const std::string& kind, const std::string& what) {
+        result_.findings.push_back({kind, what});
+    }
     void record(const char* event, const Node& node);
 
     const SoakOptions& options;
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -29,7 +29,8 @@
 std::string run_line(const std::string& deploy_file) {
     std::ifstream in(deploy_file);
     for (std::string line; std::getline(in, line);)
-        if (line.starts_with("run = \"")) return line.substr(7, line.rfind('"') - 7);
+        if (line.starts_with("run = \""))
+            return line.substr(7, line.rfind('"') - 7);
     return "";
 }
 
@@ -37,12 +38,17 @@
 class Campaign {
 public:
     explicit Campaign(Options options) : options_(std::move(options)), next_(options_.first) {
-        if (options_.minutes > 0) ends_ = std::time(nullptr) + static_cast<std::time_t>(options_.minutes * 60);
+        if (options_.minutes > 0)
+            ends_ = std::time(nullptr) + static_cast<std::time_t>(options_.minutes * 60);
     }
     int run() {
         std::vector<std::thread> workers;
-        for (int job = 0; job < options_.jobs; ++job) workers.emplace_back([this] { work(); });
-        for (auto& worker : workers) worker.join();
+        for (int job = 0; job < options_.jobs; ++job)
+            workers.emplace_back([this] {
+                work();
+            });
+        for (auto& worker : workers)
+            worker.join();
         std::printf("%zu seeds, %zu with findings\n", played_, failed_);
         return failed_ == 0 ? 0 : 1;
     }
@@ -51,14 +57,18 @@
     bool another(std::uint64_t& seed) {
         const std::lock_guard lock(mutex_);
         seed = next_;
-        if (options_.seeds > 0 && seed >= options_.first + options_.seeds) return false;
-        if (ends_ > 0 && std::time(nullptr) >= ends_) return false;
-        if (options_.seeds == 0 && ends_ == 0 && seed > options_.first) return false;
+        if (options_.seeds > 0 && seed >= options_.first + options_.seeds)
+            return false;
+        if (ends_ > 0 && std::time(nullptr) >= ends_)
+            return false;
+        if (options_.seeds == 0 && ends_ == 0 && seed > options_.first)
+            return false;
         ++next_;
         return true;
     }
     void work() {
-        for (std::uint64_t seed = 0; another(seed);) play(seed);
+        for (std::uint64_t seed = 0; another(seed);)
+            play(seed);
     }
     void play(std::uint64_t seed) {
         auto soak = options_.soak;
@@ -67,27 +77,33 @@
         const auto plan = soak::text_of(soak.plan, soak::draw_plan(soak.plan));
         say(plan);
         const auto result = soak::run_soak(soak);
-        if (!result) return tell(seed, "could not run: " + result.error(), true);
+        if (!result)
+            return tell(seed, "could not run: " + result.error(), true);
         std::string text = result->text() + "\n";
-        for (const auto& finding : result->findings) text += "  " + finding.kind + ": " + finding.what + "\n";
+        for (const auto& finding : result->findings)
+            text += "  " + finding.kind + ": " + finding.what + "\n";
         tell(seed, text, !result->findings.empty());
         if (options_.shrink && !result->findings.empty())
-            say("seed " + std::to_string(seed) + " shrunk:\n" + soak::shrink(soak, result->findings.front().kind));
+            say("seed " + std::to_string(seed) + " shrunk:\n" +
+                soak::shrink(soak, result->findings.front().kind));
     }
     void say(const std::string& text) {
         const std::lock_guard lock(mutex_);
-        if (options_.quiet) return;
+        if (options_.quiet)
+            return;
         std::fputs(text.c_str(), stdout);
         std::fflush(stdout);
     }
     void tell(std::uint64_t seed, const std::string& text, bool failed) {
         const std::lock_guard lock(mutex_);
         ++played_, failed_ += failed;
-        std::printf("seed %llu %s: %s", static_cast<unsigned long long>(seed), failed ? "FAILED" : "passed", text.c_str());
+        std::printf("seed %llu %s: %s", static_cast<unsigned long long>(seed), failed ? "FAILED" : "passed",
+                    text.c_str());
         std::fflush(stdout);
         if (!options_.table.empty())
             std::ofstream(options_.table, std::ios::app)
-                << "| " << seed << " | " << (failed ? "failed" : "passed") << " | " << text.substr(0, text.find('\n')) << " |\n";
+                << "| " << seed << " | " << (failed ? "failed" : "passed") << " | "
+                << text.substr(0, text.find('\n')) << " |\n";
     }
 
     Options options_;
@@ -105,18 +121,28 @@
     o.soak.program = GATETILLER_PROGRAM, o.soak.shim = GATETILLER_FAULT_SHIM;
     o.soak.folder = "/tmp/fault-soak-" + std::to_string(::getpid());
     o.deploy = GATETILLER_DEPLOY;
-    CLI::App app{"fault_soak: front nodes as real processes under overlapping troubles, judged by their invariants"};
+    CLI::App app{
+        "fault_soak: front nodes as real processes under overlapping troubles, judged by their invariants"};
     app.add_option("--seed", o.first, "the first seed")->capture_default_str();
     app.add_option("--seeds", o.seeds, "how many seeds; 0: one, or as many as --minutes allow");
     app.add_option("--minutes", o.minutes, "begin no seed after so long");
     app.add_option("--jobs", o.jobs, "seeds at once")->check(CLI::Range(1, 16))->capture_default_str();
-    app.add_option("--nodes", o.soak.plan.nodes, "front nodes")->check(CLI::Range(1, 40))->capture_default_str();
-    app.add_option("--engines", o.soak.plan.engines, "engines at the beginning")->check(CLI::Range(2, 12))->capture_default_str();
-    app.add_option("--troubles", o.soak.plan.troubles, "troubles of a plan")->check(CLI::Range(0, 200))->capture_default_str();
-    app.add_option("--seconds", o.seconds, "length of a plan")->check(CLI::Range(4.0, 3600.0))->capture_default_str();
+    app.add_option("--nodes", o.soak.plan.nodes, "front nodes")
+        ->check(CLI::Range(1, 40))
+        ->capture_default_str();
+    app.add_option("--engines", o.soak.plan.engines, "engines at the beginning")
+        ->check(CLI::Range(2, 12))
+        ->capture_default_str();
+    app.add_option("--troubles", o.soak.plan.troubles, "troubles of a plan")
+        ->check(CLI::Range(0, 200))
+        ->capture_default_str();
+    app.add_option("--seconds", o.seconds, "length of a plan")
+        ->check(CLI::Range(4.0, 3600.0))
+        ->capture_default_str();
     app.add_option("--rate", o.soak.rate, "requests a second at each node")->capture_default_str();
     app.add_option("--without", o.soak.without, "numbers of troubles to leave out")->delimiter(',');
-    app.add_option("--planted", o.soak.planted, "names of planted faults; the program must be built with them");
+    app.add_option("--planted", o.soak.planted,
+                   "names of planted faults; the program must be built with them");
     app.add_option("--program", o.soak.program, "the program of the nodes")->capture_default_str();
     app.add_option("--folder", o.soak.folder, "for configurations and logs")->capture_default_str();
     app.add_option("--table", o.table, "append a row of Markdown for each seed to this file");
@@ -125,6 +151,7 @@
     app.footer("Example: fault_soak --seed 100 --seeds 20 --jobs 2");
     CLI11_PARSE(app, argc, argv);
     o.soak.plan.length = static_cast<Micros>(o.seconds * kSecondMicros);
-    if (const auto run = run_line(o.deploy); !run.empty()) o.soak.run = run;
+    if (const auto run = run_line(o.deploy); !run.empty())
+        o.soak.run = run;
     return Campaign(std::move(o)).run();
 }
--- a/tests/soak/oracle.hpp
+++ b/tests/soak/oracle.hpp
@@ -1,5 +1,5 @@
-// What must hold after a soak: the rules over what passed on the sockets, each process's own guards at zero, and nothing
-// left over.
+// What must hold after a soak: the rules over what passed on the sockets, each process's own guards at zero,
+// and nothing left over.
 #pragma once
 
 #include "soak/fleet.hpp"
@@ -36,7 +36,7 @@
         Micros at = 0;
         double work_ms = 0;
     };
-    std::map<std::string, std::vector<Arrival>> arrivals_;           // by engine
+    std::map<std::string, std::vector<Arrival>> arrivals_;  // by engine
 };
 
 }  // namespace gatetiller::soak
--- a/tests/soak/planted.cpp
+++ b/tests/soak/planted.cpp
@@ -9,9 +9,11 @@
 
 bool planted(std::string_view name) {
     static const char* const named = std::getenv("GATETILLER_PLANTED");
-    if (!named) return false;
+    if (!named)
+        return false;
     for (const auto one : split(named, ','))
-        if (one == name) return true;
+        if (one == name)
+            return true;
     return false;
 }
 
--- a/tests/soak/shrink.cpp
+++ b/tests/soak/shrink.cpp
@@ -10,8 +10,9 @@
 bool still_finds(const SoakOptions& options, const std::string& kind) {
     for (int i = 0; i < kTriesOfEach; ++i) {
         const auto result = run_soak(options);
-        if (result && std::any_of(result->findings.begin(), result->findings.end(),
-                                  [&](const Finding& f) { return f.kind == kind; }))
+        if (result && std::any_of(result->findings.begin(), result->findings.end(), [&](const Finding& f) {
+                return f.kind == kind;
+            }))
             return true;
     }
     return false;
@@ -35,14 +36,16 @@
                 continue;
             }
             options.without = fewer.without;
-            kept.erase(kept.begin() + static_cast<std::ptrdiff_t>(from), kept.begin() + static_cast<std::ptrdiff_t>(to));
+            kept.erase(kept.begin() + static_cast<std::ptrdiff_t>(from),
+                       kept.begin() + static_cast<std::ptrdiff_t>(to));
         }
     std::string text = "--seed " + std::to_string(options.plan.seed);
     for (std::size_t i = 0; i < options.without.size(); ++i)
         text += (i == 0 ? " --without " : ",") + std::to_string(options.without[i]);
     text += "\n";
     for (const Trouble& t : draw_plan(options.plan))
-        if (std::find(kept.begin(), kept.end(), t.number) != kept.end()) text += t.text() + "\n";
+        if (std::find(kept.begin(), kept.end(), t.number) != kept.end())
+            text += t.text() + "\n";
     return text;
 }
 
--- a/tests/soak/soak.hpp
+++ b/tests/soak/soak.hpp
@@ -13,13 +13,13 @@
 
 struct SoakOptions {
     PlanSettings plan;
-    std::vector<std::size_t> without;  // troubles left out, by number
-    std::string program;               // the shipped binary
+    std::vector<std::size_t> without;                      // troubles left out, by number
+    std::string program;                                   // the shipped binary
     std::string run = "exec build-bench/gatetiller node";  // as the deploy file has it; its program is put in
-    std::string shim;                  // the fault shim's library
-    std::string folder;                // for configurations and logs
-    std::string planted;               // names of planted faults, for a program built with them
-    double rate = 20;                  // requests a second at each node
+    std::string shim;                                      // the fault shim's library
+    std::string folder;                                    // for configurations and logs
+    std::string planted;  // names of planted faults, for a program built with them
+    double rate = 20;     // requests a second at each node
 };
 
 struct Finding {
--- a/tests/soak/soak_test.cpp
+++ b/tests/soak/soak_test.cpp
@@ -34,7 +34,8 @@
             seen[static_cast<std::size_t>(t.kind)] = true;
             EXPECT_LE(t.at, settings.length);
             EXPECT_FALSE(t.nodes.empty());
-            for (const Trouble& u : plan) overlaps += &u != &t && u.at >= t.at && u.at < t.at + t.lasts;
+            for (const Trouble& u : plan)
+                overlaps += &u != &t && u.at >= t.at && u.at < t.at + t.lasts;
         }
     }
     for (std::size_t kind = 0; kind < kTroubleKinds; ++kind)
@@ -46,25 +47,33 @@
 class Proxy : public ::testing::Test {
 protected:
     Proxy() {
-        auto listening = loop.listen(*net::Address::parse("127.0.0.1:0"), [this](std::unique_ptr<net::Stream> s) {
-            s->events(engine);
-            engine.stream = std::move(s);
-        });
+        auto listening =
+            loop.listen(*net::Address::parse("127.0.0.1:0"), [this](std::unique_ptr<net::Stream> s) {
+                s->events(engine);
+                engine.stream = std::move(s);
+            });
         listener = std::move(*listening);
         address = *proxy.open(listener->address(), true, link);
     }
-    void connect() { front.stream = loop.connect(address, front, 5 * kSecondMicros); }
+    void connect() {
+        front.stream = loop.connect(address, front, 5 * kSecondMicros);
+    }
     void join() {
         connect();
-        ASSERT_TRUE(await(loop, [&] { return front.connected && engine.stream; }));
+        ASSERT_TRUE(await(loop, [&] {
+            return front.connected && engine.stream;
+        }));
     }
     void pass_time(Micros span) {
         const Micros until = loop.now() + span;
-        ASSERT_TRUE(await(loop, [&] { return loop.now() >= until; }));
+        ASSERT_TRUE(await(loop, [&] {
+            return loop.now() >= until;
+        }));
     }
     std::vector<std::string> events() {
         std::vector<std::string> all;
-        for (const auto& m : proxy.take_messages()) all.push_back(m.event + " " + m.request);
+        for (const auto& m : proxy.take_messages())
+            all.push_back(m.event + " " + m.request);
         return all;
     }
     const std::string request = resp::array({"do", "a1", "kind=x,ms=700", "SELECT 1"});
@@ -80,25 +89,35 @@
 TEST_F(Proxy, PassesAllAndRecordsWhatPassed) {
     join();
     front.stream->send(request);
-    ASSERT_TRUE(await(loop, [&] { return engine.got == request; }));
+    ASSERT_TRUE(await(loop, [&] {
+        return engine.got == request;
+    }));
     engine.stream->send(answer);
-    ASSERT_TRUE(await(loop, [&] { return front.got == answer; }));
+    ASSERT_TRUE(await(loop, [&] {
+        return front.got == answer;
+    }));
     const auto messages = proxy.take_messages();
     ASSERT_EQ(messages.size(), 2u);
     EXPECT_EQ(messages[0].event, "arrived");
     EXPECT_EQ(messages[0].ms, 700);
     EXPECT_EQ(messages[1].event, "hit");
     front.stream.reset();
-    EXPECT_TRUE(await(loop, [&] { return engine.closed.has_value(); }));
+    EXPECT_TRUE(await(loop, [&] {
+        return engine.closed.has_value();
+    }));
 }
 
 TEST_F(Proxy, TricklesWithoutLosingAByte) {
     join();
     proxy.set(link, {.trickle = true});
     front.stream->send(request);
-    ASSERT_TRUE(await(loop, [&] { return !engine.got.empty(); }));
+    ASSERT_TRUE(await(loop, [&] {
+        return !engine.got.empty();
+    }));
     EXPECT_LT(engine.got.size(), request.size());
-    EXPECT_TRUE(await(loop, [&] { return engine.got == request; }));
+    EXPECT_TRUE(await(loop, [&] {
+        return engine.got == request;
+    }));
 }
 
 TEST_F(Proxy, HoldsEverythingUntilItIsReleased) {
@@ -108,7 +127,9 @@
     pass_time(50 * kMillisecond);
     EXPECT_TRUE(engine.got.empty());
     proxy.set(link, {});
-    EXPECT_TRUE(await(loop, [&] { return engine.got == request; }));
+    EXPECT_TRUE(await(loop, [&] {
+        return engine.got == request;
+    }));
     const auto messages = proxy.take_messages();
     ASSERT_EQ(messages.size(), 1u);
     EXPECT_GT(messages[0].held_since, 0);
@@ -132,14 +153,18 @@
     pass_time(100 * kMillisecond);
     EXPECT_FALSE(engine.stream);
     proxy.set(link, {});
-    EXPECT_TRUE(await(loop, [&] { return front.connected && engine.stream; }));
+    EXPECT_TRUE(await(loop, [&] {
+        return front.connected && engine.stream;
+    }));
 }
 
 TEST_F(Proxy, ResetsBeforeInsideOrBehindAMessage) {
     join();
     proxy.set(link, {.reset = 1});
     front.stream->send(request);
-    EXPECT_TRUE(await(loop, [&] { return front.closed.has_value(); }));
+    EXPECT_TRUE(await(loop, [&] {
+        return front.closed.has_value();
+    }));
     EXPECT_EQ(front.closed, net::Closed::reset);
     EXPECT_GT(proxy.resets(), 0u);
     const auto seen = events();
--- a/tests/statement/engine_call_test.cpp
+++ b/tests/statement/engine_call_test.cpp
@@ -1,5 +1,5 @@
-// A statement's way to its engine while that may still change: nothing begins there that has been given up, or that its
-// engine may not get any more.
+// A statement's way to its engine while that may still change: nothing begins there that has been given up,
+// or that its engine may not get any more.
 #include "statement/engine_call.hpp"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,9 @@
 
 struct Ended final : EngineCall::Events {
     void on_document(EngineCall&, Document, const http::Headers&) override {}
-    void on_end(EngineCall&, CallEnd e) override { end = std::move(e); }
+    void on_end(EngineCall&, CallEnd e) override {
+        end = std::move(e);
+    }
     std::optional<CallEnd> end;
 };
 
@@ -26,7 +28,11 @@
     void pass(Micros span) {
         const Micros end = loop.now() + span;
         loop.after(span, [] {});
-        loop.run([&] { return loop.now() >= end; }, span + 1);
+        loop.run(
+            [&] {
+                return loop.now() >= end;
+            },
+            span + 1);
     }
     sim::VirtualLoop loop{{.seed = 1, .delay_low = 50 * kMillisecond, .delay_high = 60 * kMillisecond}};
     const net::Address address = *net::Address::parse("127.0.0.9:8080");
@@ -50,7 +56,9 @@
 
 TEST_F(LateEngine, AStatementThatMayNotBeginAnyMoreWhenItsConnectionIsUpNeverArrives) {
     bool may = true;
-    call.start({}, "SELECT 1", [&] { return may; });
+    call.start({}, "SELECT 1", [&] {
+        return may;
+    });
     pass(20 * kMillisecond);
     may = false;
     pass(kSecondMicros);
--- a/tests/statement/statement_test.cpp
+++ b/tests/statement/statement_test.cpp
@@ -14,10 +14,14 @@
 
 Json any(Random& random, int depth) {
     switch (random.below(depth > 4 ? 5 : 7)) {
-        case 0: return nullptr;
-        case 1: return random.chance(0.5);
-        case 2: return static_cast<std::int64_t>(random.next() >> 12) - (1LL << 50);
-        case 3: return random.uniform(-1e6, 1e6);
+        case 0:
+            return nullptr;
+        case 1:
+            return random.chance(0.5);
+        case 2:
+            return static_cast<std::int64_t>(random.next() >> 12) - (1LL << 50);
+        case 3:
+            return random.uniform(-1e6, 1e6);
         case 4: {
             std::string s;
             for (auto n = random.below(8); n > 0; --n)
@@ -26,7 +30,8 @@
         }
         case 5: {
             Json a = Json::array();
-            for (auto n = random.below(4); n > 0; --n) a.push_back(any(random, depth + 1));
+            for (auto n = random.below(4); n > 0; --n)
+                a.push_back(any(random, depth + 1));
             return a;
         }
         default: {
@@ -42,28 +47,36 @@
     for (std::uint64_t seed = 1; seed <= 2000; ++seed) {
         Random random(seed);
         Json object = Json::object();
-        for (auto n = random.below(6); n > 0; --n) object["m" + std::to_string(n)] = any(random, 0);
+        for (auto n = random.below(6); n > 0; --n)
+            object["m" + std::to_string(n)] = any(random, 0);
         const bool broken = random.chance(0.5);
         std::string text = object.dump(random.chance(0.5) ? -1 : 2, ' ', broken || random.chance(0.5));
         // Half a surrogate pair is well-formed by the grammar, though this parser refuses it: not broken
         // there.
         if (broken && text.find("\\ud") == std::string::npos) {
             const std::size_t at = random.below(text.size());
-            if (random.chance(0.5)) text.erase(at, 1);
-            else text[at] = "{}[],:\"\\0-."[random.below(11)];
+            if (random.chance(0.5))
+                text.erase(at, 1);
+            else
+                text[at] = "{}[],:\"\\0-."[random.below(11)];
         }
         const auto found = members(text);
         const Json parsed = Json::parse(text, nullptr, false);
         ASSERT_EQ(found.ok(), parsed.is_object()) << "seed " << seed << ": " << text;
-        if (!found) continue;
+        if (!found)
+            continue;
         for (const auto& m : *found) {
             const Json value = Json::parse(m.raw);
             // Of a name that comes twice, parsers keep the last.
-            if (&m == &found->back()) { EXPECT_EQ(parsed.at(m.key), value) << "seed " << seed; }
+            if (&m == &found->back()) {
+                EXPECT_EQ(parsed.at(m.key), value) << "seed " << seed;
+            }
             if (value.is_string()) {
                 EXPECT_EQ(*as_string(m.raw), value.get<std::string>()) << "seed " << seed;
             }
-            if (value.is_array()) { EXPECT_EQ(array_length(m.raw), value.size()) << "seed " << seed; }
+            if (value.is_array()) {
+                EXPECT_EQ(array_length(m.raw), value.size()) << "seed " << seed;
+            }
         }
     }
     EXPECT_FALSE(members(std::string(200, '[')));
--- a/tests/store/books_test.cpp
+++ b/tests/store/books_test.cpp
@@ -35,7 +35,8 @@
     const auto log = [&](const std::string& life, std::uint32_t request, Micros at, Micros work) {
         statement::Completed c;
         c.id = "q" + std::to_string(++queries), c.state = "FINISHED", c.user = "u", c.server = "e1";
-        if (!life.empty()) c.tags = {decide::tag_of({life, request, 0})};
+        if (!life.empty())
+            c.tags = {decide::tag_of({life, request, 0})};
         c.created = at, c.ended = at + 1000, c.cpu = work;
         m.logged += work;
         m.journals[random.below(2)] += statement::write_completed(c) + "\n";
@@ -57,20 +58,34 @@
             const auto want = [&](Finding finding, AttemptState state, bool whole, bool logged, Micros more) {
                 ++m.wanted[finding];
                 a.state = state, a.whole = whole;
-                if (logged) log(life, r.number, wall, a.work + more);
+                if (logged)
+                    log(life, r.number, wall, a.work + more);
             };
             switch (random.below(6)) {
-                case 0: want(Finding::agreed, AttemptState::answered, true, true, 400); break;
-                case 1: want(Finding::unseen_end, AttemptState::lost, false, true, 90'000); break;
-                case 2: want(Finding::never_ran, AttemptState::unreachable, false, false, 0); break;
-                case 3: want(Finding::unlogged, AttemptState::lost, false, false, 0); break;
-                case 4: want(Finding::differs, AttemptState::error, true, true, 5000); break;
-                case 5: want(Finding::journal_lacks, AttemptState::answered, true, false, 0); break;
+                case 0:
+                    want(Finding::agreed, AttemptState::answered, true, true, 400);
+                    break;
+                case 1:
+                    want(Finding::unseen_end, AttemptState::lost, false, true, 90'000);
+                    break;
+                case 2:
+                    want(Finding::never_ran, AttemptState::unreachable, false, false, 0);
+                    break;
+                case 3:
+                    want(Finding::unlogged, AttemptState::lost, false, false, 0);
+                    break;
+                case 4:
+                    want(Finding::differs, AttemptState::error, true, true, 5000);
+                    break;
+                case 5:
+                    want(Finding::journal_lacks, AttemptState::answered, true, false, 0);
+                    break;
             }
             w.update(a, wall);
             r.state = RequestState::served;
             w.update(r, wall);
-            if (i % 20 == 0) (void)w.look(i, wall);
+            if (i % 20 == 0)
+                (void)w.look(i, wall);
         }
         (void)w.finish(0, kWall + 200 * kSecondMicros);
         // Logged under a number that the ledger never gave.
@@ -93,7 +108,8 @@
         ASSERT_FALSE(books.open(folder + "/books"));
         // Ledgers 0 and 1, journals 2 and 3, each up to twice, shuffled.
         std::vector<int> order{0, 1, 2, 3, 0, 1, 2, 3};
-        for (std::size_t i = order.size(); i > 1; --i) std::swap(order[i - 1], order[random.below(i)]);
+        for (std::size_t i = order.size(); i > 1; --i)
+            std::swap(order[i - 1], order[random.below(i)]);
         for (const int what : order) {
             if (what < 2) {
                 ASSERT_TRUE(books.collect_ledger(made.ledgers[static_cast<std::size_t>(what)]));
@@ -109,7 +125,8 @@
         std::size_t requests = 0;
         const auto count = [&](const decide::Settled& s) {
             ++found[s.finding];
-            if (s.logged) logged += s.work;
+            if (s.logged)
+                logged += s.work;
         };
         const auto alone = [&](const decide::LoggedQuery& q) {
             const auto life = q.name ? lives.find(q.name->life) : lives.end();
@@ -117,13 +134,17 @@
         };
         ASSERT_FALSE(books.each(
             [&](const Entry& e) {
-                if (!e.whole) return alone(e.logged[0][0]);
+                if (!e.whole)
+                    return alone(e.logged[0][0]);
                 ++requests;
                 for (std::size_t i = 0; i < e.logged.size(); ++i)
                     count(settle(e.whole->request, e.whole->attempts[i], e.logged[i]));
-                for (const auto& q : e.alone) alone(q);
+                for (const auto& q : e.alone)
+                    alone(q);
             },
-            [](const std::string& text) { ADD_FAILURE() << text; }));
+            [](const std::string& text) {
+                ADD_FAILURE() << text;
+            }));
         EXPECT_EQ(found, made.wanted);
         EXPECT_EQ(logged, made.logged);
         EXPECT_EQ(requests, made.requests);
--- a/tests/store/fault_vfs.hpp
+++ b/tests/store/fault_vfs.hpp
@@ -36,7 +36,9 @@
         };
         sqlite3_vfs_register(&vfs_, 0);
     }
-    ~FaultVfs() { sqlite3_vfs_unregister(&vfs_); }
+    ~FaultVfs() {
+        sqlite3_vfs_unregister(&vfs_);
+    }
     FaultVfs(const FaultVfs&) = delete;
     FaultVfs& operator=(const FaultVfs&) = delete;
 
@@ -44,7 +46,8 @@
     void lose_unsynced() {
         for (auto& [file, undo] : unsynced_) {
             std::fstream f(file, std::ios::in | std::ios::out | std::ios::binary);
-            if (!f) continue;
+            if (!f)
+                continue;
             for (auto u = undo.rbegin(); u != undo.rend(); ++u)
                 if (random.chance(0.5)) {
                     f.seekp(u->at);
@@ -53,7 +56,9 @@
         }
         unsynced_.clear();
     }
-    void well() { fail_at = crash_at = -1, failures = 0, crashed = false; }
+    void well() {
+        fail_at = crash_at = -1, failures = 0, crashed = false;
+    }
 
     long operations = 0;
     long fail_at = -1;  // from this operation on ...
@@ -68,22 +73,31 @@
         sqlite3_file base;
         FaultVfs* vfs;
         char name[512];
-        sqlite3_file* real() { return reinterpret_cast<sqlite3_file*>(this + 1); }
+        sqlite3_file* real() {
+            return reinterpret_cast<sqlite3_file*>(this + 1);
+        }
     };
     struct Undo {
         sqlite3_int64 at;
         std::string before;
     };
-    static FaultVfs& self(sqlite3_vfs* v) { return *static_cast<FaultVfs*>(v->pAppData); }
-    static File& file(sqlite3_file* f) { return *reinterpret_cast<File*>(f); }
+    static FaultVfs& self(sqlite3_vfs* v) {
+        return *static_cast<FaultVfs*>(v->pAppData);
+    }
+    static File& file(sqlite3_file* f) {
+        return *reinterpret_cast<File*>(f);
+    }
 
     // One operation that changes something. Not SQLITE_OK: it fails so. Sets `torn` where power is lost in
     // it.
     int count(bool& torn) {
-        if (crashed) return SQLITE_IOERR;
+        if (crashed)
+            return SQLITE_IOERR;
         const long n = operations++;
-        if (crash_at >= 0 && n >= crash_at) return torn = crashed = true, SQLITE_IOERR;
-        if (fail_at >= 0 && n >= fail_at && failures > 0) return --failures, code;
+        if (crash_at >= 0 && n >= crash_at)
+            return torn = crashed = true, SQLITE_IOERR;
+        if (fail_at >= 0 && n >= fail_at && failures > 0)
+            return --failures, code;
         return SQLITE_OK;
     }
     static int open(sqlite3_vfs* v, sqlite3_filename n, sqlite3_file* f, int flags, int* out) {
@@ -92,15 +106,18 @@
         mine.base.pMethods = nullptr;
         mine.vfs = &me;
         std::snprintf(mine.name, sizeof mine.name, "%s", n ? n : "");
-        if (me.crashed) return SQLITE_IOERR;
+        if (me.crashed)
+            return SQLITE_IOERR;
         const int rc = me.below_->xOpen(me.below_, n, mine.real(), flags, out);
-        if (rc == SQLITE_OK) mine.base.pMethods = methods();
+        if (rc == SQLITE_OK)
+            mine.base.pMethods = methods();
         return rc;
     }
     static int remove(sqlite3_vfs* v, const char* n, int sync) {
         bool torn = false;
         auto& me = self(v);
-        if (const int rc = me.count(torn)) return rc;
+        if (const int rc = me.count(torn))
+            return rc;
         me.unsynced_.erase(n);
         return me.below_->xDelete(me.below_, n, sync);
     }
@@ -109,13 +126,15 @@
         FaultVfs& me = *mine.vfs;
         bool torn = false;
         const int rc = me.count(torn);
-        if (rc != SQLITE_OK && !torn) return rc;
+        if (rc != SQLITE_OK && !torn)
+            return rc;
         const int n = torn ? static_cast<int>(me.random.below(static_cast<std::uint64_t>(size) + 1)) : size;
         sqlite3_int64 length = 0;
         mine.real()->pMethods->xFileSize(mine.real(), &length);
         const auto old = static_cast<int>(std::clamp<sqlite3_int64>(length - at, 0, n));
         Undo u{at, std::string(static_cast<std::size_t>(n), '\0')};  // beyond the end: zeros, as a hole reads
-        if (old > 0) mine.real()->pMethods->xRead(mine.real(), u.before.data(), old, at);
+        if (old > 0)
+            mine.real()->pMethods->xRead(mine.real(), u.before.data(), old, at);
         me.unsynced_[mine.name].push_back(std::move(u));
         const int wrote = n > 0 ? mine.real()->pMethods->xWrite(mine.real(), bytes, n, at) : SQLITE_OK;
         return torn ? rc : wrote;
@@ -123,43 +142,59 @@
     static const sqlite3_io_methods* methods() {
         static const sqlite3_io_methods kMethods = {
             2,
-            [](sqlite3_file* f) { return file(f).real()->pMethods->xClose(file(f).real()); },
+            [](sqlite3_file* f) {
+                return file(f).real()->pMethods->xClose(file(f).real());
+            },
             [](sqlite3_file* f, void* to, int n, sqlite3_int64 at) {
                 return file(f).real()->pMethods->xRead(file(f).real(), to, n, at);
             },
             write,
             [](sqlite3_file* f, sqlite3_int64 size) {
                 bool torn = false;
-                if (const int rc = file(f).vfs->count(torn)) return rc;
+                if (const int rc = file(f).vfs->count(torn))
+                    return rc;
                 return file(f).real()->pMethods->xTruncate(file(f).real(), size);
             },
             [](sqlite3_file* f, int flags) {
                 bool torn = false;
-                if (const int rc = file(f).vfs->count(torn)) return rc;
+                if (const int rc = file(f).vfs->count(torn))
+                    return rc;
                 file(f).vfs->unsynced_.erase(file(f).name);
                 return file(f).real()->pMethods->xSync(file(f).real(), flags);
             },
             [](sqlite3_file* f, sqlite3_int64* size) {
                 return file(f).real()->pMethods->xFileSize(file(f).real(), size);
             },
-            [](sqlite3_file* f, int l) { return file(f).real()->pMethods->xLock(file(f).real(), l); },
-            [](sqlite3_file* f, int l) { return file(f).real()->pMethods->xUnlock(file(f).real(), l); },
+            [](sqlite3_file* f, int l) {
+                return file(f).real()->pMethods->xLock(file(f).real(), l);
+            },
+            [](sqlite3_file* f, int l) {
+                return file(f).real()->pMethods->xUnlock(file(f).real(), l);
+            },
             [](sqlite3_file* f, int* out) {
                 return file(f).real()->pMethods->xCheckReservedLock(file(f).real(), out);
             },
             [](sqlite3_file* f, int op, void* arg) {
                 return file(f).real()->pMethods->xFileControl(file(f).real(), op, arg);
             },
-            [](sqlite3_file* f) { return file(f).real()->pMethods->xSectorSize(file(f).real()); },
-            [](sqlite3_file* f) { return file(f).real()->pMethods->xDeviceCharacteristics(file(f).real()); },
+            [](sqlite3_file* f) {
+                return file(f).real()->pMethods->xSectorSize(file(f).real());
+            },
+            [](sqlite3_file* f) {
+                return file(f).real()->pMethods->xDeviceCharacteristics(file(f).real());
+            },
             [](sqlite3_file* f, int page, int size, int extend, void volatile** to) {
                 return file(f).real()->pMethods->xShmMap(file(f).real(), page, size, extend, to);
             },
             [](sqlite3_file* f, int offset, int n, int flags) {
                 return file(f).real()->pMethods->xShmLock(file(f).real(), offset, n, flags);
             },
-            [](sqlite3_file* f) { file(f).real()->pMethods->xShmBarrier(file(f).real()); },
-            [](sqlite3_file* f, int del) { return file(f).real()->pMethods->xShmUnmap(file(f).real(), del); },
+            [](sqlite3_file* f) {
+                file(f).real()->pMethods->xShmBarrier(file(f).real());
+            },
+            [](sqlite3_file* f, int del) {
+                return file(f).real()->pMethods->xShmUnmap(file(f).real(), del);
+            },
             nullptr,
             nullptr};
         return &kMethods;
--- a/tests/store/ledger_test.cpp
+++ b/tests/store/ledger_test.cpp
@@ -28,7 +28,9 @@
         std::filesystem::remove_all(folder);
         std::filesystem::create_directories(folder);
     }
-    ~Temp() { std::filesystem::remove_all(folder); }
+    ~Temp() {
+        std::filesystem::remove_all(folder);
+    }
 };
 
 RequestRow request(std::uint32_t number, RequestState state, Random& random) {
@@ -60,7 +62,9 @@
             const bool fresh = r.all.emplace(w.life->name + "." + std::to_string(w.request.number), w).second;
             EXPECT_TRUE(fresh) << "twice: " << w.request.number;
         },
-        [&](std::string text) { r.damaged.push_back(std::move(text)); });
+        [&](std::string text) {
+            r.damaged.push_back(std::move(text));
+        });
     EXPECT_FALSE(f) << f.text;
     return r;
 }
@@ -96,7 +100,8 @@
     bool matches(const Read& r, bool last) const {
         const auto& wanted = last ? with_last : requests;
         const auto& wanted_work = last ? work_with_last : work;
-        if (r.all.size() != wanted.size()) return false;
+        if (r.all.size() != wanted.size())
+            return false;
         for (const auto& [name, w] : r.all) {
             const auto found = wanted.find(w.request.number);
             if (found == wanted.end() || found->second.first != w.request.state ||
@@ -128,7 +133,8 @@
             std::uint32_t next = 0;
             for (int i = 0; i < 30 && last; ++i) {
                 // A checkpoint now and then, so that the file itself is also caught half written.
-                if (random.chance(0.2)) (void)ledger.db().exec("PRAGMA wal_checkpoint(TRUNCATE)");
+                if (random.chance(0.2))
+                    (void)ledger.db().exec("PRAGMA wal_checkpoint(TRUNCATE)");
                 last = !ledger.write(model.draw(random, next));
             }
         }
@@ -179,7 +185,8 @@
                 EXPECT_EQ(w.attempts.size(), 1u);
             }
             EXPECT_TRUE(found.damaged.empty());
-            if (!struck) break;
+            if (!struck)
+                break;
             ASSERT_LT(n, 1000);
         }
 }
@@ -196,14 +203,16 @@
         std::string words;
         for (int i = 0; i < times; ++i) {
             now += 500 * kMillisecond;
-            for (const auto& text : w.look(now, kWall + now)) words += text + "\n";
+            for (const auto& text : w.look(now, kWall + now))
+                words += text + "\n";
         }
         return words;
     }
     std::uint32_t take(LedgerWriter& w, RequestState state = RequestState::open) {
         auto r = request(0, RequestState::open, random);
         r.taken = kWall + now;
-        if (!w.taken(r, kWall + now)) return 0;
+        if (!w.taken(r, kWall + now))
+            return 0;
         if (state != RequestState::open) {
             r.state = state;
             w.update(r, kWall + now);
@@ -226,7 +235,8 @@
     auto first = open(kFirstLife);
     for (int i = 0; i < 10; ++i) {
         const auto n = take(*first, i < 4 ? RequestState::served : RequestState::open);
-        if (i >= 4) first->update(attempt(n, AttemptState::out, random), kWall);
+        if (i >= 4)
+            first->update(attempt(n, AttemptState::out, random), kWall);
     }
     look(*first);
     const Micros committed = kWall + now;
@@ -242,7 +252,8 @@
     int interrupted = 0;
     for (const auto& [name, w] : found.all) {
         interrupted += w.request.state == RequestState::interrupted;
-        for (const auto& a : w.attempts) EXPECT_EQ(a.state, AttemptState::interrupted);
+        for (const auto& a : w.attempts)
+            EXPECT_EQ(a.state, AttemptState::interrupted);
     }
     EXPECT_EQ(interrupted, 6);
     const auto all = gaps(temp.file);
@@ -255,14 +266,16 @@
 TEST_F(WriterTest, AFullDiskIsSaidBoundedAndStatedAsAGap) {
     FaultVfs vfs("full", 1);
     auto w = open(kFirstLife, 1000, "full");
-    for (int i = 0; i < 10; ++i) take(*w, RequestState::served);
+    for (int i = 0; i < 10; ++i)
+        take(*w, RequestState::served);
     look(*w);
     vfs.fail_at = vfs.operations, vfs.failures = 1'000'000, vfs.code = SQLITE_FULL;
     int refused = 0;
     std::string words;
     for (int i = 0; i < 2000; ++i) {
         refused += take(*w) == 0;
-        if (i % 100 == 0) words += look(*w);
+        if (i % 100 == 0)
+            words += look(*w);
         EXPECT_LE(w->status().waiting, 1000u);
     }
     EXPECT_NE(words.find("NOT WRITTEN (disk full)"), std::string::npos) << words;
@@ -313,7 +326,8 @@
 // as it can be, and what can't is told.
 TEST_F(WriterTest, ADamagedFileIsSetAsideAndReadAroundTheDamage) {
     auto w = open(kFirstLife);
-    for (int i = 0; i < 900; ++i) take(*w, RequestState::served);
+    for (int i = 0; i < 900; ++i)
+        take(*w, RequestState::served);
     look(*w);
     w->finish(now, kWall + now);
     w.reset();
@@ -340,7 +354,8 @@
     std::string words;
     for (int i = 0; i < 900; ++i) {
         take(*w, RequestState::served);
-        if (i % 100 == 0) words += look(*w);
+        if (i % 100 == 0)
+            words += look(*w);
     }
     words += look(*w, 20);
     EXPECT_EQ(w->status().trouble, StoreTrouble::none) << words;
@@ -348,14 +363,17 @@
     // Whether the writing met the damage or not, every new row is there.
     const auto after = read(temp.file);
     EXPECT_EQ(std::count_if(after.all.begin(), after.all.end(),
-                            [](const auto& row) { return row.first.starts_with(kSecondLife); }),
+                            [](const auto& row) {
+                                return row.first.starts_with(kSecondLife);
+                            }),
               900)
         << words;
 }
 
 TEST_F(WriterTest, ALargerRowThanItsChecksumSaysIsTold) {
     auto w = open(kFirstLife);
-    for (int i = 0; i < 3; ++i) take(*w, RequestState::served);
+    for (int i = 0; i < 3; ++i)
+        take(*w, RequestState::served);
     look(*w);
     w->finish(now, kWall + now);
     {
@@ -390,7 +408,8 @@
     auto w = open(kFirstLife);
     for (int i = 0; i < 6000; ++i) {
         take(*w, RequestState::served);
-        if (i % 300 == 0) look(*w);
+        if (i % 300 == 0)
+            look(*w);
     }
     look(*w);
     w->finish(now, kWall + now);
@@ -408,7 +427,8 @@
 
 TEST_F(WriterTest, ASnapshotWhileWritingIsWholeAndCanBeGoneOnWith) {
     auto w = open(kFirstLife);
-    for (int i = 0; i < 50; ++i) take(*w, i % 2 ? RequestState::served : RequestState::open);
+    for (int i = 0; i < 50; ++i)
+        take(*w, i % 2 ? RequestState::served : RequestState::open);
     look(*w);
     Ledger reader;
     ASSERT_FALSE(reader.open(temp.file, {"", true}));
@@ -419,7 +439,8 @@
     // Restored: the copy in its place, and the next life goes on with it.
     w.reset();
     reader.close();
-    for (const char* part : {"", "-wal", "-shm"}) std::filesystem::remove(temp.file + part);
+    for (const char* part : {"", "-wal", "-shm"})
+        std::filesystem::remove(temp.file + part);
     std::filesystem::rename(temp.folder + "/copy", temp.file);
     w = open(kSecondLife);
     EXPECT_NE(look(*w).find("25 requests"), std::string::npos);
--- a/tests/thrift/thrift_test.cpp
+++ b/tests/thrift/thrift_test.cpp
@@ -7,7 +7,9 @@
 namespace gatetiller::thrift {
 namespace {
 
-std::string_view inside(const std::string& frame) { return std::string_view(frame).substr(kFrameHead); }
+std::string_view inside(const std::string& frame) {
+    return std::string_view(frame).substr(kFrameHead);
+}
 
 TEST(Thrift, ACallIsReadAsItWasWritten) {
     const Fields fields{{"route", "report"}, {"trace", "9b1f03aa5c7e2d41"}};
@@ -25,7 +27,8 @@
 TEST(Thrift, TheBytesAreThoseOfTheProtocol) {
     const auto bytes = [](std::initializer_list<int> list) {
         std::string s;
-        for (const int b : list) s.push_back(static_cast<char>(b));
+        for (const int b : list)
+            s.push_back(static_cast<char>(b));
         return s;
     };
     const std::string give_up =
@@ -51,7 +54,9 @@
         in.append(std::string_view(frame).substr(0, n));
         std::string_view got;
         EXPECT_EQ(next_frame(in, 1000, got), Framing::none) << n;
-        if (n >= kFrameHead) { EXPECT_FALSE(read_call(inside(frame).substr(0, n - kFrameHead))) << n; }
+        if (n >= kFrameHead) {
+            EXPECT_FALSE(read_call(inside(frame).substr(0, n - kFrameHead))) << n;
+        }
     }
     Buffer in;
     in.append(frame + frame);
@@ -86,7 +91,8 @@
     Writer deep(MessageType::call, "process", 1);
     deep.field(Type::list, 9);
     std::string nested = deep.frame();
-    for (int i = 0; i < 50; ++i) nested += std::string("\x0f\0\0\0\x01", 5);
+    for (int i = 0; i < 50; ++i)
+        nested += std::string("\x0f\0\0\0\x01", 5);
     EXPECT_FALSE(read_call(inside(nested)));
 }
 
@@ -97,7 +103,8 @@
         std::string bad(inside(frame));
         for (std::uint64_t n = 1 + random.below(4); n > 0; --n)
             bad[random.below(bad.size())] = static_cast<char>(random.next());
-        if (random.chance(0.3)) bad.resize(random.below(bad.size() + 1));
+        if (random.chance(0.3))
+            bad.resize(random.below(bad.size() + 1));
         const auto call = read_call(bad);  // read or refused; the sanitizers see to the rest
         EXPECT_TRUE(!call || call->body.size() <= bad.size()) << "seed " << seed;
     }
