--- a/tests/lab/virtual_day_test.cpp
+++ b/tests/lab/virtual_day_test.cpp
@@ -7,6 +7,8 @@
 
 #include <filesystem>
 
+#include "base/text.hpp"
+
 namespace gatetiller::lab {
 namespace {
 
@@ -43,5 +45,34 @@
     std::filesystem::remove_all(folder);
 }
 
+// Equality harness: what a day of whole fronts comes to, in numbers. Where a change of behaviour is wanted,
+// the digests are replaced by those that the failing test prints, and the commit says why.
+std::uint64_t digest_of(std::uint64_t seed) {
+    VirtualDayOptions options;
+    options.seed = seed;
+    options.requests = 1500;
+    options.kills = 10;
+    options.folder = ::testing::TempDir() + "virtual-digest-" + std::to_string(::getpid());
+    const auto day = run_virtual_day(options);
+    std::filesystem::remove_all(options.folder);
+    if (!day)
+        return 0;
+    std::string numbers;
+    for (const std::int64_t number :
+         {static_cast<std::int64_t>(day->asked), static_cast<std::int64_t>(day->killed),
+          static_cast<std::int64_t>(day->events), static_cast<std::int64_t>(day->gaps), day->longest_gap,
+          day->logged, day->charged, static_cast<std::int64_t>(day->virtual_seconds * 1e6)})
+        numbers += std::to_string(number) + " ";
+    return hash_of(numbers);
+}
+
+TEST(VirtualDay, DigestOfSeed21) {
+    EXPECT_EQ(digest_of(21), 17911667329668668960ULL);
+}
+
+TEST(VirtualDay, DigestOfSeed22) {
+    EXPECT_EQ(digest_of(22), 11182608119076975785ULL);
+}
+
 }  // namespace
 }  // namespace gatetiller::lab
