--- a/src/bench/wire.cpp
+++ b/src/bench/wire.cpp
@@ -86,25 +86,27 @@
     throw WireError("unknown word in " + std::string(field) + ": '" + std::string(word) + "'");
 }
 
-constexpr std::pair<std::string_view, Outcome> kOutcomes[] = {{"done", Outcome::done},
-                                                              {"err", Outcome::err},
-                                                              {"busy", Outcome::busy},
-                                                              {"etimedout", Outcome::etimedout},
-                                                              {"econnrefused", Outcome::econnrefused},
-                                                              {"econnreset", Outcome::econnreset},
-                                                              {"ecanceled", Outcome::ecanceled},
-                                                              {"skipped", Outcome::skipped}};
-constexpr std::pair<std::string_view, EngineState> kStates[] = {
-    {"on", EngineState::on}, {"fading", EngineState::fading}, {"off", EngineState::off}};
-constexpr std::pair<std::string_view, ListForm> kForms[] = {{"incr", ListForm::incr},
-                                                            {"total", ListForm::total},
-                                                            {"warm_copy", ListForm::warm_copy},
-                                                            {"lost", ListForm::lost}};
+constexpr std::pair<std::string_view, AttemptOutcome> kOutcomes[] = {
+    {"done", AttemptOutcome::succeeded},
+    {"err", AttemptOutcome::failed},
+    {"busy", AttemptOutcome::rejected},
+    {"etimedout", AttemptOutcome::timed_out},
+    {"econnrefused", AttemptOutcome::connection_refused},
+    {"econnreset", AttemptOutcome::connection_reset},
+    {"ecanceled", AttemptOutcome::cancelled},
+    {"skipped", AttemptOutcome::not_sent}};
+constexpr std::pair<std::string_view, EndpointState> kStates[] = {
+    {"on", EndpointState::ready}, {"fading", EndpointState::draining}, {"off", EndpointState::removed}};
+constexpr std::pair<std::string_view, EndpointUpdateKind> kForms[] = {
+    {"incr", EndpointUpdateKind::incremental},
+    {"total", EndpointUpdateKind::full},
+    {"warm_copy", EndpointUpdateKind::cached},
+    {"lost", EndpointUpdateKind::source_lost}};
 
-std::optional<Report> parse_report(std::optional<std::string_view> text) {
+std::optional<LoadReport> parse_report(std::optional<std::string_view> text) {
     if (!text || text->empty())
         return std::nullopt;
-    Report report;
+    LoadReport report;
     for (std::size_t at = 0; at <= text->size();) {
         const std::size_t comma = std::min(text->find(',', at), text->size());
         const std::string_view part = text->substr(at, comma - at);
@@ -216,7 +218,7 @@
         auto settings = platform::parse_settings(f.text("boot_info"));
         if (!settings)
             throw WireError(settings.error());
-        Brain brain(now_, f.get<std::uint64_t>("random_seed"), std::move(*settings));
+        GatewayPolicy brain(now_, f.get<std::uint64_t>("random_seed"), std::move(*settings));
         emit(instance, brains_.emplace(instance, std::move(brain)).first->second.start());
         return false;
     }
@@ -235,55 +237,56 @@
         return false;
     }
     if (name == "backends_changed") {
-        ListChange change{named(kForms, f.text("form"), "form"), {}};
-        if (change.form != ListForm::lost) {
+        EndpointUpdate change{named(kForms, f.text("form"), "form"), {}};
+        if (change.kind != EndpointUpdateKind::source_lost) {
             const auto page = f.get<std::size_t>("page");
             if (page >= pages_.size())
                 throw WireError("a list's number is out of range");
-            change.engines = pages_[page];
+            change.endpoints = pages_[page];
         }
         event = std::move(change);
     } else if (name == "demand") {
-        Demand d;
+        RequestArrived d;
         d.id = id();
-        d.type = f.text("type");
+        d.class_name = f.text("type");
         d.tenant = f.find("billing").value_or("");
-        d.key = f.find("relation").value_or("");
+        d.ordering_key = f.find("relation").value_or("");
         d.time_left = f.get<Micros>("grace_us");
         if (f.find("plan_cost_us"))
-            d.cost = f.get<Micros>("plan_cost_us");
-        d.memory_mb = f.get<double>("mem_mb", 0);
-        d.group = static_cast<std::int64_t>(f.get<double>("table_group", 0));
-        d.repeat = f.flag("repeat");
+            d.estimated_work = f.get<Micros>("plan_cost_us");
+        d.estimated_memory_mb = f.get<double>("mem_mb", 0);
+        d.table_group = static_cast<std::int64_t>(f.get<double>("table_group", 0));
+        d.client_retry = f.flag("repeat");
         event = std::move(d);
     } else if (name == "peer_data") {
         event = PeerMessage{f.get<int>("origin_peer"), decode_base64(f.text("bytes"))};
     } else if (name == "begun") {
-        event = Begun{id(), f.get<int>("hop", 0)};
+        event = ResponseStarted{id(), f.get<int>("hop", 0)};
     } else if (name == "gone") {
-        event = Gone{id()};
+        event = ClientDisconnected{id()};
     } else if (name == "completed") {
         const auto stats = f.get<std::uint64_t>("stats", 0);
-        event = Completed{id(),
-                          f.get<int>("hop"),
-                          engine(),
-                          named(kOutcomes, f.text("reason"), "reason"),
-                          f.get<Micros>("time_taken_us", 0),
-                          f.flag("finished"),
-                          static_cast<double>(stats >> 12),
-                          static_cast<double>(stats & 4095) * 4,
-                          parse_report(f.find("feedback"))};
+        event = AttemptCompleted{id(),
+                                 f.get<int>("hop"),
+                                 engine(),
+                                 named(kOutcomes, f.text("reason"), "reason"),
+                                 f.get<Micros>("time_taken_us", 0),
+                                 f.flag("finished"),
+                                 static_cast<double>(stats >> 12),
+                                 static_cast<double>(stats & 4095) * 4,
+                                 parse_report(f.find("feedback"))};
     } else if (name == "update_of") {
         const int topic = f.get<int>("topic");
         if (topic < 1 || topic > 3)
             return false;
-        event =
-            Note{id(), f.get<int>("hop"), engine(), static_cast<NoteTopic>(topic), f.get<double>("value")};
+        event = AttemptProgress{id(), f.get<int>("hop"), engine(), static_cast<ProgressKind>(topic),
+                                f.get<double>("value")};
     } else if (name == "echo") {
-        event = Probed{engine(), f.get<Micros>("time_taken_us", 0),
-                       named(kOutcomes, f.text("reason"), "reason"), parse_report(f.find("feedback"))};
+        event = HealthCheckCompleted{engine(), f.get<Micros>("time_taken_us", 0),
+                                     named(kOutcomes, f.text("reason"), "reason"),
+                                     parse_report(f.find("feedback"))};
     } else {
-        event = Bell{f.get<std::int64_t>("name")};
+        event = TimerFired{f.get<std::int64_t>("name")};
     }
     emit(instance, found->second.handle(now_, event));
     return false;
@@ -296,34 +299,34 @@
     };
     for (const Action& action : actions) {
         out_ += std::visit(
-            Overloaded{[&](const Send& a) {
+            Overloaded{[&](const DispatchAttempt& a) {
                            return "call_out" + i + "\tcorr=" + a.id + "\tengine=" + str(a.engine) +
-                                  "\tmax_wait_us=" + str(a.time_out);
+                                  "\tmax_wait_us=" + str(a.timeout);
                        },
-                       [&](const Terms& a) {
-                           return "terms" + i + "\tcorr=" + a.id + "\tworkspace_mb=" + str(a.grant_mb) +
+                       [&](const ResourceGrant& a) {
+                           return "terms" + i + "\tcorr=" + a.id + "\tworkspace_mb=" + str(a.memory_mb) +
                                   "\timportance=" + str(a.priority);
                        },
-                       [&](const Refuse& a) {
-                           return "not_now" + i + "\tcorr=" + a.id + "\tcome_back_us=" + str(a.come_back);
+                       [&](const ShedRequest& a) {
+                           return "not_now" + i + "\tcorr=" + a.id + "\tcome_back_us=" + str(a.retry_after);
                        },
-                       [&](const Fail& a) {
+                       [&](const FailRequest& a) {
                            return "abort" + i + "\tcorr=" + a.id;
                        },
-                       [&](const Cancel& a) {
+                       [&](const CancelAttempt& a) {
                            return "stop_attempt" + i + "\tcorr=" + a.id + "\thop=" + str(a.attempt);
                        },
-                       [&](const Probe& a) {
+                       [&](const CheckHealth& a) {
                            return "touch" + i + "\tengine=" + str(a.engine);
                        },
-                       [&](const Tell& a) {
+                       [&](const BroadcastToPeers& a) {
                            return "memo_to" + i + "\taddressee=*\tbytes=" + encode_base64(a.bytes);
                        },
-                       [&](const Observe&) {
+                       [&](const WatchEndpoints&) {
                            return "observe" + i + "\twant=1";
                        },
-                       [&](const SetTimer& a) {
-                           return "after" + i + "\tsleep_for_us=" + str(a.delay) + "\tname=" + str(a.name);
+                       [&](const StartTimer& a) {
+                           return "after" + i + "\tsleep_for_us=" + str(a.delay) + "\tname=" + str(a.timer);
                        }},
             action);
         out_ += '\n';
--- a/src/bench/wire.hpp
+++ b/src/bench/wire.hpp
@@ -34,8 +34,8 @@
     void add_entry(std::string_view line);
     void emit(int instance, const std::vector<Action>& actions);
 
-    std::map<int, Brain> brains_;
-    std::array<std::vector<EngineEntry>, 16> pages_;
+    std::map<int, GatewayPolicy> brains_;
+    std::array<std::vector<Endpoint>, 16> pages_;
     std::size_t page_open_ = 0;
     std::size_t entries_due_ = 0;
     bool in_batch_ = false;
--- a/src/cli/node.cpp
+++ b/src/cli/node.cpp
@@ -107,13 +107,13 @@
         std::fprintf(stderr, "%s\n", (hears ? bound.error() : hears.error()).c_str());
         return 1;
     }
-    const decide::ReadyFacts facts{front.has_list() && !planted("ready_without_list"),
-                                   front.listens() && !planted("ready_without_listener"),
-                                   hears.ok() && !planted("ready_without_signals")};
-    if (decide::StartGuard::permit(facts))
+    const decide::ReadinessContext facts{front.has_list() && !planted("ready_without_list"),
+                                         front.listens() && !planted("ready_without_listener"),
+                                         hears.ok() && !planted("ready_without_signals")};
+    if (decide::ReadinessGuard::permit(facts))
         say_line(bound->text());
     else
-        front.count(*decide::StartGuard::forbids(facts), "start");
+        front.count(*decide::ReadinessGuard::find_violation(facts), "start");
     loop.run();
     return 0;
 }
--- a/src/cli/report.cpp
+++ b/src/cli/report.cpp
@@ -83,11 +83,11 @@
     for (const auto& name : o.list) {
         int found = -1;
         for (int i = 0; i < decide::kFindings; ++i)
-            if (name == decide::name_of(static_cast<decide::Finding>(i)))
+            if (name == decide::name_of(static_cast<decide::SettlementFinding>(i)))
                 found = i;
         if (found < 0)
             return Error{"'" + name + "' is not a finding; see docs/operators/charge-back.md"};
-        ask.list.push_back(static_cast<decide::Finding>(found));
+        ask.list.push_back(static_cast<decide::SettlementFinding>(found));
     }
     return report::make_report(books, *settlement, std::move(*calendar), ask);
 }
@@ -189,7 +189,7 @@
     if (f)
         return failed(f.text);
     std::vector<store::Life> lives;
-    std::vector<std::pair<std::string, store::Gap>> gaps;
+    std::vector<std::pair<std::string, store::LedgerGap>> gaps;
     if (const auto failure = ledger.lives(lives))
         return failed(failure.text);
     if (const auto failure = ledger.gaps(gaps))
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -50,7 +50,8 @@
     store::WriterSettings w;
     w.file = s.ledger.file, w.front = s.name, w.life = entropy().substr(0, 16);
     w.flush_every = s.ledger.flush_every, w.keep = s.ledger.keep,
-    w.past = s.budgets.budgets.empty() ? 0 : s.budgets.quota.window, w.limits.waiting = s.ledger.waiting;
+    w.past = s.budgets.budgets.empty() ? 0 : s.budgets.quota.window,
+    w.limits.max_queued_rows = s.ledger.waiting;
     auto ledger = std::make_unique<store::LedgerWriter>(std::move(w));
     ledger->start_thread();
     return ledger;
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -42,41 +42,42 @@
     return jsonnet_copy(vm, *text);
 }
 
-void read_classes(Reader& top, Settings& m) {
+void read_classes(Reader& top, PolicySettings& m) {
     top.each("classes", [&](const std::string& name, Reader& r) {
         ClassSettings c;
         c.name = name;
         r.required({"aim", "deadline", "effect"});
-        r.span("aim", c.aim);
+        r.span("aim", c.latency_objective);
         r.span("deadline", c.deadline);
-        r.number("aim_stretch", c.aim_stretch, 0, 100);
-        r.word<Effect>(
-            "effect", c.effect,
-            {{"repeatable", Effect::repeatable}, {"by_key", Effect::by_key}, {"once", Effect::once}});
-        r.word<Scope>("key_scope", c.key_scope,
-                      {{"all", Scope::all}, {"zone", Scope::zone}, {"cell", Scope::cell}});
-        r.span("window", c.window);
-        r.number("late_share", c.late_share, 0, 1);
-        r.number("value", c.value, 0, 1e9);
-        r.flag("in_turn", c.in_turn);
+        r.number("aim_stretch", c.objective_stretch, 0, 100);
+        r.word<Idempotency>("effect", c.idempotency,
+                            {{"repeatable", Idempotency::idempotent},
+                             {"by_key", Idempotency::keyed},
+                             {"once", Idempotency::non_idempotent}});
+        r.word<KeyScope>("key_scope", c.key_scope,
+                         {{"all", KeyScope::all}, {"zone", KeyScope::zone}, {"cell", KeyScope::cell}});
+        r.span("window", c.key_window);
+        r.number("late_share", c.late_value_share, 0, 1);
+        r.number("value", c.priority_weight, 0, 1e9);
+        r.flag("in_turn", c.ordered_by_key);
         r.number("threads", c.threads, 0.1, 4096);
-        r.flag("holds_group", c.holds_group);
-        r.flag("yields_to_loads", c.yields_to_loads);
+        r.flag("holds_group", c.locks_table_group);
+        r.flag("yields_to_loads", c.waits_for_table_lock);
         std::vector<std::string> names;
         if (r.has("kinds"))
-            r.texts("kinds", names), c.served_on = names;
+            r.texts("kinds", names), c.allowed_kinds = names;
         else
             r.texts("kinds", names);
         names.clear();
         if (r.has("zones"))
-            r.texts("zones", names), c.azs_open = names;
+            r.texts("zones", names), c.allowed_zones = names;
         else
             r.texts("zones", names);
-        if (c.aim <= 0)
+        if (c.latency_objective <= 0)
             r.wrong("aim", "must be over 0");
-        if (c.deadline < c.aim)
+        if (c.deadline < c.latency_objective)
             r.wrong("deadline", "must not be shorter than the aim");
-        if (c.effect == Effect::by_key && c.window <= 0)
+        if (c.idempotency == Idempotency::keyed && c.key_window <= 0)
             r.wrong("window", "a class by_key says for how long engines drop a repeat, such as '25s'");
         m.classes.push_back(std::move(c));
     });
@@ -84,43 +85,44 @@
         top.wrong("classes", "at least one class is needed");
 }
 
-void read_facts(Reader& r, Settings& m) {
-    r.flag("grants", m.grants);
-    r.flag("priorities", m.priorities);
-    read_when_short(r, m.when_short);
-    r.flag("cost_in_answers", m.cost_in_answers);
-    r.span("note_period", m.note_period);
-    r.word<ReportSource>(
-        "reports", m.reports,
-        {{"none", ReportSource::none}, {"answers", ReportSource::answers}, {"probe", ReportSource::probe}});
-    r.flag("cancel", m.may_cancel);
-    r.number("largest_share", m.largest_share, 0.01, 1);
+void read_facts(Reader& r, PolicySettings& m) {
+    r.flag("grants", m.supports_memory_grants);
+    r.flag("priorities", m.supports_priorities);
+    read_when_short(r, m.memory_shortage_policy);
+    r.flag("cost_in_answers", m.cost_in_responses);
+    r.span("note_period", m.progress_period);
+    r.word<LoadReportSource>("reports", m.load_report_source,
+                             {{"none", LoadReportSource::none},
+                              {"answers", LoadReportSource::responses},
+                              {"probe", LoadReportSource::health_checks}});
+    r.flag("cancel", m.can_cancel);
+    r.number("largest_share", m.max_memory_share, 0.01, 1);
 }
 
-void read_rules(Reader& r, Settings& m) {
-    r.count("attempts", m.attempts_cap, 1, 100);
-    r.span("answer_grace", m.grace_to_answer);
+void read_rules(Reader& r, PolicySettings& m) {
+    r.count("attempts", m.max_attempts, 1, 100);
+    r.span("answer_grace", m.response_grace);
     r.span("drain_grace", m.drain_grace);
-    r.number("cold_share", m.cold_share, 0, 1);
-    r.span("warm_up", m.warm_up);
+    r.number("cold_share", m.slow_start_capacity_share, 0, 1);
+    r.span("warm_up", m.slow_start_window);
     r.number("overload_factor", m.overload_factor, 0, 1000);
-    r.span("overload_for", m.overload_for);
-    r.span("turn_gap", m.turn_gap);
-    r.span("ask_within", m.ask_within);
+    r.span("overload_for", m.overload_window);
+    r.span("turn_gap", m.key_order_gap);
+    r.span("ask_within", m.watch_deadline);
     r.object("further_attempts", [&](Reader& b) {
         b.required({"free", "per_request", "span"});
         double free = 0, each = 0;
         b.number("free", free, 0, 1e9);
         b.number("per_request", each, 0, 100);
-        b.span("span", m.ratio_span);
-        m.extra_free = free, m.extra_per_request = each;
+        b.span("span", m.retry_budget_window);
+        m.retry_budget_base = free, m.retry_budget_ratio = each;
     });
 }
 
-void read_worth(Reader& r, Settings& m) {
-    r.word<bool>("by", m.worth_by_work, {{"request", false}, {"work", true}});
-    r.number("over_share", m.over_share_worth, 0, 1);
-    r.number("probe_price", m.probe_price, 0, 100);
+void read_worth(Reader& r, PolicySettings& m) {
+    r.word<bool>("by", m.weight_by_work, {{"request", false}, {"work", true}});
+    r.number("over_share", m.over_quota_weight, 0, 1);
+    r.number("probe_price", m.health_check_price, 0, 100);
     r.number("cross_zone_price", m.cross_zone_price, 0, 100);
 }
 
@@ -141,9 +143,9 @@
     r.text("kind", e.kind);
     r.count("cell", e.cell, 0, 1e9);
     r.number("share", e.share, 0, 1e6);
-    r.word<EngineState>(
+    r.word<EndpointState>(
         "state", e.state,
-        {{"on", EngineState::on}, {"fading", EngineState::fading}, {"off", EngineState::off}});
+        {{"on", EndpointState::ready}, {"fading", EndpointState::draining}, {"off", EndpointState::removed}});
     to.push_back(std::move(e));
 }
 
@@ -172,7 +174,7 @@
     read_address(r, "url", url.substr(7, slash - 7), to.http);
 }
 
-void read_route(Reader& r, const Settings& m, std::vector<decide::Route>& to) {
+void read_route(Reader& r, const PolicySettings& m, std::vector<decide::Route>& to) {
     decide::Route route;
     r.required({"class"});
     r.text("class", route.cls);
@@ -224,9 +226,9 @@
     r.count("statements", f.holding.statements, 1, 1e9);
     r.count("statements_per_user", f.holding.statements_per_user, 1, 1e9);
     r.bytes("statement", f.holding.statement_bytes);
-    r.bytes("rows_ahead", f.holding.rows_ahead);
-    r.bytes("rows_in_all", f.holding.rows_in_all);
-    r.span("come_back", f.holding.come_back);
+    r.bytes("rows_ahead", f.holding.row_buffer_bytes);
+    r.bytes("rows_in_all", f.holding.total_row_buffer_bytes);
+    r.span("come_back", f.holding.retry_after);
     r.count("connections", f.server.connections, 1, 1e6);
     r.bytes("header", f.server.limits.header_bytes);
     r.bytes("engine_document", f.client.limits.body);
@@ -247,7 +249,7 @@
     r.span("answer_reserve", f.answer_reserve);
 }
 
-void read_budgets(Reader& r, const Settings& m, BudgetSettings& b) {
+void read_budgets(Reader& r, const PolicySettings& m, BudgetSettings& b) {
     r.required({"teams"});
     r.span("window", b.quota.window);
     r.span("stay", b.quota.stay);
@@ -258,13 +260,13 @@
     bool soft = false;
     r.each("teams", [&](const std::string& name, Reader& t) {
         decide::Budget budget{name};
-        t.span("soft", budget.soft);
-        t.span("hard", budget.hard);
-        if (budget.soft == 0 && budget.hard == 0)
+        t.span("soft", budget.soft_limit);
+        t.span("hard", budget.hard_limit);
+        if (budget.soft_limit == 0 && budget.hard_limit == 0)
             t.wrong("soft", "a budget needs 'soft' or 'hard': core-time in the window, such as '8h'");
-        if (budget.soft > 0 && budget.hard > 0 && budget.hard < budget.soft)
+        if (budget.soft_limit > 0 && budget.hard_limit > 0 && budget.hard_limit < budget.soft_limit)
             t.wrong("hard", "must not be below 'soft'");
-        soft = soft || budget.soft > 0;
+        soft = soft || budget.soft_limit > 0;
         decide::TeamRule rule;
         rule.team = name;
         t.text("tenant", rule.tenant);
@@ -282,7 +284,7 @@
 }
 
 void read_front(Reader& top, FrontSettings& f) {
-    Settings& m = f.module;
+    PolicySettings& m = f.module;
     top.required({"listen", "classes", "kinds", "routes"});
     top.text("name", f.name);
     std::vector<std::string> listen;
@@ -296,8 +298,8 @@
     if (top.has("listen") && f.listen.empty())
         top.wrong("listen", "at least one address is needed, such as ['127.0.0.1:8080']");
     top.text("zone", m.zone);
-    top.count("me", m.me, 0, 1e6);
-    top.count("fronts", m.siblings, 1, 1e6);
+    top.count("me", m.instance_index, 0, 1e6);
+    top.count("fronts", m.instance_count, 1, 1e6);
     if (top.has("seed")) {
         std::uint64_t seed = 0;
         top.count("seed", seed, 0, 9e15);
@@ -310,12 +312,12 @@
     top.each("tenants", [&](const std::string& name, Reader& r) {
         TenantSettings t{name, 0, 0};
         r.required({"share"});
-        r.number("share", t.share, 0, 1);
+        r.number("share", t.fair_share, 0, 1);
         r.number("quota_per_s", t.quota_per_s, 0, 1e9);
         m.tenants.push_back(t);
     });
     top.each("kinds", [&](const std::string& name, Reader& r) {
-        KindSettings k{name, 0, 0};
+        EngineKindSettings k{name, 0, 0};
         r.required({"cores", "memory"});
         r.number("cores", k.cores, 0.1, 1e5);
         r.megabytes("memory", k.memory_mb);
@@ -331,8 +333,8 @@
         read_worth(r, m);
     });
     top.span("retry_hint", m.max_retry_after);
-    m.retry_hints = m.max_retry_after > 0;
-    m.may_probe = m.reports == ReportSource::probe;
+    m.sends_retry_after = m.max_retry_after > 0;
+    m.can_health_check = m.load_report_source == LoadReportSource::health_checks;
     top.each("engines", [&](const std::string& name, Reader& r) {
         read_engine(name, r, f.engines);
     });
@@ -345,9 +347,9 @@
     top.object("roster", [&](Reader& r) {
         read_roster(r, f.roster);
     });
-    m.ask_discovery = f.roster.http.has_value();
-    if (m.ask_discovery && m.ask_within <= 0)
-        m.ask_within = 10 * f.roster.every;
+    m.watches_endpoints = f.roster.http.has_value();
+    if (m.watches_endpoints && m.watch_deadline <= 0)
+        m.watch_deadline = 10 * f.roster.every;
     if (f.engines.empty() && f.roster.file.empty() && !f.roster.http)
         top.wrong("engines", "no engine and no roster: name engines, or roster.file or roster.url");
     top.each("routes", [&](const std::string&, Reader& r) {
@@ -376,7 +378,7 @@
     top.object("budgets", [&](Reader& r) {
         read_budgets(r, m, f.budgets);
     });
-    f.budgets.quota.fronts = m.siblings;
+    f.budgets.quota.fronts = m.instance_count;
     top.object("log", [&](Reader& r) {
         r.word<std::string>(
             "level", f.log.level,
@@ -388,9 +390,11 @@
 
 }  // namespace
 
-void read_when_short(Reader& r, WhenShort& to) {
-    r.word<WhenShort>("when_short", to,
-                      {{"queue", WhenShort::queue}, {"trim", WhenShort::trim}, {"swap", WhenShort::swap}});
+void read_when_short(Reader& r, MemoryShortagePolicy& to) {
+    r.word<MemoryShortagePolicy>("when_short", to,
+                                 {{"queue", MemoryShortagePolicy::queue},
+                                  {"trim", MemoryShortagePolicy::trim},
+                                  {"swap", MemoryShortagePolicy::swap}});
 }
 
 Result<std::string> whole_file(const std::string& file) {
@@ -440,7 +444,7 @@
         top.close();
         if (mistakes.none()) {
             try {
-                Brain probe(
+                GatewayPolicy probe(
                     0, 1,
                     loaded.front.module);  // the module's own checks of settings that contradict themselves
             } catch (const std::invalid_argument& e) {
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -24,7 +24,7 @@
 struct EngineSettings {
     std::string name;
     net::Address address;
-    EngineState state = EngineState::on;
+    EndpointState state = EndpointState::ready;
     std::string zone, kind;
     std::int64_t cell = 0;
     double share = 1;
@@ -62,11 +62,11 @@
     std::string name = "front";
     std::vector<net::Address> listen;
     std::optional<std::uint64_t> seed;  // absent: drawn at the start
-    Settings module;
+    PolicySettings module;
     std::vector<decide::Route> routes;
     std::vector<EngineSettings> engines;
     RosterSettings roster;
-    decide::HoldingLimits holding;
+    decide::StatementLimits holding;
     http::ServerOptions server;
     statement::ServerSideOptions statements;
     http::ClientOptions client;
@@ -80,8 +80,9 @@
 };
 
 class Reader;
-void read_when_short(Reader& reader,
-                     WhenShort& to);  // the key when_short, of fronts and of stand-in engines alike
+void read_when_short(
+    Reader& reader,
+    MemoryShortagePolicy& to);  // the key when_short, of fronts and of stand-in engines alike
 
 struct Loaded {
     FrontSettings front;
--- a/src/core/driver.hpp
+++ b/src/core/driver.hpp
@@ -12,14 +12,14 @@
 
 namespace gatetiller::core {
 
-class Driver {
+class PolicyDriver {
 public:
-    using CarryOut = std::function<void(const Action&)>;  // never a SetTimer
+    using ActionHandler = std::function<void(const Action&)>;  // never a SetTimer
     // Settings that contradict themselves throw std::invalid_argument, as the module's constructor does.
-    Driver(net::Loop& loop, std::uint64_t seed, Settings settings, CarryOut carry_out);
-    ~Driver();
-    Driver(const Driver&) = delete;
-    Driver& operator=(const Driver&) = delete;
+    PolicyDriver(net::Loop& loop, std::uint64_t seed, PolicySettings settings, ActionHandler carry_out);
+    ~PolicyDriver();
+    PolicyDriver(const PolicyDriver&) = delete;
+    PolicyDriver& operator=(const PolicyDriver&) = delete;
 
     void start();  // the module's actions at the start; once, before the first event
     // Events that come up while actions are carried out wait for their turn, so that the module sees them in
@@ -30,11 +30,11 @@
     }
 
 private:
-    void take(const std::vector<Action>& actions);
+    void apply(const std::vector<Action>& actions);
 
     net::Loop& loop_;
-    Brain brain_;
-    CarryOut carry_out_;
+    GatewayPolicy brain_;
+    ActionHandler carry_out_;
     std::deque<Event> events_;
     bool posting_ = false;
     std::map<std::int64_t, net::TimerId> bells_;
--- a/src/decide/account.cpp
+++ b/src/decide/account.cpp
@@ -28,7 +28,7 @@
     return kNames[static_cast<int>(s)];
 }
 
-const char* name_of(Waste w) {
+const char* name_of(WastedWork w) {
     constexpr const char* kNames[kWastes] = {"none", "failed",    "lost", "late",        "called_off",
                                              "left", "unfetched", "cut",  "interrupted", "unrecorded"};
     return kNames[static_cast<int>(w)];
@@ -50,59 +50,60 @@
     return knowledge(a) > knowledge(b);
 }
 
-AttemptState state_of(const AttemptFacts& f) {
+AttemptState state_of(const AttemptEndRecord& f) {
     if (f.for_client)
         return AttemptState::answered;
     switch (f.outcome) {
-        case Outcome::done:
-        case Outcome::err:
-            return f.document ? AttemptState::error : AttemptState::lost;
-        case Outcome::busy:
-            return AttemptState::turned_away;
-        case Outcome::econnrefused:
+        case AttemptOutcome::succeeded:
+        case AttemptOutcome::failed:
+            return f.document ? AttemptState::error : AttemptState::connection_lost;
+        case AttemptOutcome::rejected:
+            return AttemptState::rejected;
+        case AttemptOutcome::connection_refused:
             return AttemptState::unreachable;
-        case Outcome::econnreset:
-            return f.document ? AttemptState::error : AttemptState::lost;
-        case Outcome::etimedout:
-            return f.connected ? AttemptState::late : AttemptState::unreachable;
-        case Outcome::ecanceled:
-            return AttemptState::called_off;
-        case Outcome::skipped:
+        case AttemptOutcome::connection_reset:
+            return f.document ? AttemptState::error : AttemptState::connection_lost;
+        case AttemptOutcome::timed_out:
+            return f.connected ? AttemptState::timed_out : AttemptState::unreachable;
+        case AttemptOutcome::cancelled:
+            return AttemptState::cancelled;
+        case AttemptOutcome::not_sent:
             return AttemptState::not_sent;
     }
-    return AttemptState::lost;
+    return AttemptState::connection_lost;
 }
 
-Waste waste_of(const RequestRow& r, const AttemptRow& a) {
+WastedWork classify_waste(const RequestRow& r, const AttemptRow& a) {
     const bool left = r.state == RequestState::cancelled || r.state == RequestState::abandoned;
     switch (a.state) {
         case AttemptState::answered:
-            return left ? Waste::unfetched : Waste::none;
+            return left ? WastedWork::unfetched : WastedWork::none;
         case AttemptState::error:
-            return r.state == RequestState::cut ? Waste::cut : Waste::failed;
-        case AttemptState::lost:
-            return r.state == RequestState::cut ? Waste::cut : Waste::lost;
-        case AttemptState::late:
-            return r.state == RequestState::cut ? Waste::cut : Waste::late;
+            return r.state == RequestState::truncated ? WastedWork::truncated : WastedWork::failed;
+        case AttemptState::connection_lost:
+            return r.state == RequestState::truncated ? WastedWork::truncated : WastedWork::lost;
+        case AttemptState::timed_out:
+            return r.state == RequestState::truncated ? WastedWork::truncated : WastedWork::timed_out;
         // An attempt that outlived its request's end was left behind by the client, whatever called it off.
-        case AttemptState::called_off:
-            return left && a.ended_after >= r.ended_after ? Waste::left : Waste::called_off;
-        case AttemptState::out:
+        case AttemptState::cancelled:
+            return left && a.ended_after >= r.ended_after ? WastedWork::client_disconnected
+                                                          : WastedWork::cancelled;
+        case AttemptState::in_flight:
         case AttemptState::interrupted:
-            return left ? Waste::left : Waste::interrupted;
-        case AttemptState::turned_away:
+            return left ? WastedWork::client_disconnected : WastedWork::interrupted;
+        case AttemptState::rejected:
         case AttemptState::unreachable:
         case AttemptState::not_sent:
-            return Waste::failed;
+            return WastedWork::failed;
     }
-    return Waste::failed;
+    return WastedWork::failed;
 }
 
-std::string tag_of(const AttemptName& n) {
+std::string tag_of(const AttemptTag& n) {
     return kAttemptTag + n.life + "." + std::to_string(n.request) + "." + std::to_string(n.attempt);
 }
 
-std::optional<AttemptName> attempt_of_tag(std::string_view tag) {
+std::optional<AttemptTag> attempt_of_tag(std::string_view tag) {
     const std::string_view prefix = kAttemptTag;
     if (!tag.starts_with(prefix))
         return std::nullopt;
@@ -112,7 +113,7 @@
     const auto request = to_number<std::uint32_t>(parts[1]), attempt = to_number<std::uint32_t>(parts[2]);
     if (!request || !attempt)
         return std::nullopt;
-    return AttemptName{std::string(parts[0]), *request, *attempt};
+    return AttemptTag{std::string(parts[0]), *request, *attempt};
 }
 
 }  // namespace gatetiller::decide
--- a/src/decide/account.hpp
+++ b/src/decide/account.hpp
@@ -20,9 +20,9 @@
     open,         // still in hand
     interrupted,  // its front died with it in hand; what became of it then, its front never knew
     served,       // rows, or an error of the statement's own, from an engine
-    refused,      // by the front; asking again was harmless
+    shed,         // by the front; asking again was harmless
     failed,       // by the front; it may have run
-    cut,          // rows had begun when the engine failed
+    truncated,    // rows had begun when the engine failed
     cancelled,    // by the client
     abandoned,    // the client stopped asking
 };
@@ -30,24 +30,24 @@
 const char* name_of(RequestState state);
 
 enum class AttemptState : std::uint8_t {
-    out,
-    interrupted,  // its front died while it was out
-    answered,     // the engine's last document came and was the client's answer
-    error,        // the engine's own error; not the client's answer
-    turned_away,  // the engine took it not, or threw it out of its queue before it ran
-    unreachable,  // no connection: it never arrived
-    lost,         // the connection or the answer was lost: it may have run
-    late,         // no answer in time: it may have run
-    called_off,   // by the front, as the client had left or another attempt was to be made
-    not_sent,     // given up before anything went out
+    in_flight,
+    interrupted,      // its front died while it was out
+    answered,         // the engine's last document came and was the client's answer
+    error,            // the engine's own error; not the client's answer
+    rejected,         // the engine took it not, or threw it out of its queue before it ran
+    unreachable,      // no connection: it never arrived
+    connection_lost,  // the connection or the answer was lost: it may have run
+    timed_out,        // no answer in time: it may have run
+    cancelled,        // by the front, as the client had left or another attempt was to be made
+    not_sent,         // given up before anything went out
 };
 constexpr int kAttemptStates = 10;
 const char* name_of(AttemptState state);
 
 // Whose request it is: the same for many, so rows share it.
-struct Who {
+struct Requester {
     std::string user, source, tags, cls, tenant;  // tags: sorted, with commas, without keys
-    friend bool operator==(const Who&, const Who&) = default;
+    friend bool operator==(const Requester&, const Requester&) = default;
 };
 
 // A client's tags as one text, sorted; the one that carries its key is left out, as each request has its own.
@@ -56,7 +56,7 @@
 // A request is known everywhere by the life of the front that took it and its number in that life.
 struct RequestRow {
     std::uint32_t number = 0;  // 1 and up, in the order of taking
-    std::shared_ptr<const Who> who;
+    std::shared_ptr<const Requester> who;
     std::string id, key;    // the statement's id; the client's key, empty: none
     Micros key_window = 0;  // so long its repeats are dropped; 0: not by key
     Micros taken = 0;       // wall clock, since 1970
@@ -70,7 +70,7 @@
 struct AttemptRow {
     std::uint32_t request = 0, number = 0;
     std::string engine, kind, engine_id;  // engine_id: the engine's name for it; empty: never learnt
-    AttemptState state = AttemptState::out;
+    AttemptState state = AttemptState::in_flight;
     Micros sent_after = 0, ended_after = 0;  // from the request's taking
     std::int64_t grant_bytes = 0;            // 0: the engine's own choice
     // What the engine had told of it when last it was heard of.
@@ -83,39 +83,39 @@
 bool further(AttemptState a, AttemptState b);
 
 // How an attempt's end is written down.
-struct AttemptFacts {
-    Outcome outcome = Outcome::done;
+struct AttemptEndRecord {
+    AttemptOutcome outcome = AttemptOutcome::succeeded;
     bool for_client = false;  // its document was the client's answer
     bool document = false;    // it ended by a document of the engine
     bool connected = true;    // false: it never got to the engine
 };
-AttemptState state_of(const AttemptFacts& facts);
+AttemptState state_of(const AttemptEndRecord& facts);
 
 // Why the work of an attempt served nobody.
-enum class Waste : std::uint8_t {
-    none,         // it served
-    failed,       // the engine failed it
-    lost,         // its answer was lost
-    late,         // it came too late
-    called_off,   // for another attempt's sake, or for none
-    left,         // the client left while it ran
-    unfetched,    // it was answered, and the client never came for the answer
-    cut,          // rows had gone out when it broke
-    interrupted,  // its front died
-    unrecorded,   // no front's ledger has it
+enum class WastedWork : std::uint8_t {
+    none,                 // it served
+    failed,               // the engine failed it
+    lost,                 // its answer was lost
+    timed_out,            // it came too late
+    cancelled,            // for another attempt's sake, or for none
+    client_disconnected,  // the client left while it ran
+    unfetched,            // it was answered, and the client never came for the answer
+    truncated,            // rows had gone out when it broke
+    interrupted,          // its front died
+    unrecorded,           // no front's ledger has it
 };
 constexpr int kWastes = 10;
-const char* name_of(Waste waste);
-Waste waste_of(const RequestRow& request, const AttemptRow& attempt);
+const char* name_of(WastedWork waste);
+WastedWork classify_waste(const RequestRow& request, const AttemptRow& attempt);
 
 // What one attempt's name is in the tag that engines write into their journals.
-struct AttemptName {
+struct AttemptTag {
     std::string life;  // 16 hex digits
     std::uint32_t request = 0, attempt = 0;
-    friend bool operator==(const AttemptName&, const AttemptName&) = default;
+    friend bool operator==(const AttemptTag&, const AttemptTag&) = default;
 };
 constexpr const char* kAttemptTag = "gatetiller-attempt=";
-std::string tag_of(const AttemptName& name);
-std::optional<AttemptName> attempt_of_tag(std::string_view tag);
+std::string tag_of(const AttemptTag& name);
+std::optional<AttemptTag> attempt_of_tag(std::string_view tag);
 
 }  // namespace gatetiller::decide
--- a/src/decide/attempt_end.cpp
+++ b/src/decide/attempt_end.cpp
@@ -4,40 +4,40 @@
 
 namespace gatetiller::decide {
 
-const char* name_of(Outcome outcome) {
+const char* name_of(AttemptOutcome outcome) {
     constexpr std::array kNames = {"done",         "err",        "busy",      "etimedout",
                                    "econnrefused", "econnreset", "ecanceled", "skipped"};
     return kNames[static_cast<std::size_t>(outcome)];
 }
 
-Verdict judge(const AttemptEnd& end) {
-    using How = AttemptEnd::How;
-    switch (end.how) {
+AttemptVerdict classify_attempt_end(const AttemptEnd& end) {
+    using How = AttemptEnd::Kind;
+    switch (end.kind) {
         case How::not_sent:
-        case How::connect_late:
-            return {Outcome::econnrefused, false};
-        case How::lacked_here:
-            return {Outcome::skipped, false};
-        case How::lost:
-            return {Outcome::econnreset, false};
-        case How::late:
-            return {Outcome::etimedout, false};
-        case How::turned_away:
+        case How::connect_timeout:
+            return {AttemptOutcome::connection_refused, false};
+        case How::local_resource_exhausted:
+            return {AttemptOutcome::not_sent, false};
+        case How::connection_lost:
+            return {AttemptOutcome::connection_reset, false};
+        case How::timed_out:
+            return {AttemptOutcome::timed_out, false};
+        case How::rejected:
             // A statement that is malformed in the engine's eyes (400, 401, 403, 404, 405, 413 ...) was never
             // run.
             if (end.status == 429 || end.status == 503)
-                return {Outcome::busy, false};
-            return {Outcome::err, end.status >= 400 && end.status < 500};
+                return {AttemptOutcome::rejected, false};
+            return {AttemptOutcome::failed, end.status >= 400 && end.status < 500};
         case How::answered:
             break;
     }
     if (!end.has_error)
-        return {Outcome::done, true};
+        return {AttemptOutcome::succeeded, true};
     if (end.error_type == "USER_ERROR")
-        return {Outcome::done, true};
-    if (end.error_name == "QUERY_QUEUE_FULL" && !end.ever_ran)
-        return {Outcome::busy, false};
-    return {Outcome::err, false};
+        return {AttemptOutcome::succeeded, true};
+    if (end.error_name == "QUERY_QUEUE_FULL" && !end.has_executed)
+        return {AttemptOutcome::rejected, false};
+    return {AttemptOutcome::failed, false};
 }
 
 }  // namespace gatetiller::decide
--- a/src/decide/attempt_end.hpp
+++ b/src/decide/attempt_end.hpp
@@ -8,28 +8,28 @@
 
 namespace gatetiller::decide {
 
-const char* name_of(Outcome outcome);  // for logs and metrics
+const char* name_of(AttemptOutcome outcome);  // for logs and metrics
 
 struct AttemptEnd {
     // lacked_here: not sent either, for want of something at this machine; the engine is not to blame.
-    enum class How {
+    enum class Kind {
         answered,
         not_sent,
-        connect_late,
-        lacked_here,
-        turned_away,
-        lost,
-        late
+        connect_timeout,
+        local_resource_exhausted,
+        rejected,
+        connection_lost,
+        timed_out
     };
-    How how = How::answered;
+    Kind kind = Kind::answered;
     int status = 0;          // turned away: the status in place of a document
     bool has_error = false;  // answered: the document holds an error
     std::string error_type, error_name;
-    bool ever_ran = false;  // some document of the attempt told of work, a running state or rows
+    bool has_executed = false;  // some document of the attempt told of work, a running state or rows
 };
 
-struct Verdict {
-    Outcome outcome = Outcome::done;
+struct AttemptVerdict {
+    AttemptOutcome outcome = AttemptOutcome::succeeded;
     // The engine's document is the client's answer: rows, or an error that is the statement's own fault and
     // would come again on every engine.
     bool for_client = false;
@@ -44,6 +44,6 @@
 // - An error QUERY_QUEUE_FULL of a statement of which no document told of running: refused in the engine's
 // queue.
 // - SERVER_SHUTTING_DOWN proves nothing: a drain that ran out of patience ends statements with it.
-Verdict judge(const AttemptEnd& end);
+AttemptVerdict classify_attempt_end(const AttemptEnd& end);
 
 }  // namespace gatetiller::decide
--- a/src/decide/attempt_guard.cpp
+++ b/src/decide/attempt_guard.cpp
@@ -14,14 +14,14 @@
     return !names || std::find(names->begin(), names->end(), name) != names->end();
 }
 
-bool knows_key(const ClassSettings& cls, const EarlierRun& first, const TargetFacts& target) {
+bool knows_key(const ClassSettings& cls, const EarlierExecution& first, const EndpointSnapshot& target) {
     const bool same_zone = first.zone == target.zone;
     switch (cls.key_scope) {
-        case Scope::all:
+        case KeyScope::all:
             return true;
-        case Scope::zone:
+        case KeyScope::zone:
             return same_zone;
-        case Scope::cell:
+        case KeyScope::cell:
             return same_zone && first.cell == target.cell;
     }
     return false;
@@ -29,63 +29,66 @@
 
 }  // namespace
 
-double cold_budget(double n) {
+double slow_start_budget(double n) {
     return n < kFewRequests ? n + 3 * std::sqrt(n) + 3 : n + 2 * std::sqrt(n) + 2;
 }
 
-std::optional<double> cold_share_requests(const Settings& s, double cores, Micros mean_work) {
-    if (mean_work <= 0 || s.overload_for <= 0)
+std::optional<double> slow_start_share_requests(const PolicySettings& s, double cores, Micros mean_work) {
+    if (mean_work <= 0 || s.overload_window <= 0)
         return std::nullopt;
-    const double work = s.overload_factor * s.cold_share * cores * static_cast<double>(s.overload_for);
+    const double work =
+        s.overload_factor * s.slow_start_capacity_share * cores * static_cast<double>(s.overload_window);
     return work / static_cast<double>(mean_work);
 }
 
-std::optional<Invariant> AttemptGuard::forbids(const AttemptFactsNow& facts, const ClassSettings& cls,
-                                               std::optional<double> cold_requests) const {
-    if (facts.client_left)
+std::optional<Invariant> AttemptGuard::find_violation(const AttemptContext& facts, const ClassSettings& cls,
+                                                      std::optional<double> cold_requests) const {
+    if (facts.client_disconnected)
         return Invariant::send_after_client_left;
-    if (facts.final_given)
+    if (facts.final_response_sent)
         return Invariant::send_after_final;
-    if (facts.attempt_out && !settings_.may_duplicate)
+    if (facts.attempt_in_flight && !settings_.can_hedge)
         return Invariant::send_while_attempt_out;
-    if (facts.left <= 0)
+    if (facts.time_left <= 0)
         return Invariant::send_past_deadline;
-    if (facts.attempts >= settings_.attempts_cap)
-        return Invariant::send_over_attempt_cap;
-    if (const auto broken = forbids_repeat(facts, cls))
+    if (facts.earlier_attempts >= settings_.max_attempts)
+        return Invariant::send_over_max_attempts;
+    if (const auto broken = find_retry_violation(facts, cls))
         return broken;
-    return forbids_target(facts.target, cls, cold_requests);
+    return find_endpoint_violation(facts.target, cls, cold_requests);
 }
 
-std::optional<Invariant> AttemptGuard::forbids_repeat(const AttemptFactsNow& facts,
-                                                      const ClassSettings& cls) const {
-    if (!facts.may_have_run || cls.effect == Effect::repeatable)
+std::optional<Invariant> AttemptGuard::find_retry_violation(const AttemptContext& facts,
+                                                            const ClassSettings& cls) const {
+    if (!facts.earlier_execution || cls.idempotency == Idempotency::idempotent)
         return std::nullopt;
-    if (cls.effect == Effect::once)
-        return Invariant::repeat_of_once;
-    if (facts.may_have_run->sent_before >= cls.window)
-        return Invariant::repeat_past_key_window;
-    if (!knows_key(cls, *facts.may_have_run, facts.target))
-        return Invariant::repeat_outside_key_scope;
+    if (cls.idempotency == Idempotency::non_idempotent)
+        return Invariant::retry_of_non_idempotent;
+    if (facts.earlier_execution->sent_ago >= cls.key_window)
+        return Invariant::retry_past_key_window;
+    if (!knows_key(cls, *facts.earlier_execution, facts.target))
+        return Invariant::retry_outside_key_scope;
     return std::nullopt;
 }
 
-std::optional<Invariant> AttemptGuard::forbids_target(const TargetFacts& target, const ClassSettings& cls,
-                                                      std::optional<double> cold_requests) const {
+std::optional<Invariant> AttemptGuard::find_endpoint_violation(const EndpointSnapshot& target,
+                                                               const ClassSettings& cls,
+                                                               std::optional<double> cold_requests) const {
     if (!target.listed)
         return Invariant::send_to_unlisted_engine;
     if (target.draining_for > settings_.drain_grace)
         return Invariant::send_past_drain_grace;
-    if (!allowed(cls.served_on, target.kind) || !allowed(cls.azs_open, target.zone))
+    if (!allowed(cls.allowed_kinds, target.kind) || !allowed(cls.allowed_zones, target.zone))
         return Invariant::send_against_placement;
-    if (target.cold && cold_requests && target.cold_sent + 1 > cold_budget(*cold_requests))
-        return Invariant::send_over_cold_budget;
+    if (target.in_slow_start && cold_requests &&
+        target.slow_start_attempts + 1 > slow_start_budget(*cold_requests))
+        return Invariant::send_over_slow_start_budget;
     return std::nullopt;
 }
 
-std::optional<AttemptPermit> AttemptGuard::permit(const AttemptFactsNow& facts, const ClassSettings& cls,
+std::optional<AttemptPermit> AttemptGuard::permit(const AttemptContext& facts, const ClassSettings& cls,
                                                   std::optional<double> cold_requests) const {
-    if (forbids(facts, cls, cold_requests) && !planted("guard_off"))
+    if (find_violation(facts, cls, cold_requests) && !planted("guard_off"))
         return std::nullopt;
     return AttemptPermit();
 }
--- a/src/decide/charge.cpp
+++ b/src/decide/charge.cpp
@@ -31,15 +31,15 @@
     return std::accumulate(work.begin(), work.end(), Micros{0});
 }
 
-void Charges::add_work(Line& line, const std::string& kind, Micros taken, const Settled& s, Micros span,
+void Charges::add_work(Line& line, const std::string& kind, Micros taken, const Settlement& s, Micros span,
                        std::int64_t grant_bytes) {
     auto& finding = findings_[static_cast<std::size_t>(s.finding)];
     ++finding.queries, finding.work += s.work;
     ++line.attempts;
-    line.unlogged += !s.logged && s.finding != Finding::never_ran;
+    line.unlogged += !s.logged && s.finding != SettlementFinding::never_ran;
     line.work[static_cast<std::size_t>(s.waste)] += s.work;
     line.after_leaving += s.after_leaving;
-    const std::size_t wasted = s.waste != Waste::none;
+    const std::size_t wasted = s.waste != WastedWork::none;
     Usage u{s.work, Exact{grant_bytes} * span, Exact{s.peak_bytes} * span, s.spilled_bytes};
     line.granted_byte_micros += u.granted_byte_micros, line.used_byte_micros += u.used_byte_micros;
     line.spilled[wasted] += s.spilled_bytes;
@@ -50,13 +50,13 @@
 }
 
 void Charges::add(LineKey key, const RequestRow& r, bool repeat, const std::vector<AttemptRow>& attempts,
-                  const std::vector<Settled>& settled) {
+                  const std::vector<Settlement>& settled) {
     for (std::size_t i = 0; i < attempts.size(); ++i) {
         const AttemptRow& a = attempts[i];
         key.kind = a.kind.empty() ? "-" : a.kind;
         Line& line = lines_[key];
         // Memory is held by what ran, as long as the front knows of it.
-        const bool ran = settled[i].finding != Finding::never_ran;
+        const bool ran = settled[i].finding != SettlementFinding::never_ran;
         add_work(line, a.kind, r.taken, settled[i],
                  ran ? std::max<Micros>(0, a.ended_after - a.sent_after) : 0, a.grant_bytes);
         line.further += i > 0;
@@ -70,7 +70,7 @@
     line.repeats += repeat;
 }
 
-void Charges::add_alone(LineKey key, const LoggedQuery& q, const Settled& s) {
+void Charges::add_alone(LineKey key, const LoggedQuery& q, const Settlement& s) {
     const std::string kind = key.kind;
     add_work(lines_[std::move(key)], kind, q.created, s, std::max<Micros>(0, q.ended - q.created), 0);
 }
--- a/src/decide/charge.hpp
+++ b/src/decide/charge.hpp
@@ -47,9 +47,9 @@
     explicit Charges(const PriceList& prices) : prices_(prices) {}
     // One request under its line's team, class and day; the kind is that of its last attempt.
     void add(LineKey key, const RequestRow& request, bool repeat, const std::vector<AttemptRow>& attempts,
-             const std::vector<Settled>& settled);
+             const std::vector<Settlement>& settled);
     // A logged query that no ledger has.
-    void add_alone(LineKey key, const LoggedQuery& logged, const Settled& settled);
+    void add_alone(LineKey key, const LoggedQuery& logged, const Settlement& settled);
 
     const std::map<LineKey, Line>& lines() const {
         return lines_;
@@ -59,7 +59,7 @@
     }
 
 private:
-    void add_work(Line& line, const std::string& kind, Micros taken, const Settled& s, Micros span,
+    void add_work(Line& line, const std::string& kind, Micros taken, const Settlement& s, Micros span,
                   std::int64_t grant_bytes);
     const PriceList& prices_;
     std::map<LineKey, Line> lines_;
--- a/src/decide/client_numbers.cpp
+++ b/src/decide/client_numbers.cpp
@@ -4,17 +4,17 @@
 
 namespace gatetiller::decide {
 
-ClientNumbers::Verdict ClientNumbers::take(std::int32_t number) {
+ClientSequenceNumbers::Verdict ClientSequenceNumbers::accept(std::int32_t number) {
     if (number <= last_)
-        return Verdict::not_climbing;
-    if (open_.size() >= kOpenMost)
-        return Verdict::too_many;
+        return Verdict::not_increasing;
+    if (open_.size() >= kMaxOpen)
+        return Verdict::too_many_open;
     last_ = number;
     open_.insert(number);
-    return Verdict::taken;
+    return Verdict::accepted;
 }
 
-std::set<std::int32_t> ClientNumbers::end_all() {
+std::set<std::int32_t> ClientSequenceNumbers::release_all() {
     return std::exchange(open_, {});
 }
 
--- a/src/decide/client_numbers.hpp
+++ b/src/decide/client_numbers.hpp
@@ -9,21 +9,21 @@
 
 namespace gatetiller::decide {
 
-class ClientNumbers {
+class ClientSequenceNumbers {
 public:
-    static constexpr std::size_t kOpenMost = 32;
+    static constexpr std::size_t kMaxOpen = 32;
     enum class Verdict {
-        taken,
-        not_climbing,
-        too_many
+        accepted,
+        not_increasing,
+        too_many_open
     };
-    Verdict take(std::int32_t number);
+    Verdict accept(std::int32_t number);
     // Answered, or taken back: no answer is owed under it any more. False where none was.
-    bool end(std::int32_t number) {
+    bool release(std::int32_t number) {
         return open_.erase(number) > 0;
     }
-    std::set<std::int32_t> end_all();  // those that were open
-    std::size_t open() const {
+    std::set<std::int32_t> release_all();  // those that were open
+    std::size_t open_count() const {
         return open_.size();
     }
 
--- a/src/decide/client_request.cpp
+++ b/src/decide/client_request.cpp
@@ -49,7 +49,7 @@
 }  // namespace
 
 Result<ClientRequest> check_request(const std::map<std::string, std::string>& fields, std::string_view body,
-                                    const Settings& settings) {
+                                    const PolicySettings& settings) {
     const auto field = [&](const char* name) -> std::optional<std::string_view> {
         const auto found = fields.find(name);
         return found == fields.end() ? std::nullopt : std::optional<std::string_view>(found->second);
@@ -83,31 +83,32 @@
     const auto patience = to_number<std::int64_t>(field("patience").value_or(""));
     if (!patience || *patience <= 0 || *patience > cls->deadline / kMillisecond + 1000)
         return wrong("patience", "milliseconds, at most the deadline of the class");
-    r.patience = *patience * kMillisecond;
+    r.client_timeout = *patience * kMillisecond;
     if (const auto cost = field("weight")) {
         const auto ms = to_number<double>(*cost);
         if (!ms || !std::isfinite(*ms) || *ms < 0 || *ms > kCostMostMs)
             return wrong("weight", "milliseconds of work");
         if (*ms > 0)
-            r.cost = static_cast<Micros>(*ms * kMillisecond);
+            r.estimated_work = static_cast<Micros>(*ms * kMillisecond);
     }
     if (const auto memory = field("heap_mb")) {
         const auto mb = to_number<double>(*memory);
         if (!mb || !std::isfinite(*mb) || *mb < 0 || *mb > kMemoryMostMb)
             return wrong("heap_mb", "megabytes");
-        r.memory_mb = *mb;
+        r.estimated_memory_mb = *mb;
     }
-    r.token = field("nonce").value_or("");
-    if (!(r.token.empty() && cls->effect != Effect::by_key) && !hex(r.token, kTokenDigits))
+    r.idempotency_key = field("nonce").value_or("");
+    if (!(r.idempotency_key.empty() && cls->idempotency != Idempotency::keyed) &&
+        !hex(r.idempotency_key, kTokenDigits))
         return wrong("nonce", "32 hex digits");
-    if (body.empty() || body.size() > kStatementMost)
-        return Error{"a statement of 1 to " + std::to_string(kStatementMost) + " bytes is needed"};
+    if (body.empty() || body.size() > kMaxStatementBytes)
+        return Error{"a statement of 1 to " + std::to_string(kMaxStatementBytes) + " bytes is needed"};
     if (!text_only(body))
         return Error{"the statement is not UTF-8 text"};
     return r;
 }
 
-bool whole_rows(std::string_view text, int columns) {
+bool is_complete_rows(std::string_view text, int columns) {
     int tabs = 0;
     for (const char c : text) {
         if (c == '\t') {
--- a/src/decide/client_request.hpp
+++ b/src/decide/client_request.hpp
@@ -12,22 +12,22 @@
 namespace gatetiller::decide {
 
 struct ClientRequest {
-    std::string id, token;  // token: the client's idempotency key, where the class needs one
+    std::string id, idempotency_key;  // token: the client's idempotency key, where the class needs one
     const ClassSettings* cls = nullptr;
     std::string tenant;
-    Micros patience = 0;  // from when the client sent it
-    std::optional<Micros> cost;
-    double memory_mb = 0;
+    Micros client_timeout = 0;  // from when the client sent it
+    std::optional<Micros> estimated_work;
+    double estimated_memory_mb = 0;
 };
 
-constexpr std::size_t kStatementMost = 32 * 1024;  // bytes of one statement
+constexpr std::size_t kMaxStatementBytes = 32 * 1024;  // bytes of one statement
 
 // An error names the field and what would be right.
 Result<ClientRequest> check_request(const std::map<std::string, std::string>& fields, std::string_view body,
-                                    const Settings& settings);
+                                    const PolicySettings& settings);
 
 // Rows as the platform sends them: each of `columns` texts parted by tabs, ended by a line feed; nothing
 // else.
-bool whole_rows(std::string_view text, int columns);
+bool is_complete_rows(std::string_view text, int columns);
 
 }  // namespace gatetiller::decide
--- a/src/decide/close_guard.hpp
+++ b/src/decide/close_guard.hpp
@@ -11,22 +11,22 @@
 namespace gatetiller::decide {
 
 enum class CloseReason : std::uint8_t {
-    made_room,      // at rest, and the table is full
-    overdue,        // no whole request in time
-    wind_down,      // at rest, at a planned restart
-    malformed,      // told so, and what was taken before is answered; nothing else that comes could be read
-    peer_ended,     // nobody is there
-    reads_nothing,  // more answers unread than one client may hold
-    lingered,       // had its time to read the last words
-    process_ends,   // the planned restart is over
+    evicted,          // at rest, and the table is full
+    request_timeout,  // no whole request in time
+    shutdown,         // at rest, at a planned restart
+    malformed,        // told so, and what was taken before is answered; nothing else that comes could be read
+    peer_closed,      // nobody is there
+    slow_reader,      // more answers unread than one client may hold
+    linger_timeout,   // had its time to read the last words
+    process_exit,     // the planned restart is over
 };
-constexpr std::size_t kCloseReasons = static_cast<std::size_t>(CloseReason::process_ends) + 1;
+constexpr std::size_t kCloseReasons = static_cast<std::size_t>(CloseReason::process_exit) + 1;
 const char* name_of(CloseReason reason);
 
-struct ClosingFacts {
-    std::size_t open = 0;  // requests without a final answer
-    bool unsent = false;   // part of an answer has not gone out
-    bool unread = false;   // bytes have come that were not looked at
+struct ClosingContext {
+    std::size_t open_requests = 0;  // requests without a final answer
+    bool has_unsent = false;        // part of an answer has not gone out
+    bool has_unread = false;        // bytes have come that were not looked at
 };
 
 class ClosePermit {
@@ -38,8 +38,8 @@
 public:
     // What forbids closing it, if anything does. Reasons for which a connection must go all the same forbid
     // nothing.
-    static std::optional<Invariant> forbids(const ClosingFacts& facts, CloseReason reason);
-    static std::optional<ClosePermit> permit(const ClosingFacts& facts, CloseReason reason);
+    static std::optional<Invariant> find_violation(const ClosingContext& facts, CloseReason reason);
+    static std::optional<ClosePermit> permit(const ClosingContext& facts, CloseReason reason);
 };
 
 }  // namespace gatetiller::decide
--- a/src/decide/engine_connections.cpp
+++ b/src/decide/engine_connections.cpp
@@ -10,25 +10,27 @@
 
 }  // namespace
 
-bool stale(const LinkFacts& c, Micros now, const LinkLimits& limits) {
-    return c.open == 0 && limits.idle_close > 0 && now - c.used > limits.idle_close - kIdleMargin;
+bool near_idle_timeout(const ConnectionSnapshot& c, Micros now, const ConnectionLimits& limits) {
+    return c.open_requests == 0 && limits.idle_timeout > 0 &&
+           now - c.last_used > limits.idle_timeout - kIdleMargin;
 }
 
-LinkChoice connection_for(const std::vector<LinkFacts>& connections, Micros now, const LinkLimits& limits) {
-    LinkChoice choice;
+ConnectionChoice choose_connection(const std::vector<ConnectionSnapshot>& connections, Micros now,
+                                   const ConnectionLimits& limits) {
+    ConnectionChoice choice;
     // The fewest requests; of those the one used last, so that the others may idle away.
     const auto rank = [&](std::size_t i) {
-        return std::pair(connections[i].open, -connections[i].used);
+        return std::pair(connections[i].open_requests, -connections[i].last_used);
     };
     for (std::size_t i = 0; i < connections.size(); ++i) {
-        const LinkFacts& c = connections[i];
-        const bool usable = !c.retired && !c.asked_this && c.asked < kAskedMost && c.open < limits.streams &&
-                            !stale(c, now, limits);
-        if (usable && (!choice.use || rank(i) < rank(*choice.use)))
-            choice.use = i;
+        const ConnectionSnapshot& c = connections[i];
+        const bool usable = !c.retired && !c.carried_this_request && c.requests_sent < kAskedMost &&
+                            c.open_requests < limits.max_streams && !near_idle_timeout(c, now, limits);
+        if (usable && (!choice.reuse || rank(i) < rank(*choice.reuse)))
+            choice.reuse = i;
     }
-    choice.new_if_room =
-        choice.use && connections[*choice.use].open > 0 && connections.size() < limits.connections;
+    choice.open_if_capacity = choice.reuse && connections[*choice.reuse].open_requests > 0 &&
+                              connections.size() < limits.max_connections;
     return choice;
 }
 
--- a/src/decide/engine_connections.hpp
+++ b/src/decide/engine_connections.hpp
@@ -11,30 +11,31 @@
 
 namespace gatetiller::decide {
 
-struct LinkLimits {
-    std::size_t connections = 8;  // to one engine
-    std::size_t streams = 100;    // requests on one connection
-    Micros connect_time_out = 250 * kMillisecond;
-    Micros idle_close = 0;  // the engine's; 0: never
+struct ConnectionLimits {
+    std::size_t max_connections = 8;  // to one engine
+    std::size_t max_streams = 100;    // requests on one connection
+    Micros connect_timeout = 250 * kMillisecond;
+    Micros idle_timeout = 0;  // the engine's; 0: never
 };
 
-struct LinkFacts {          // of one connection
-    std::size_t open = 0;   // requests out on it
-    std::size_t asked = 0;  // in its whole life
-    bool asked_this =
+struct ConnectionSnapshot {         // of one connection
+    std::size_t open_requests = 0;  // requests out on it
+    std::size_t requests_sent = 0;  // in its whole life
+    bool carried_this_request =
         false;             // the request's id among them: an answer of that try must not count for this one
     bool retired = false;  // a request was given up on it: it serves no further use
-    Micros used = 0;       // when something last ended on it
+    Micros last_used = 0;  // when something last ended on it
 };
 
 // Idle for nearly as long as the engine leaves it open: a request could cross its close, and nobody would
 // know whether it ran.
-bool stale(const LinkFacts& c, Micros now, const LinkLimits& limits);
+bool near_idle_timeout(const ConnectionSnapshot& c, Micros now, const ConnectionLimits& limits);
 
-struct LinkChoice {
-    std::optional<std::size_t> use;  // the best there is; nothing: only a new one will do
-    bool new_if_room = false;        // a new one is better, where one more may be opened
+struct ConnectionChoice {
+    std::optional<std::size_t> reuse;  // the best there is; nothing: only a new one will do
+    bool open_if_capacity = false;     // a new one is better, where one more may be opened
 };
-LinkChoice connection_for(const std::vector<LinkFacts>& connections, Micros now, const LinkLimits& limits);
+ConnectionChoice choose_connection(const std::vector<ConnectionSnapshot>& connections, Micros now,
+                                   const ConnectionLimits& limits);
 
 }  // namespace gatetiller::decide
--- a/src/decide/engine_list.hpp
+++ b/src/decide/engine_list.hpp
@@ -15,18 +15,18 @@
 
 namespace gatetiller::decide {
 
-struct ListedEngine {
+struct DiscoveredEndpoint {
     std::string name;     // the service's id; never used for another engine
     std::string address;  // host:port; one that is gone may hand it on
-    EngineState state = EngineState::on;
+    EndpointState state = EndpointState::ready;
     std::string zone, kind;
     std::int64_t cell = 0;
     double share = 1;
-    Micros started = 0;  // wall clock, microseconds since 1970; 0: long ago
-    friend bool operator==(const ListedEngine&, const ListedEngine&) = default;
+    Micros started_at = 0;  // wall clock, microseconds since 1970; 0: long ago
+    friend bool operator==(const DiscoveredEndpoint&, const DiscoveredEndpoint&) = default;
 };
 
-class EngineList {
+class EndpointList {
 public:
     // A whole list with its number, heard at `now` while the wall clock stood at `wall`, asked for at
     // `asked`. Nothing where it tells nothing new. The first one is told as the copy of the start.
@@ -40,47 +40,48 @@
     // The wall clock alone never makes a start old: an engine is no older than the last good list that lacked
     // its start, and one of the first list counts as new unless it looks hours old. It is older, though, by
     // what the list's latest start is later.
-    std::optional<ListChange> take(std::uint64_t number, const std::vector<ListedEngine>& list, Micros now,
-                                   Micros wall, Micros asked);
+    std::optional<EndpointUpdate> take(std::uint64_t number, const std::vector<DiscoveredEndpoint>& list,
+                                       Micros now, Micros wall, Micros asked);
     // The list of a configuration: taken where its number is newer.
-    std::optional<ListChange> take(std::uint64_t number, const std::vector<ListedEngine>& list, Micros now,
-                                   Micros wall);
+    std::optional<EndpointUpdate> take(std::uint64_t number, const std::vector<DiscoveredEndpoint>& list,
+                                       Micros now, Micros wall);
     // Whether the list of that number is the one held and nothing is in doubt, so that its content need not
     // be read again where the same answer has come again.
     bool confirm(std::uint64_t number, Micros now);
-    std::uint64_t number() const {
-        return numbering_.held();
+    std::uint64_t serial() const {
+        return numbering_.current();
     }
-    Micros heard() const {
+    Micros confirmed_at() const {
         return heard_;
     }  // when the list held was last confirmed
-    const std::map<EngineId, ListedEngine>& engines() const {
+    const std::map<EngineId, DiscoveredEndpoint>& endpoints() const {
         return engines_;
-    }                                      // those not gone
-    EngineState state(EngineId id) const;  // off: gone, or never heard of
+    }                                        // those not gone
+    EndpointState state(EngineId id) const;  // off: gone, or never heard of
 
 private:
-    std::optional<ListChange> adopt(std::uint32_t number, const std::vector<ListedEngine>& list, Micros now,
-                                    Micros wall);
-    std::optional<ListChange> doubt(const std::vector<ListedEngine>& list);
-    std::optional<ListChange> settle();
-    bool holds(const std::vector<ListedEngine>& list) const;
+    std::optional<EndpointUpdate> adopt(std::uint32_t number, const std::vector<DiscoveredEndpoint>& list,
+                                        Micros now, Micros wall);
+    std::optional<EndpointUpdate> mark_suspect(const std::vector<DiscoveredEndpoint>& list);
+    std::optional<EndpointUpdate> clear_suspects();
+    bool holds(const std::vector<DiscoveredEndpoint>& list) const;
     void suspect_all_drained(Micros now);
-    std::vector<ListedEngine> without_suspects(std::vector<ListedEngine> list, Micros now);
-    EngineEntry entry(EngineId id, EngineState state) const;
-    Micros came_up(const ListedEngine& e, Micros latest_start, Micros now, Micros wall) const;
+    std::vector<DiscoveredEndpoint> without_suspects(std::vector<DiscoveredEndpoint> list, Micros now);
+    Endpoint entry(EngineId id, EndpointState state) const;
+    Micros came_up(const DiscoveredEndpoint& e, Micros latest_start, Micros now, Micros wall) const;
 
-    ListNumbering numbering_;
+    SerialTracker numbering_;
     Micros heard_ = 0;
     bool any_ = false;
     EngineId last_ = 0;
     std::map<std::string, EngineId> ids_;  // of those not gone
-    std::map<EngineId, ListedEngine> engines_;
+    std::map<EngineId, DiscoveredEndpoint> engines_;
     std::map<EngineId, Micros> came_up_;  // on the loop's clock, reckoned once for each start
     std::set<EngineId> doubted_;  // on by the list held, draining or gone by an answer that was not taken
     std::map<std::string, Micros> gone_;      // lately, and since when
     std::map<std::string, Micros> suspects_;  // that count as draining whatever a list says, and until when
-    std::vector<ListedEngine> other_;  // the last one that came under the number held with other content
+    std::vector<DiscoveredEndpoint>
+        other_;  // the last one that came under the number held with other content
 };
 
 }  // namespace gatetiller::decide
--- a/src/decide/engine_watch.cpp
+++ b/src/decide/engine_watch.cpp
@@ -9,12 +9,13 @@
 
 }  // namespace
 
-bool EngineWatch::listed(const EngineEntry& entry) {
+bool EndpointStateTracker::on_listed(const Endpoint& entry) {
     list_ = entry;
     return settle();
 }
 
-bool EngineWatch::said(Micros now, bool shutting_down, bool starting, std::optional<Micros> uptime) {
+bool EndpointStateTracker::on_status_reported(Micros now, bool shutting_down, bool starting,
+                                              std::optional<Micros> uptime) {
     if (uptime) {
         const Micros started = now - *uptime;
         if (started > came_up_ + kSameStart)
@@ -24,30 +25,30 @@
     return settle();
 }
 
-bool EngineWatch::will_be_asked() {
+bool EndpointStateTracker::await_status() {
     unheard_ = true;
     return settle();
 }
 
-bool EngineWatch::could_not_be_asked() {
+bool EndpointStateTracker::on_status_unavailable() {
     unheard_ = false;
     return settle();
 }
 
-bool EngineWatch::hold_while_cold(Micros now, Micros until, Micros warm_up) {
-    held_ = now < until && entry_.came_up > 0 && now - entry_.came_up < warm_up;
+bool EndpointStateTracker::hold_in_slow_start(Micros now, Micros until, Micros warm_up) {
+    held_ = now < until && entry_.started_at > 0 && now - entry_.started_at < warm_up;
     return settle();
 }
 
-bool EngineWatch::settle() {
-    EngineEntry next = list_;
-    next.came_up = std::max(list_.came_up, came_up_);
+bool EndpointStateTracker::settle() {
+    Endpoint next = list_;
+    next.started_at = std::max(list_.started_at, came_up_);
     // One that is still starting would turn everything away: as good as draining until it is ready.
-    if (next.state == EngineState::on && (shutting_down_ || starting_ || unheard_ || held_))
-        next.state = EngineState::fading;
+    if (next.state == EndpointState::ready && (shutting_down_ || starting_ || unheard_ || held_))
+        next.state = EndpointState::draining;
     const bool changed = next.id != entry_.id || next.state != entry_.state || next.zone != entry_.zone ||
                          next.kind != entry_.kind || next.cell != entry_.cell ||
-                         next.came_up != entry_.came_up || next.share != entry_.share;
+                         next.started_at != entry_.started_at || next.share != entry_.share;
     entry_ = std::move(next);
     return changed;
 }
--- a/src/decide/engine_watch.hpp
+++ b/src/decide/engine_watch.hpp
@@ -9,30 +9,30 @@
 
 namespace gatetiller::decide {
 
-class EngineWatch {
+class EndpointStateTracker {
 public:
     // Each returns whether the entry for the module has changed.
-    bool listed(const EngineEntry& entry);  // by the list; state off: gone from it
+    bool on_listed(const Endpoint& entry);  // by the list; state off: gone from it
     // GET /v1/info and /v1/info/state: `uptime` where told. An engine that can't be asked says nothing: the
     // list and the outcomes of attempts decide, since a check that fails may be the check's own fault.
-    bool said(Micros now, bool shutting_down, bool starting, std::optional<Micros> uptime);
+    bool on_status_reported(Micros now, bool shutting_down, bool starting, std::optional<Micros> uptime);
 
     // It will be asked for its state: until it has answered, or could not be asked, nothing is sent to it. It
     // may be cold, and this front, just started, would take it for warm.
-    bool will_be_asked();
-    bool could_not_be_asked();
+    bool await_status();
+    bool on_status_unavailable();
     // Until then a cold engine gets nothing: a front that was killed sent it what its next life can't know
     // of, and both together must not push it over.
-    bool hold_while_cold(Micros now, Micros until, Micros warm_up);
+    bool hold_in_slow_start(Micros now, Micros until, Micros warm_up);
 
-    const EngineEntry& entry() const {
+    const Endpoint& endpoint() const {
         return entry_;
     }
 
 private:
     bool settle();
 
-    EngineEntry list_, entry_;
+    Endpoint list_, entry_;
     bool shutting_down_ = false, starting_ = false, unheard_ = false, held_ = false;
     Micros came_up_ = 0;  // by its own word
 };
--- a/src/decide/exchange.cpp
+++ b/src/decide/exchange.cpp
@@ -10,36 +10,37 @@
 
 }  // namespace
 
-Outcome outcome_of(ExchangeEnd::How how) {
-    using How = ExchangeEnd::How;
+AttemptOutcome outcome_of(ExchangeResult::Status how) {
+    using How = ExchangeResult::Status;
     switch (how) {
-        case How::served:
-            return Outcome::done;
-        case How::shed:
-            return Outcome::busy;
-        case How::fault:
-            return Outcome::err;
-        case How::late:
-            return Outcome::skipped;
-        case How::refused:
-            return Outcome::econnrefused;
-        case How::unsent:
-            return Outcome::skipped;
-        case How::lost:
+        case How::completed:
+            return AttemptOutcome::succeeded;
+        case How::rejected:
+            return AttemptOutcome::rejected;
+        case How::failed:
+            return AttemptOutcome::failed;
+        case How::deadline_passed:
+            return AttemptOutcome::not_sent;
+        case How::connection_refused:
+            return AttemptOutcome::connection_refused;
+        case How::not_sent:
+            return AttemptOutcome::not_sent;
+        case How::connection_lost:
             break;
     }
-    return Outcome::econnreset;
+    return AttemptOutcome::connection_reset;
 }
 
-ExchangeEnd::How proved_by_end(LinkEnd end, Handed handed) {
-    if (end == LinkEnd::never_up)
-        return ExchangeEnd::How::refused;
-    if (end == LinkEnd::lacked_locally)
-        return ExchangeEnd::How::unsent;
-    return handed == Handed::whole ? ExchangeEnd::How::lost : ExchangeEnd::How::unsent;
+ExchangeResult::Status classify_connection_end(ConnectionEnd end, WriteProgress handed) {
+    if (end == ConnectionEnd::never_established)
+        return ExchangeResult::Status::connection_refused;
+    if (end == ConnectionEnd::local_resource_exhausted)
+        return ExchangeResult::Status::not_sent;
+    return handed == WriteProgress::complete ? ExchangeResult::Status::connection_lost
+                                             : ExchangeResult::Status::not_sent;
 }
 
-bool AnswerFields::read(std::string_view text) {
+bool ResponseFields::parse(std::string_view text) {
     fields_.clear();
     if (text == "-")
         return true;
@@ -55,7 +56,7 @@
     return true;
 }
 
-std::string_view AnswerFields::find(std::string_view name) const {
+std::string_view ResponseFields::find(std::string_view name) const {
     for (const auto& [key, value] : fields_)
         if (key == name)
             return value;
@@ -64,11 +65,11 @@
 
 bool ResultPages::fits(std::string_view page) {
     bytes_ += page.size();
-    return page.size() <= kPageMost && bytes_ <= kResultMost && whole_rows(page, kColumns);
+    return page.size() <= kMaxPageBytes && bytes_ <= kMaxResultBytes && is_complete_rows(page, kColumns);
 }
 
-bool ResultPages::begin(std::size_t pages, std::string_view first) {
-    if (pages == 0 || pages > kPagesMost || !fits(first))
+bool ResultPages::start(std::size_t pages, std::string_view first) {
+    if (pages == 0 || pages > kMaxPages || !fits(first))
         return false;
     pages_.resize(pages);
     pages_.front() = first;
@@ -76,17 +77,17 @@
     return true;
 }
 
-ResultPages::Took ResultPages::take(std::size_t number, std::string_view page) {
+ResultPages::PageVerdict ResultPages::add(std::size_t number, std::string_view page) {
     if (number == 0 || number >= pages_.size() || pages_[number])
-        return Took::not_asked;
+        return PageVerdict::not_requested;
     if (!fits(page))
-        return Took::spoilt;
+        return PageVerdict::malformed;
     pages_[number] = page;
     --missing_;
-    return Took::page;
+    return PageVerdict::accepted;
 }
 
-std::string ResultPages::rows() {
+std::string ResultPages::take_rows() {
     std::string rows;
     rows.reserve(bytes_);
     for (auto& page : pages_)
--- a/src/decide/exchange.hpp
+++ b/src/decide/exchange.hpp
@@ -10,46 +10,46 @@
 
 namespace gatetiller::decide {
 
-struct ExchangeEnd {
-    enum class How {
-        served,   // every page is there
-        shed,     // SHED: it never ran
-        fault,    // FAULT: it may have run
-        late,     // LATE: it never ran
-        refused,  // no connection came about: it never ran
-        unsent,   // not wholly written when its connection ended, taken back unwritten, or kept by this
-                  // machine for want of a descriptor, a port or the like: it never ran, and its engine is not
-                  // to blame
-        lost,     // the connection ended, or was spoilt by whatever came on it: it may have run
+struct ExchangeResult {
+    enum class Status {
+        completed,           // every page is there
+        rejected,            // SHED: it never ran
+        failed,              // FAULT: it may have run
+        deadline_passed,     // LATE: it never ran
+        connection_refused,  // no connection came about: it never ran
+        not_sent,  // not wholly written when its connection ended, taken back unwritten, or kept by this
+                   // machine for want of a descriptor, a port or the like: it never ran, and its engine is
+                   // not to blame
+        connection_lost,  // the connection ended, or was spoilt by whatever came on it: it may have run
     };
-    How how = How::lost;
+    Status status = Status::connection_lost;
     std::string rows;                   // served
     double work_ms = 0, needed_mb = 0;  // served, where told
-    std::optional<Report> report;
-    std::string why;  // for logs
+    std::optional<LoadReport> load_report;
+    std::string detail;  // for logs
 };
 
-Outcome outcome_of(ExchangeEnd::How how);
+AttemptOutcome outcome_of(ExchangeResult::Status how);
 
 // What the end of a connection proves of a request that stood on it, by how much of it the kernel had taken:
 // what was not written whole can't have arrived whole, and an engine runs nothing less.
-enum class Handed {
-    nothing,
-    part,
-    whole
+enum class WriteProgress {
+    none,
+    partial,
+    complete
 };
 // How the connection ended: it had come up; or never did, because of the peer or of this machine.
-enum class LinkEnd {
+enum class ConnectionEnd {
     broken,
-    never_up,
-    lacked_locally
+    never_established,
+    local_resource_exhausted
 };
-ExchangeEnd::How proved_by_end(LinkEnd end, Handed handed);
+ExchangeResult::Status classify_connection_end(ConnectionEnd end, WriteProgress handed);
 
 // The fields of a message on an engine's connection: "name=value,name=value" or "-". Views of the text read.
-class AnswerFields {
+class ResponseFields {
 public:
-    bool read(std::string_view text);                    // false where it can't be read
+    bool parse(std::string_view text);                   // false where it can't be read
     std::string_view find(std::string_view name) const;  // the first of that name; empty where there is none
 
 private:
@@ -59,25 +59,25 @@
 // The result of one attempt, page by page: bounded, each page once, each of whole rows.
 class ResultPages {
 public:
-    static constexpr std::size_t kPageMost = 6'000, kResultMost = 48'000, kPagesMost = 512;
-    bool begun() const {
+    static constexpr std::size_t kMaxPageBytes = 6'000, kMaxResultBytes = 48'000, kMaxPages = 512;
+    bool started() const {
         return !pages_.empty();
     }
     // The first answer's page and the number of all. False where no result can be like that.
-    bool begin(std::size_t pages, std::string_view first);
-    enum class Took {
-        page,
-        not_asked,
-        spoilt
+    bool start(std::size_t pages, std::string_view first);
+    enum class PageVerdict {
+        accepted,
+        not_requested,
+        malformed
     };
-    Took take(std::size_t number, std::string_view page);  // a further page, from 1
-    bool whole() const {
-        return begun() && missing_ == 0;
+    PageVerdict add(std::size_t number, std::string_view page);  // a further page, from 1
+    bool complete() const {
+        return started() && missing_ == 0;
     }
     std::size_t pages() const {
         return pages_.size();
     }
-    std::string rows();  // of all pages in order; to be taken once
+    std::string take_rows();  // of all pages in order; to be taken once
 
 private:
     bool fits(std::string_view page);
--- a/src/decide/holding.cpp
+++ b/src/decide/holding.cpp
@@ -4,19 +4,19 @@
 
 namespace gatetiller::decide {
 
-Admission Holding::admit(const std::string& user, std::size_t text_bytes) {
+AdmissionVerdict StatementAdmission::admit(const std::string& user, std::size_t text_bytes) {
     if (text_bytes > limits_.statement_bytes)
-        return Admission::too_long;
+        return AdmissionVerdict::statement_too_long;
     if (statements_ >= limits_.statements)
-        return Admission::front_full;
+        return AdmissionVerdict::gateway_full;
     std::size_t& mine = by_user_[user];
     if (mine >= limits_.statements_per_user)
-        return Admission::user_full;
+        return AdmissionVerdict::user_limit_reached;
     ++mine, ++statements_;
-    return Admission::taken;
+    return AdmissionVerdict::admitted;
 }
 
-void Holding::finished(const std::string& user) {
+void StatementAdmission::release(const std::string& user) {
     const auto found = by_user_.find(user);
     assert(found != by_user_.end() && statements_ > 0);
     --statements_;
--- a/src/decide/holding.hpp
+++ b/src/decide/holding.hpp
@@ -11,44 +11,45 @@
 
 namespace gatetiller::decide {
 
-struct HoldingLimits {
+struct StatementLimits {
     std::size_t statements = 50'000;  // taken and not finished
     std::size_t statements_per_user = 20'000;
     std::size_t statement_bytes = 1 << 20;  // one statement's text
-    std::size_t rows_ahead =
+    std::size_t row_buffer_bytes =
         2 << 20;  // bytes that one statement may have waiting before its engine is asked on
-    std::size_t rows_in_all = 512 << 20;  // bytes waiting for all statements
-    Micros come_back = kSecondMicros;     // hint where a statement isn't taken
+    std::size_t total_row_buffer_bytes = 512 << 20;  // bytes waiting for all statements
+    Micros retry_after = kSecondMicros;              // hint where a statement isn't taken
 };
 
-enum class Admission {
-    taken,
-    front_full,
-    user_full,
-    too_long
+enum class AdmissionVerdict {
+    admitted,
+    gateway_full,
+    user_limit_reached,
+    statement_too_long
 };
 
-class Holding {
+class StatementAdmission {
 public:
-    explicit Holding(HoldingLimits limits) : limits_(limits) {}
+    explicit StatementAdmission(StatementLimits limits) : limits_(limits) {}
 
-    Admission admit(const std::string& user, std::size_t text_bytes);  // counts it where taken
-    void finished(const std::string& user);
+    AdmissionVerdict admit(const std::string& user, std::size_t text_bytes);  // counts it where taken
+    void release(const std::string& user);
     // Whether a statement with `waiting` bytes of rows, of `in_all` at this front, may ask its engine for
     // more. Past the bound for all, only those with nothing waiting go on, so that every reader still gets
     // its rows, one page at a time.
-    bool may_ask_on(std::size_t waiting, std::size_t in_all) const {
-        return waiting < limits_.rows_ahead && (waiting == 0 || in_all < limits_.rows_in_all);
+    bool can_fetch_more(std::size_t waiting, std::size_t in_all) const {
+        return waiting < limits_.row_buffer_bytes &&
+               (waiting == 0 || in_all < limits_.total_row_buffer_bytes);
     }
     std::size_t statements() const {
         return statements_;
     }
-    const HoldingLimits& limits() const {
+    const StatementLimits& limits() const {
         return limits_;
     }
 
 private:
-    HoldingLimits limits_;
+    StatementLimits limits_;
     std::size_t statements_ = 0;
     std::map<std::string, std::size_t> by_user_;
 };
--- a/src/decide/invariants.cpp
+++ b/src/decide/invariants.cpp
@@ -18,25 +18,25 @@
             return "send_to_unlisted_engine";
         case Invariant::send_past_drain_grace:
             return "send_past_drain_grace";
-        case Invariant::send_over_cold_budget:
+        case Invariant::send_over_slow_start_budget:
             return "send_over_cold_budget";
         case Invariant::send_against_placement:
             return "send_against_placement";
-        case Invariant::send_over_attempt_cap:
+        case Invariant::send_over_max_attempts:
             return "send_over_attempt_cap";
-        case Invariant::repeat_of_once:
+        case Invariant::retry_of_non_idempotent:
             return "repeat_of_once";
-        case Invariant::repeat_past_key_window:
+        case Invariant::retry_past_key_window:
             return "repeat_past_key_window";
-        case Invariant::repeat_outside_key_scope:
+        case Invariant::retry_outside_key_scope:
             return "repeat_outside_key_scope";
         case Invariant::close_with_request_open:
             return "close_with_request_open";
-        case Invariant::close_with_answer_unsent:
+        case Invariant::close_with_response_unsent:
             return "close_with_answer_unsent";
         case Invariant::close_over_unread_bytes:
             return "close_over_unread_bytes";
-        case Invariant::ready_without_list:
+        case Invariant::ready_without_endpoints:
             return "ready_without_list";
         case Invariant::ready_without_listener:
             return "ready_without_listener";
--- a/src/decide/invariants.hpp
+++ b/src/decide/invariants.hpp
@@ -18,19 +18,19 @@
     send_while_attempt_out,
     send_to_unlisted_engine,
     send_past_drain_grace,
-    send_over_cold_budget,
+    send_over_slow_start_budget,
     send_against_placement,
-    send_over_attempt_cap,
+    send_over_max_attempts,
     // repeating
-    repeat_of_once,
-    repeat_past_key_window,
-    repeat_outside_key_scope,
+    retry_of_non_idempotent,
+    retry_past_key_window,
+    retry_outside_key_scope,
     // closing
     close_with_request_open,
-    close_with_answer_unsent,
+    close_with_response_unsent,
     close_over_unread_bytes,
     // starting
-    ready_without_list,
+    ready_without_endpoints,
     ready_without_listener,
     ready_without_signals,
 };
--- a/src/decide/ledger_keeper.cpp
+++ b/src/decide/ledger_keeper.cpp
@@ -4,95 +4,95 @@
 
 namespace gatetiller::decide {
 
-const char* name_of(StoreTrouble t) {
+const char* name_of(StoreError t) {
     constexpr const char* kNames[] = {
         "none",      "disk full", "read-only", "corrupt", "kept by another process",
         "no access", "I/O error", "lagging",   "killed",  "not a ledger"};
     return kNames[static_cast<int>(t)];
 }
 
-Gap killed_gap(Micros last, Micros began, Micros tail) {
+LedgerGap gap_after_kill(Micros last, Micros began, Micros tail) {
     constexpr Micros kUnsure = 10 * kSecondMicros;
-    Gap g{StoreTrouble::killed, last, std::max(began, last + tail), -1, -1};
+    LedgerGap g{StoreError::killed, last, std::max(began, last + tail), -1, -1};
     if (began < last)
         g.from = began - kUnsure;
     return g;
 }
 
-void Intake::lose(Micros wall, bool request) {
+void LedgerIntake::lose(Micros wall, bool request) {
     ++lost_;
     if (!gap_)
-        gap_ = Gap{StoreTrouble::lagging, wall, wall, 0, 0};
+        gap_ = LedgerGap{StoreError::lagging, wall, wall, 0, 0};
     gap_->from = std::min(gap_->from, wall), gap_->to = std::max(gap_->to, wall);
     (request ? gap_->requests : gap_->updates) += 1;
 }
 
-bool Intake::admit(std::size_t waiting, Micros wall) {
-    if (static_cast<double>(waiting) < limits_.new_share * static_cast<double>(limits_.waiting))
+bool LedgerIntake::admit(std::size_t waiting, Micros wall) {
+    if (static_cast<double>(waiting) < limits_.new_share * static_cast<double>(limits_.max_queued_rows))
         return true;
     lose(wall, true);
     return false;
 }
 
-bool Intake::update(std::size_t waiting, Micros wall) {
-    if (waiting < limits_.waiting)
+bool LedgerIntake::update(std::size_t waiting, Micros wall) {
+    if (waiting < limits_.max_queued_rows)
         return true;
     lose(wall, false);
     return false;
 }
 
-std::optional<Gap> Intake::take_gap(std::size_t waiting, StoreTrouble cause) {
+std::optional<LedgerGap> LedgerIntake::take_gap(std::size_t waiting, StoreError cause) {
     // While the queue is still long, more may be lost at any moment: one gap, not many.
-    if (!gap_ || waiting > limits_.waiting / 2)
+    if (!gap_ || waiting > limits_.max_queued_rows / 2)
         return std::nullopt;
-    Gap g = *gap_;
+    LedgerGap g = *gap_;
     gap_.reset();
-    if (cause != StoreTrouble::none)
+    if (cause != StoreError::none)
         g.cause = cause;
     return g;
 }
 
-Keeper::Do Keeper::next(Micros now) const {
-    if (trouble_ == StoreTrouble::corrupt || trouble_ == StoreTrouble::foreign) {
+LedgerState::Step LedgerState::next(Micros now) const {
+    if (trouble_ == StoreError::corrupt || trouble_ == StoreError::foreign) {
         // A file of something else is never moved: only a ledger that broke.
-        if (trouble_ == StoreTrouble::corrupt && now >= again_at_)
-            return Do::set_aside;
-        return now >= again_at_ ? Do::open : Do::wait;
+        if (trouble_ == StoreError::corrupt && now >= again_at_)
+            return Step::quarantine;
+        return now >= again_at_ ? Step::open : Step::wait;
     }
     if (now < again_at_)
-        return Do::wait;
-    return open_ ? Do::write : Do::open;
+        return Step::wait;
+    return open_ ? Step::write : Step::open;
 }
 
-void Keeper::opened() {
+void LedgerState::on_opened() {
     open_ = true;
 }
 
-void Keeper::written() {
-    trouble_ = StoreTrouble::none;
-    pause_ = limits_.try_again;
+void LedgerState::on_written() {
+    trouble_ = StoreError::none;
+    pause_ = limits_.retry_delay;
     again_at_ = said_at_ = 0;
 }
 
-bool Keeper::failed(StoreTrouble trouble, Micros now) {
-    const bool aloud = trouble != trouble_ || now - said_at_ >= limits_.say_again;
+bool LedgerState::on_failed(StoreError trouble, Micros now) {
+    const bool aloud = trouble != trouble_ || now - said_at_ >= limits_.log_interval;
     trouble_ = trouble;
     // What may have changed under the open file is looked at anew.
-    if (trouble != StoreTrouble::full)
+    if (trouble != StoreError::full)
         open_ = false;
     again_at_ = now + pause_;
-    pause_ = std::min(pause_ * 2, limits_.try_again_most);
+    pause_ = std::min(pause_ * 2, limits_.max_retry_delay);
     if (aloud)
         said_at_ = now;
     return aloud;
 }
 
-void Keeper::was_set_aside() {
-    trouble_ = StoreTrouble::io;  // until a new one is open and written
+void LedgerState::on_quarantined() {
+    trouble_ = StoreError::io;  // until a new one is open and written
     open_ = false, again_at_ = 0;
 }
 
-std::optional<Micros> ClockWatch::look(Micros now, Micros wall) {
+std::optional<Micros> ClockStepDetector::detect(Micros now, Micros wall) {
     const Micros difference = wall - now;
     const auto before = difference_;
     difference_ = difference;
--- a/src/decide/ledger_keeper.hpp
+++ b/src/decide/ledger_keeper.hpp
@@ -11,7 +11,7 @@
 
 namespace gatetiller::decide {
 
-enum class StoreTrouble : std::uint8_t {
+enum class StoreError : std::uint8_t {
     none,
     full,       // no room on the disk
     read_only,  // the file or the disk may not be written
@@ -23,11 +23,11 @@
     killed,     // the front ended without closing it (only in gaps)
     foreign,    // the file is not a ledger, or one of a later version
 };
-const char* name_of(StoreTrouble trouble);
+const char* name_of(StoreError trouble);
 
 // A stretch of time in which the ledger is not whole.
-struct Gap {
-    StoreTrouble cause = StoreTrouble::none;
+struct LedgerGap {
+    StoreError cause = StoreError::none;
     Micros from = 0, to = 0;                 // wall clock
     std::int64_t requests = 0, updates = 0;  // requests never written; ends of written ones lost. -1: unknown
 };
@@ -36,25 +36,25 @@
 // (`last`) to the start of the next life (`began`), both by the wall clock. Where the clock stepped back in
 // between, nobody knows when: then it reaches further to both sides. `tail`: what a life may take in before
 // it is committed.
-Gap killed_gap(Micros last, Micros began, Micros tail);
+LedgerGap gap_after_kill(Micros last, Micros began, Micros tail);
 
-struct KeeperLimits {
-    std::size_t waiting = 200'000;  // rows in the queue or in a batch that is being tried
-    double new_share = 0.75;        // of it for new requests; the rest is for what written ones come to
-    Micros try_again = 250 * kMillisecond, try_again_most = 5 * kSecondMicros;
-    Micros say_again = 60 * kSecondMicros;  // a trouble that stays is told again after so long
+struct LedgerLimits {
+    std::size_t max_queued_rows = 200'000;  // rows in the queue or in a batch that is being tried
+    double new_share = 0.75;  // of it for new requests; the rest is for what written ones come to
+    Micros retry_delay = 250 * kMillisecond, max_retry_delay = 5 * kSecondMicros;
+    Micros log_interval = 60 * kSecondMicros;  // a trouble that stays is told again after so long
 };
 
 // On the loop's side: may this row wait? What may not is counted, and told as a gap once the store is well.
-class Intake {
+class LedgerIntake {
 public:
-    explicit Intake(KeeperLimits limits) : limits_(limits) {}
+    explicit LedgerIntake(LedgerLimits limits) : limits_(limits) {}
     // A new request. False: it is not in the ledger at all, and none of its rows may be offered.
     bool admit(std::size_t waiting, Micros wall);
     // A row of a request that was admitted.
     bool update(std::size_t waiting, Micros wall);
     // The store has caught up with everything that was admitted before: what was lost until here is over.
-    std::optional<Gap> take_gap(std::size_t waiting, StoreTrouble cause);
+    std::optional<LedgerGap> take_gap(std::size_t waiting, StoreError cause);
     bool losing() const {
         return gap_.has_value();
     }
@@ -64,52 +64,52 @@
 
 private:
     void lose(Micros wall, bool request);
-    KeeperLimits limits_;
-    std::optional<Gap> gap_;
+    LedgerLimits limits_;
+    std::optional<LedgerGap> gap_;
     std::int64_t lost_ = 0;
 };
 
 // On the store's side: what to do next.
-class Keeper {
+class LedgerState {
 public:
-    enum class Do {
+    enum class Step {
         open,
         write,
         wait,
-        set_aside
+        quarantine
     };
-    explicit Keeper(KeeperLimits limits) : limits_(limits), pause_(limits.try_again) {}
+    explicit LedgerState(LedgerLimits limits) : limits_(limits), pause_(limits.retry_delay) {}
 
-    Do next(Micros now) const;
-    void opened();
-    void written();  // a batch was committed
+    Step next(Micros now) const;
+    void on_opened();
+    void on_written();  // a batch was committed
     // Opening or writing failed. True: to be said aloud now.
-    bool failed(StoreTrouble trouble, Micros now);
-    void was_set_aside();  // the damaged file is out of the way
+    bool on_failed(StoreError trouble, Micros now);
+    void on_quarantined();  // the damaged file is out of the way
     // Whether rows that failed with this trouble are worth keeping for another try: always, except where the
     // rows themselves can't be written.
-    StoreTrouble trouble() const {
+    StoreError error() const {
         return trouble_;
     }
-    bool well() const {
-        return trouble_ == StoreTrouble::none;
+    bool healthy() const {
+        return trouble_ == StoreError::none;
     }
-    Micros again_at() const {
+    Micros retry_at() const {
         return again_at_;
     }
 
 private:
-    KeeperLimits limits_;
+    LedgerLimits limits_;
     bool open_ = false;
-    StoreTrouble trouble_ = StoreTrouble::none;
+    StoreError trouble_ = StoreError::none;
     Micros pause_, again_at_ = 0, said_at_ = 0;
 };
 
 // Tells a step of the wall clock from the passing of time.
-class ClockWatch {
+class ClockStepDetector {
 public:
     // How far the wall clock stepped since the last look; nothing where it went along.
-    std::optional<Micros> look(Micros now, Micros wall);
+    std::optional<Micros> detect(Micros now, Micros wall);
 
 private:
     static constexpr Micros kNoticed = 200 * kMillisecond;
--- a/src/decide/life.cpp
+++ b/src/decide/life.cpp
@@ -2,47 +2,48 @@
 
 namespace gatetiller::decide {
 
-bool Life::may(Happening h) const {
+bool RequestLifecycle::allows(RequestEvent h) const {
     switch (h) {
-        case Happening::sent:
-            return phase_ == Phase::held && !out_;
+        case RequestEvent::attempt_started:
+            return phase_ == RequestPhase::queued && !out_;
         // An answer that is whole at the front is given page by page: its first rows change nothing any more.
-        case Happening::rows_given:
-            return phase_ == Phase::trying;
-        case Happening::attempt_over:
+        case RequestEvent::streaming_started:
+            return phase_ == RequestPhase::attempting;
+        case RequestEvent::attempt_ended:
             return out_;
-        case Happening::answer:
-            return phase_ == Phase::held || phase_ == Phase::trying || phase_ == Phase::flowing;
-        case Happening::final_given:
-            return phase_ == Phase::answered;
-        case Happening::left:
-            return phase_ != Phase::over;
+        case RequestEvent::response_ready:
+            return phase_ == RequestPhase::queued || phase_ == RequestPhase::attempting ||
+                   phase_ == RequestPhase::streaming;
+        case RequestEvent::response_delivered:
+            return phase_ == RequestPhase::answered;
+        case RequestEvent::client_disconnected:
+            return phase_ != RequestPhase::closed;
     }
     return false;
 }
 
-bool Life::take(Happening h) {
-    if (!may(h))
+bool RequestLifecycle::apply(RequestEvent h) {
+    if (!allows(h))
         return false;
     switch (h) {
-        case Happening::sent:
-            phase_ = Phase::trying, out_ = true;
+        case RequestEvent::attempt_started:
+            phase_ = RequestPhase::attempting, out_ = true;
             break;
-        case Happening::rows_given:
-            phase_ = Phase::flowing;
+        case RequestEvent::streaming_started:
+            phase_ = RequestPhase::streaming;
             break;
-        case Happening::attempt_over:
+        case RequestEvent::attempt_ended:
             out_ = false;
             // Where rows have gone out only an answer can follow: the front's own, that they are not whole.
-            if (phase_ == Phase::trying)
-                phase_ = Phase::held;
+            if (phase_ == RequestPhase::attempting)
+                phase_ = RequestPhase::queued;
             break;
-        case Happening::answer:
-            phase_ = Phase::answered;
+        case RequestEvent::response_ready:
+            phase_ = RequestPhase::answered;
             break;
-        case Happening::final_given:
-        case Happening::left:
-            phase_ = Phase::over;
+        case RequestEvent::response_delivered:
+        case RequestEvent::client_disconnected:
+            phase_ = RequestPhase::closed;
             break;
     }
     return true;
--- a/src/decide/life.hpp
+++ b/src/decide/life.hpp
@@ -7,44 +7,44 @@
 
 namespace gatetiller::decide {
 
-enum class Phase : std::uint8_t {
-    held,      // no attempt is out: the module holds it
-    trying,    // an attempt is out, no row has gone to the client
-    flowing,   // rows have gone to the client, the attempt is still out: nothing is tried again
-    answered,  // the final document waits for the client
-    over,      // the client has its final document, or has left
+enum class RequestPhase : std::uint8_t {
+    queued,      // no attempt is out: the module holds it
+    attempting,  // an attempt is out, no row has gone to the client
+    streaming,   // rows have gone to the client, the attempt is still out: nothing is tried again
+    answered,    // the final document waits for the client
+    closed,      // the client has its final document, or has left
 };
 
-enum class Happening : std::uint8_t {
-    sent,          // an attempt went out
-    rows_given,    // a document with rows goes to the client for the first time
-    attempt_over,  // the attempt ended without an answer for the client
-    answer,        // the final document is at hand: an engine's, or this front's own
-    final_given,   // the client got it
-    left,          // the client cancelled, or stopped asking
+enum class RequestEvent : std::uint8_t {
+    attempt_started,      // an attempt went out
+    streaming_started,    // a document with rows goes to the client for the first time
+    attempt_ended,        // the attempt ended without an answer for the client
+    response_ready,       // the final document is at hand: an engine's, or this front's own
+    response_delivered,   // the client got it
+    client_disconnected,  // the client cancelled, or stopped asking
 };
 
-class Life {
+class RequestLifecycle {
 public:
-    Phase phase() const {
+    RequestPhase phase() const {
         return phase_;
     }
     // Whether it may happen now. What may not is passed over by take(), which says so.
-    bool may(Happening h) const;
-    bool take(Happening h);
+    bool allows(RequestEvent h) const;
+    bool apply(RequestEvent h);
 
-    bool out() const {
+    bool attempt_in_flight() const {
         return out_;
     }  // an attempt is out; may be so after the end, where it can't be called off
     bool finished() const {
-        return phase_ == Phase::answered || phase_ == Phase::over;
+        return phase_ == RequestPhase::answered || phase_ == RequestPhase::closed;
     }
-    bool freeable() const {
-        return phase_ == Phase::over && !out_;
+    bool releasable() const {
+        return phase_ == RequestPhase::closed && !out_;
     }
 
 private:
-    Phase phase_ = Phase::held;
+    RequestPhase phase_ = RequestPhase::queued;
     bool out_ = false;
 };
 
--- a/src/decide/list_numbering.cpp
+++ b/src/decide/list_numbering.cpp
@@ -17,29 +17,29 @@
 
 }  // namespace
 
-bool ListNumbering::newer(std::uint32_t number) const {
+bool SerialTracker::advances(std::uint32_t number) const {
     return !held_ || is_newer(number, *held_);
 }
 
-ListVerdict ListNumbering::judge(std::uint32_t number, Micros asked, Micros now) {
-    if (newer(number))
-        return ListVerdict::newer;
+UpdateVerdict SerialTracker::classify(std::uint32_t number, Micros asked, Micros now) {
+    if (advances(number))
+        return UpdateVerdict::newer;
     if (number == *held_) {
         older_answers_ = 0;
-        return ListVerdict::held;
+        return UpdateVerdict::current;
     }
     if (asked < held_since_ || planted("highest_number_for_ever"))
-        return ListVerdict::outdated;
+        return UpdateVerdict::outdated;
     if (older_answers_++ == 0)
         older_since_ = now, newest_older_ = number;
     if (is_newer(newest_older_, number))
-        return ListVerdict::older;
+        return UpdateVerdict::older;
     newest_older_ = number;
     const bool restarted = older_answers_ >= kRestartAnswers && now - older_since_ >= kRestartSpan;
-    return restarted ? ListVerdict::restarted : ListVerdict::older;
+    return restarted ? UpdateVerdict::restarted : UpdateVerdict::older;
 }
 
-void ListNumbering::hold(std::uint32_t number, Micros now) {
+void SerialTracker::accept(std::uint32_t number, Micros now) {
     held_ = number, held_since_ = now;
     older_answers_ = 0;
 }
--- a/src/decide/list_numbering.hpp
+++ b/src/decide/list_numbering.hpp
@@ -11,22 +11,22 @@
 namespace gatetiller::decide {
 
 // What an answer with some number is to the list held.
-enum class ListVerdict {
+enum class UpdateVerdict {
     newer,
-    held,       // the number held, again
+    current,    // the number held, again
     older,      // asked for after the list held had come, and yet it counts less far
     outdated,   // asked for before that: it says nothing of now
     restarted,  // answers have counted less far for so long that the numbering has started anew: it is the
                 // newest
 };
 
-class ListNumbering {
+class SerialTracker {
 public:
     // An answer that came at `now` to a question of `asked`.
-    ListVerdict judge(std::uint32_t number, Micros asked, Micros now);
-    bool newer(std::uint32_t number) const;  // than what is held, by its number alone
-    void hold(std::uint32_t number, Micros now);
-    std::uint32_t held() const {
+    UpdateVerdict classify(std::uint32_t number, Micros asked, Micros now);
+    bool advances(std::uint32_t number) const;  // than what is held, by its number alone
+    void accept(std::uint32_t number, Micros now);
+    std::uint32_t current() const {
         return held_.value_or(0);
     }
 
--- a/src/decide/node_admission.cpp
+++ b/src/decide/node_admission.cpp
@@ -2,15 +2,15 @@
 
 namespace gatetiller::decide {
 
-NodeAdmission admit(const NodeHolding& h, std::size_t bytes, const NodeBounds& bounds,
-                    const RestartTimes& times) {
+NodeAdmission admit(const NodeLoad& h, std::size_t bytes, const ResourceLimits& bounds,
+                    const ShutdownSchedule& times) {
     // Under an open id whatever engines say could be the other's: it goes first, as nothing makes up for it.
-    if (h.same_id)
-        return NodeAdmission::twice;
-    if (h.draining_for >= times.takes_new)
-        return NodeAdmission::ending;
+    if (h.duplicate_id)
+        return NodeAdmission::duplicate;
+    if (h.draining_for >= times.admit_until)
+        return NodeAdmission::shutting_down;
     const bool full = h.requests >= bounds.requests || h.statement_bytes + bytes > bounds.statement_bytes;
-    return full ? NodeAdmission::no_room : NodeAdmission::taken;
+    return full ? NodeAdmission::at_capacity : NodeAdmission::admitted;
 }
 
 }  // namespace gatetiller::decide
--- a/src/decide/node_admission.hpp
+++ b/src/decide/node_admission.hpp
@@ -8,20 +8,20 @@
 
 namespace gatetiller::decide {
 
-struct NodeHolding {
+struct NodeLoad {
     std::size_t requests = 0, statement_bytes = 0;  // taken and not over
-    bool same_id = false;                           // one of them bears the id of the new one
+    bool duplicate_id = false;                      // one of them bears the id of the new one
     Micros draining_for = 0;                        // since the signal; 0: no planned restart
 };
 
 // Each but `taken` is refused at once: nothing of it was sent, so trying again is harmless.
 enum class NodeAdmission {
-    taken,
-    twice,
-    no_room,
-    ending
+    admitted,
+    duplicate,
+    at_capacity,
+    shutting_down
 };
-NodeAdmission admit(const NodeHolding& holding, std::size_t statement_bytes, const NodeBounds& bounds,
-                    const RestartTimes& times);
+NodeAdmission admit(const NodeLoad& holding, std::size_t statement_bytes, const ResourceLimits& bounds,
+                    const ShutdownSchedule& times);
 
 }  // namespace gatetiller::decide
--- a/src/decide/node_bounds.cpp
+++ b/src/decide/node_bounds.cpp
@@ -13,13 +13,13 @@
 
 }  // namespace
 
-NodeBounds bounds_of(std::int64_t sockets, std::int64_t memory_mb) {
-    NodeBounds b;
+ResourceLimits derive_limits(std::int64_t sockets, std::int64_t memory_mb) {
+    ResourceLimits b;
     const std::size_t all = sockets > 0 ? static_cast<std::size_t>(sockets) : 0;
     const std::size_t usable = all > 2 * kReserve ? all - kReserve : all / 2;
-    b.engines =
+    b.engine_connections =
         std::max<std::size_t>(1, static_cast<std::size_t>(static_cast<double>(usable) * kEngineShare));
-    b.clients = std::max<std::size_t>(1, usable - std::min(usable, b.engines));
+    b.client_connections = std::max<std::size_t>(1, usable - std::min(usable, b.engine_connections));
     const std::size_t memory = static_cast<std::size_t>(std::max<std::int64_t>(memory_mb, 1)) * kMega;
     b.statement_bytes = memory / 8;
     b.requests = std::clamp<std::size_t>(memory / 4 / kRequestBytes, 64, 20'000);
@@ -27,37 +27,38 @@
     return b;
 }
 
-bool overdue(const ClientFacts& c, Micros now, const ClientTimes& t) {
+bool has_timed_out(const ClientSnapshot& c, Micros now, const ClientTimeouts& t) {
     if (c.closing)
-        return now - c.closing_since >= t.last_words;
-    if (c.open > 0 || c.unsent || c.unread)
+        return now - c.closing_since >= t.linger_timeout;
+    if (c.open_requests > 0 || c.has_unsent || c.has_unread)
         return false;
-    if (c.half_since > 0)
-        return now - c.half_since >= t.half_request;
-    return !c.served && now - c.connected >= t.first_request;
+    if (c.partial_request_since > 0)
+        return now - c.partial_request_since >= t.partial_request_timeout;
+    return !c.has_sent_request && now - c.connected_at >= t.first_request_timeout;
 }
 
-std::optional<Micros> may_leave_at(const ClientFacts& c, const ClientTimes& t) {
-    if (c.open > 0)
+std::optional<Micros> evictable_at(const ClientSnapshot& c, const ClientTimeouts& t) {
+    if (c.open_requests > 0)
         return std::nullopt;
     if (c.closing)
         return c.closing_since;
-    if (c.unsent || c.unread)
+    if (c.has_unsent || c.has_unread)
         return std::nullopt;
-    if (c.half_since > 0)
-        return c.half_since + t.half_request;
-    return c.served ? c.last_active + t.to_ask_again : c.connected + t.to_speak;
+    if (c.partial_request_since > 0)
+        return c.partial_request_since + t.partial_request_timeout;
+    return c.has_sent_request ? c.last_active_at + t.next_request_grace : c.connected_at + t.first_byte_grace;
 }
 
-std::optional<Leaver> makes_room(const std::vector<ClientFacts>& clients, Micros now, const ClientTimes& t) {
-    std::optional<Leaver> best;
-    const auto rank = [&](const ClientFacts& c, Micros at) {
-        return std::tuple(at > now, at > now ? at : 0, !c.closing, c.served, at);
+std::optional<EvictionCandidate> select_eviction(const std::vector<ClientSnapshot>& clients, Micros now,
+                                                 const ClientTimeouts& t) {
+    std::optional<EvictionCandidate> best;
+    const auto rank = [&](const ClientSnapshot& c, Micros at) {
+        return std::tuple(at > now, at > now ? at : 0, !c.closing, c.has_sent_request, at);
     };
     for (std::size_t i = 0; i < clients.size(); ++i) {
-        const auto at = may_leave_at(clients[i], t);
-        if (at && (!best || rank(clients[i], *at) < rank(clients[best->who], best->at)))
-            best = Leaver{i, *at};
+        const auto at = evictable_at(clients[i], t);
+        if (at && (!best || rank(clients[i], *at) < rank(clients[best->index], best->evictable_at)))
+            best = EvictionCandidate{i, *at};
     }
     return best;
 }
--- a/src/decide/notes.hpp
+++ b/src/decide/notes.hpp
@@ -7,14 +7,14 @@
 
 namespace gatetiller::decide {
 
-struct Seen {             // of one document's stats
+struct QueryStats {       // of one document's stats
     double progress = 0;  // per cent
     bool queued = false, scheduled = false;
     std::int64_t queued_splits = 0, running_splits = 0, spilled_bytes = 0;
 };
 
-struct Told {
-    NoteTopic topic;
+struct ProgressUpdate {
+    ProgressKind kind;
     double value;
 };
 
@@ -23,11 +23,11 @@
 // period, from the attempt's start on. What is news goes out at once, each a first time and then once a
 // period: that it spills (MB written, once more than before), that it waits for memory (the engine queues it)
 // or for a load (scheduled, none of its splits runs).
-class Notes {
+class ProgressReporter {
 public:
-    Notes(Micros started, Micros period)
+    ProgressReporter(Micros started, Micros period)
         : period_(period), progress_at_(started), waits_at_(started - period) {}
-    std::vector<Told> take(Micros now, const Seen& seen);
+    std::vector<ProgressUpdate> observe(Micros now, const QueryStats& seen);
 
 private:
     Micros period_, progress_at_, waits_at_;
--- a/src/decide/patience.hpp
+++ b/src/decide/patience.hpp
@@ -12,7 +12,7 @@
 // answer's way back, since an attempt whose outcome can't be known sooner is only ended when the module's
 // time is up. Of little time the reserve takes at most a tenth. Nothing is left (0) where the client has gone
 // by now, as far as can be known.
-inline Micros time_left(Micros limit, Micros unseen, Micros reserve) {
+inline Micros client_time_left(Micros limit, Micros unseen, Micros reserve) {
     return std::max<Micros>(0, limit - unseen - std::min(reserve, limit / 10));
 }
 
--- a/src/decide/planned_restart.cpp
+++ b/src/decide/planned_restart.cpp
@@ -12,21 +12,21 @@
 
 }  // namespace
 
-RestartTimes restart_times(const Settings& settings) {
+ShutdownSchedule derive_shutdown_schedule(const PolicySettings& settings) {
     Micros longest = 0;
     for (const auto& c : settings.classes)
         longest = std::max(longest, c.deadline);
-    RestartTimes t;
-    t.leaves = std::min(longest, kCountedMost) + kKilledPast - kSpare;
-    t.last_answers = std::max(t.takes_new, t.leaves - kToRead);
-    t.stays = std::min(t.stays, t.last_answers);
+    ShutdownSchedule t;
+    t.exit_at = std::min(longest, kCountedMost) + kKilledPast - kSpare;
+    t.final_responses_at = std::max(t.admit_until, t.exit_at - kToRead);
+    t.listen_until = std::min(t.listen_until, t.final_responses_at);
     return t;
 }
 
-LastWord last_word(const ClassSettings& c, bool may_have_run) {
-    const bool harmless = !may_have_run || c.effect == Effect::repeatable ||
-                          (c.effect == Effect::by_key && c.key_scope == Scope::all);
-    return harmless ? LastWord::refused : LastWord::failed;
+FinalResponse final_response_at_shutdown(const ClassSettings& c, bool may_have_run) {
+    const bool harmless = !may_have_run || c.idempotency == Idempotency::idempotent ||
+                          (c.idempotency == Idempotency::keyed && c.key_scope == KeyScope::all);
+    return harmless ? FinalResponse::rejected : FinalResponse::failed;
 }
 
 }  // namespace gatetiller::decide
--- a/src/decide/planned_restart.hpp
+++ b/src/decide/planned_restart.hpp
@@ -5,21 +5,21 @@
 
 namespace gatetiller::decide {
 
-struct RestartTimes {
-    Micros takes_new = 700 * kMillisecond;       // from the signal on: clients still come for so long
-    Micros stays = kSecondMicros;                // at least: one that was late still gets its refusal
-    Micros last_answers = 3'300 * kMillisecond;  // then what is left is told so
-    Micros leaves = 3'550 * kMillisecond;        // then it ends, whoever has not read or closed
+struct ShutdownSchedule {
+    Micros admit_until = 700 * kMillisecond;           // from the signal on: clients still come for so long
+    Micros listen_until = kSecondMicros;               // at least: one that was late still gets its refusal
+    Micros final_responses_at = 3'300 * kMillisecond;  // then what is left is told so
+    Micros exit_at = 3'550 * kMillisecond;             // then it ends, whoever has not read or closed
 };
 // The platform waits for the longest deadline, which it counts as 3 s where it is longer, and somewhat more
 // before it kills: the last answers go out shortly after that deadline.
-RestartTimes restart_times(const Settings& settings);
+ShutdownSchedule derive_shutdown_schedule(const PolicySettings& settings);
 
-enum class LastWord {
-    refused,
+enum class FinalResponse {
+    rejected,
     failed
 };
 // A refusal says that trying again is harmless.
-LastWord last_word(const ClassSettings& c, bool may_have_run);
+FinalResponse final_response_at_shutdown(const ClassSettings& c, bool may_have_run);
 
 }  // namespace gatetiller::decide
--- a/src/decide/quota.cpp
+++ b/src/decide/quota.cpp
@@ -13,7 +13,7 @@
     : settings_(settings), slot_(std::max<Micros>(1, settings.window / kSlots)) {
     const int fronts = std::max(1, settings.fronts);
     for (Budget& b : budgets) {
-        b.soft /= fronts, b.hard /= fronts;
+        b.soft_limit /= fronts, b.hard_limit /= fronts;
         teams_.push_back({std::move(b)});
     }
 }
@@ -40,7 +40,7 @@
     t.newest = std::max(t.newest, slot);
 }
 
-void Quota::used(const std::string& team, Micros now, Micros work) {
+void Quota::record_use(const std::string& team, Micros now, Micros work) {
     restore(team, now, 0, work);
 }
 
@@ -66,17 +66,17 @@
             held ? settings_.back_at * static_cast<double>(budget) : static_cast<double>(budget);
         return static_cast<double>(t.sum) >= at;
     };
-    if (over(t.budget.hard, t.state == QuotaState::hard))
-        return QuotaState::hard;
-    if (over(t.budget.soft, t.state != QuotaState::within))
-        return QuotaState::soft;
-    return QuotaState::within;
+    if (over(t.budget.hard_limit, t.state == QuotaState::over_hard_limit))
+        return QuotaState::over_hard_limit;
+    if (over(t.budget.soft_limit, t.state != QuotaState::within_budget))
+        return QuotaState::over_soft_limit;
+    return QuotaState::within_budget;
 }
 
 QuotaState Quota::state(const std::string& team, Micros now) {
     Team* t = find(team);
     if (!t)
-        return QuotaState::within;
+        return QuotaState::within_budget;
     turn(*t, now);
     const QuotaState next = wanted(*t);
     // Up at once, down only after a while: a team at the brim must not flicker.
@@ -85,11 +85,11 @@
     return t->state;
 }
 
-Micros Quota::come_back(const std::string& team, Micros now) const {
+Micros Quota::retry_after(const std::string& team, Micros now) const {
     const Team* t = find(team);
-    if (!t || t->budget.hard <= 0)
+    if (!t || t->budget.hard_limit <= 0)
         return settings_.stay;
-    const auto open_at = static_cast<Micros>(settings_.back_at * static_cast<double>(t->budget.hard));
+    const auto open_at = static_cast<Micros>(settings_.back_at * static_cast<double>(t->budget.hard_limit));
     Micros sum = t->sum;
     Micros after = 0;
     for (std::int64_t slot = t->newest - kSlots + 1; slot <= t->newest && sum >= open_at; ++slot) {
--- a/src/decide/quota.hpp
+++ b/src/decide/quota.hpp
@@ -24,15 +24,15 @@
 namespace gatetiller::decide {
 
 enum class QuotaState : std::uint8_t {
-    within,
-    soft,
-    hard
+    within_budget,
+    over_soft_limit,
+    over_hard_limit
 };
 const char* name_of(QuotaState state);
 
 struct Budget {
     std::string team;
-    Micros soft = 0, hard = 0;  // core-time in a window, over all fronts; 0: none
+    Micros soft_limit = 0, hard_limit = 0;  // core-time in a window, over all fronts; 0: none
 };
 
 struct QuotaSettings {
@@ -50,13 +50,13 @@
         return !teams_.empty();
     }
     // Work of an attempt that ended at `now`. Teams without a budget are passed over.
-    void used(const std::string& team, Micros now, Micros work);
+    void record_use(const std::string& team, Micros now, Micros work);
     // The same of the past, read back from the ledger; `ago` before now.
     void restore(const std::string& team, Micros now, Micros ago, Micros work);
     // The state now; moves on by at most what the rules of hysteresis allow.
     QuotaState state(const std::string& team, Micros now);
     // Until the hard budget would be open again if nothing more were used: never less than the stay.
-    Micros come_back(const std::string& team, Micros now) const;
+    Micros retry_after(const std::string& team, Micros now) const;
     Micros use(const std::string& team, Micros now) const;
 
 private:
@@ -66,7 +66,7 @@
         std::array<Micros, kSlots> slots{};
         std::int64_t newest = 0;  // slot number
         Micros sum = 0;
-        QuotaState state = QuotaState::within;
+        QuotaState state = QuotaState::within_budget;
         Micros since = 0;
     };
     Team* find(const std::string& team);
--- a/src/decide/settle.cpp
+++ b/src/decide/settle.cpp
@@ -7,26 +7,28 @@
 
 namespace gatetiller::decide {
 
-const char* name_of(Finding f) {
+const char* name_of(SettlementFinding f) {
     constexpr const char* kNames[kFindings] = {"agreed",  "unseen_end",    "never_ran",    "unlogged",
                                                "in_gap",  "other_life",    "direct",       "worked_on",
                                                "differs", "journal_lacks", "ledger_lacks", "ran_after_all"};
     return kNames[static_cast<int>(f)];
 }
 
-bool explained(Finding f) {
-    return f < Finding::differs;
+bool explained(SettlementFinding f) {
+    return f < SettlementFinding::differs;
 }
 
-Settled settle(const RequestRow& r, const AttemptRow& a, const std::vector<LoggedQuery>& logged) {
-    Settled s;
-    s.waste = waste_of(r, a);
+Settlement settle(const RequestRow& r, const AttemptRow& a, const std::vector<LoggedQuery>& logged) {
+    Settlement s;
+    s.waste = classify_waste(r, a);
     s.seen = a.work;
-    const bool never = a.state == AttemptState::turned_away || a.state == AttemptState::unreachable ||
+    const bool never = a.state == AttemptState::rejected || a.state == AttemptState::unreachable ||
                        a.state == AttemptState::not_sent;
     if (logged.empty()) {
         s.work = a.work, s.peak_bytes = a.peak_bytes, s.spilled_bytes = a.spilled_bytes;
-        s.finding = never ? Finding::never_ran : a.whole ? Finding::journal_lacks : Finding::unlogged;
+        s.finding = never     ? SettlementFinding::never_ran
+                    : a.whole ? SettlementFinding::journal_lacks
+                              : SettlementFinding::unlogged;
         return s;
     }
     s.logged = true;
@@ -38,7 +40,7 @@
     }
     if (never) {
         // An engine that refuses a query in its queue logs it all the same, with nothing done.
-        s.finding = s.work == 0 ? Finding::never_ran : Finding::ran_after_all;
+        s.finding = s.work == 0 ? SettlementFinding::never_ran : SettlementFinding::ran_after_all;
         return s;
     }
     if (a.whole) {
@@ -46,10 +48,12 @@
         const bool same = s.work / kMillisecond == a.work / kMillisecond &&
                           s.spilled_bytes == a.spilled_bytes && s.peak_bytes == a.peak_bytes;
         const bool later = s.work > a.work && a.sent_after + ran > a.ended_after;
-        s.finding = same ? Finding::agreed : later ? Finding::worked_on : Finding::differs;
+        s.finding = same    ? SettlementFinding::agreed
+                    : later ? SettlementFinding::worked_on
+                            : SettlementFinding::differs;
         return s;
     }
-    s.finding = Finding::unseen_end;
+    s.finding = SettlementFinding::unseen_end;
     const bool left = r.state == RequestState::cancelled || r.state == RequestState::abandoned;
     const Micros over = a.sent_after + ran - r.ended_after;
     if (left && over > 0 && ran > 0) {
@@ -61,24 +65,24 @@
     return s;
 }
 
-Settled settle_alone(const LoggedQuery& q, const LifeRecord* life) {
-    Settled s;
+Settlement settle_alone(const LoggedQuery& q, const IncarnationRecord* life) {
+    Settlement s;
     s.logged = true;
-    s.waste = Waste::unrecorded;
+    s.waste = WastedWork::unrecorded;
     s.work = q.work, s.peak_bytes = q.peak_bytes, s.spilled_bytes = q.spilled_bytes;
     if (!q.name) {
-        s.finding = Finding::direct;
-        s.waste = Waste::none;  // whom it served is not ours to say
+        s.finding = SettlementFinding::direct;
+        s.waste = WastedWork::none;  // whom it served is not ours to say
         return s;
     }
     if (!life) {
-        s.finding = Finding::other_life;
+        s.finding = SettlementFinding::other_life;
         return s;
     }
-    const bool covered = std::any_of(life->gaps.begin(), life->gaps.end(), [&](const Gap& g) {
+    const bool covered = std::any_of(life->gaps.begin(), life->gaps.end(), [&](const LedgerGap& g) {
         return q.created >= g.from - life->clock_slack && q.created <= g.to + life->clock_slack;
     });
-    s.finding = covered ? Finding::in_gap : Finding::ledger_lacks;
+    s.finding = covered ? SettlementFinding::in_gap : SettlementFinding::ledger_lacks;
     return s;
 }
 
--- a/src/decide/settle.hpp
+++ b/src/decide/settle.hpp
@@ -12,14 +12,14 @@
 
 // One query as an engine's journal has it.
 struct LoggedQuery {
-    std::optional<AttemptName> name;  // from its tag; none: it did not come through a front with a ledger
+    std::optional<AttemptTag> name;  // from its tag; none: it did not come through a front with a ledger
     std::string engine, id, user, source, tags, error;
     Micros created = 0, ended = 0;  // by the engine's clock
     Micros work = 0;
     std::int64_t peak_bytes = 0, spilled_bytes = 0, row_bytes = 0;
 };
 
-enum class Finding : std::uint8_t {
+enum class SettlementFinding : std::uint8_t {
     agreed,      // both sides have its end, with the same figures
     unseen_end,  // the front stopped looking before the engine was done: the engine's figures count
     never_ran,   // the front knows that it never ran, and no journal has it
@@ -36,12 +36,12 @@
     ran_after_all,  // the front took it for never run, and the engine logged work
 };
 constexpr int kFindings = 12;
-const char* name_of(Finding finding);
-bool explained(Finding finding);
+const char* name_of(SettlementFinding finding);
+bool explained(SettlementFinding finding);
 
-struct Settled {
-    Finding finding = Finding::agreed;
-    Waste waste = Waste::none;
+struct Settlement {
+    SettlementFinding finding = SettlementFinding::agreed;
+    WastedWork waste = WastedWork::none;
     Micros work = 0;  // to be charged
     std::int64_t peak_bytes = 0, spilled_bytes = 0;
     Micros seen = 0;  // of the work, as the front had it
@@ -53,15 +53,16 @@
 
 // An attempt of the ledger, with what journals have of it (none, mostly one; more where an engine logged
 // twice).
-Settled settle(const RequestRow& request, const AttemptRow& attempt, const std::vector<LoggedQuery>& logged);
+Settlement settle(const RequestRow& request, const AttemptRow& attempt,
+                  const std::vector<LoggedQuery>& logged);
 
 // What a ledger says of its own wholeness, for queries that it lacks.
-struct LifeRecord {
-    std::vector<Gap> gaps;
+struct IncarnationRecord {
+    std::vector<LedgerGap> gaps;
     Micros clock_slack = 0;  // between an engine's clock and the front's, and for its steps
 };
 // A logged query that no ledger row answers to. `life`: none where no ledger of that life was given.
-Settled settle_alone(const LoggedQuery& logged, const LifeRecord* life);
+Settlement settle_alone(const LoggedQuery& logged, const IncarnationRecord* life);
 
 // Repeats: requests of one tenant and class with the same key, within the window of the first of them.
 // Add all, in any order; then finish; then ask.
--- a/src/decide/start_guard.hpp
+++ b/src/decide/start_guard.hpp
@@ -7,30 +7,30 @@
 
 namespace gatetiller::decide {
 
-struct ReadyFacts {
-    bool has_list = false;       // of engines, from the configuration or a source
-    bool listens = false;        // for clients
-    bool hears_signals = false;  // to end, to reload
+struct ReadinessContext {
+    bool has_endpoints = false;    // of engines, from the configuration or a source
+    bool is_listening = false;     // for clients
+    bool handles_signals = false;  // to end, to reload
 };
 
 class ReadyPermit {
     ReadyPermit() = default;
-    friend class StartGuard;
+    friend class ReadinessGuard;
 };
 
-class StartGuard {
+class ReadinessGuard {
 public:
-    static std::optional<Invariant> forbids(const ReadyFacts& facts) {
-        if (!facts.has_list)
-            return Invariant::ready_without_list;
-        if (!facts.listens)
+    static std::optional<Invariant> find_violation(const ReadinessContext& facts) {
+        if (!facts.has_endpoints)
+            return Invariant::ready_without_endpoints;
+        if (!facts.is_listening)
             return Invariant::ready_without_listener;
-        if (!facts.hears_signals)
+        if (!facts.handles_signals)
             return Invariant::ready_without_signals;
         return std::nullopt;
     }
-    static std::optional<ReadyPermit> permit(const ReadyFacts& facts) {
-        return forbids(facts) ? std::nullopt : std::optional(ReadyPermit());
+    static std::optional<ReadyPermit> permit(const ReadinessContext& facts) {
+        return find_violation(facts) ? std::nullopt : std::optional(ReadyPermit());
     }
 };
 
--- a/src/decide/teams.cpp
+++ b/src/decide/teams.cpp
@@ -11,7 +11,7 @@
 constexpr std::size_t kKnown = 200'000;  // requesters remembered at once
 const std::string kNoTeam;
 
-bool fits(const TeamRule& r, const Who& w) {
+bool fits(const TeamRule& r, const Requester& w) {
     if (!pattern_fits(r.tenant, w.tenant) || !pattern_fits(r.user, w.user) ||
         !pattern_fits(r.source, w.source))
         return false;
@@ -23,7 +23,7 @@
 Teams::Teams(std::vector<TeamRule> rules, std::map<std::string, std::vector<TeamName>> names)
     : rules_(std::move(rules)), names_(std::move(names)) {}
 
-std::vector<Teams::Stretch> Teams::stretches_of(const Who& who) const {
+std::vector<Teams::Stretch> Teams::stretches_of(const Requester& who) const {
     std::vector<const TeamRule*> fitting;
     std::vector<Micros> changes{std::numeric_limits<Micros>::min()};
     for (const TeamRule& r : rules_)
@@ -45,7 +45,7 @@
     return stretches;
 }
 
-const std::string& Teams::of(const Who& who, Micros taken) {
+const std::string& Teams::of(const Requester& who, Micros taken) {
     std::string key;
     for (const std::string* part : {&who.tenant, &who.user, &who.source, &who.tags})
         (key += *part) += '\0';
--- a/src/decide/teams.hpp
+++ b/src/decide/teams.hpp
@@ -30,7 +30,7 @@
 
     // The first rule that fits at that time decides; empty where none does. The same requester's answers are
     // remembered as long as `who` lives elsewhere or not: by its content.
-    const std::string& of(const Who& who, Micros taken);
+    const std::string& of(const Requester& who, Micros taken);
     std::string name_at(const std::string& team, Micros at) const;
     // Names that it bore in [from, until) beside the last one, in the order of time.
     std::vector<std::string> formerly(const std::string& team, Micros from, Micros until) const;
@@ -40,7 +40,7 @@
         Micros from = 0;
         std::string team;
     };
-    std::vector<Stretch> stretches_of(const Who& who) const;
+    std::vector<Stretch> stretches_of(const Requester& who) const;
 
     std::vector<TeamRule> rules_;
     std::map<std::string, std::vector<TeamName>> names_;
--- a/src/engine/model.cpp
+++ b/src/engine/model.cpp
@@ -75,9 +75,9 @@
     while (!queue_.empty()) {
         Running& r = jobs_.at(queue_.front());
         const double room = s_.memory_mb - granted_;
-        if (s_.when_short == WhenShort::queue && r.granted > room && granted_ > 0)
+        if (s_.when_short == MemoryShortagePolicy::queue && r.granted > room && granted_ > 0)
             break;
-        if (s_.when_short == WhenShort::trim)
+        if (s_.when_short == MemoryShortagePolicy::trim)
             r.granted = std::clamp(r.granted, 0.0, std::max(room, 0.0));
         queue_.pop_front();
         begin(r);
@@ -100,7 +100,7 @@
         while (static_cast<double>(warm_.size()) > s_.warm_groups)
             warm_.pop_back();
     }
-    if (j.need_mb > r.granted && s_.when_short != WhenShort::swap) {
+    if (j.need_mb > r.granted && s_.when_short != MemoryShortagePolicy::swap) {
         const double missing = j.need_mb - r.granted;
         work *= 1 + (s_.spill_cost - 1) * missing / j.need_mb;
         r.spilled_mb = missing;
@@ -143,7 +143,7 @@
     const double crowd = threads / s_.cores;
     if (crowd > s_.knee)
         power /= 1 + s_.past_knee * (crowd / s_.knee - 1);
-    if (s_.when_short == WhenShort::swap && in_use > s_.memory_mb)
+    if (s_.when_short == MemoryShortagePolicy::swap && in_use > s_.memory_mb)
         power /= 1 + 4 * (in_use / s_.memory_mb - 1);
     const double thread_speed = s_.speed / slow_ * warmth();
     // By water-filling: those who can't use their part of the cores leave it to the others. What a statement
@@ -267,12 +267,12 @@
     return v;
 }
 
-Report Machine::report() const {
-    Report r;
-    r.concurrent = static_cast<double>(jobs_.size());
-    r.depth = static_cast<double>(queue_.size());
-    r.memory_granted = granted_ / s_.memory_mb;
-    r.disks_busy = disks_busy_;
+LoadReport Machine::report() const {
+    LoadReport r;
+    r.running_queries = static_cast<double>(jobs_.size());
+    r.queue_depth = static_cast<double>(queue_.size());
+    r.granted_memory_share = granted_ / s_.memory_mb;
+    r.busy_disks_share = disks_busy_;
     return r;
 }
 
--- a/src/engine/model.hpp
+++ b/src/engine/model.hpp
@@ -24,7 +24,7 @@
     double past_knee = 0.5;        // how fast it falls: at twice the knee to 1 / (1 + this)
     double sessions_per_core = 8;  // more are turned away
     double spill_cost = 2.5;       // work grows by up to this times itself where all memory needed is missing
-    WhenShort when_short = WhenShort::queue;
+    MemoryShortagePolicy when_short = MemoryShortagePolicy::queue;
     double largest_share = 0.4;  // of the memory, for one statement
     double warm_groups = 4;      // groups last read that are kept warm
     double warm_saves = 0.6;     // share of reading that a warm group saves
@@ -80,7 +80,7 @@
     std::optional<Micros> next_end() const;
     std::vector<std::pair<JobId, View>> take_ended();  // since the last call, in order
     std::optional<View> view(JobId id) const;          // nothing once it ended
-    Report report() const;
+    LoadReport report() const;
     bool fallen() const {
         return fallen_;
     }
--- a/src/engine/service.cpp
+++ b/src/engine/service.cpp
@@ -504,7 +504,7 @@
 void Service::decorate(http::Response& response) {
     if (!settings_.reports || !machine_)
         return;
-    Report report = machine_->report();
+    LoadReport report = machine_->report();
     if (faults_.report_late_s > 0) {
         const Micros as_of = loop_.now() - static_cast<Micros>(faults_.report_late_s * kSecondMicros);
         reports_.emplace_back(loop_.now(), report);
--- a/src/engine/service.hpp
+++ b/src/engine/service.hpp
@@ -131,7 +131,7 @@
     std::map<Machine::JobId, std::string> jobs_;
     std::map<Machine::JobId, std::pair<std::string, Running>> heedless_;  // called off, and still at work
     std::vector<http::Server::Reply> ignored_;
-    std::deque<std::pair<Micros, Report>> reports_;  // of the last while, where they are told late
+    std::deque<std::pair<Micros, LoadReport>> reports_;  // of the last while, where they are told late
     net::TimerId timer_ = 0;
 };
 
--- a/src/front/engines.cpp
+++ b/src/front/engines.cpp
@@ -22,7 +22,7 @@
       client_options_(s.client),
       name_(s.name),
       events_(std::move(events)),
-      warm_up_(s.module.warm_up) {}
+      warm_up_(s.module.slow_start_window) {}
 
 Engines::~Engines() {
     loop_.cancel(watching_);
@@ -41,7 +41,7 @@
         else
             events_.log("starting without a last list: " + last.error());
     }
-    take_list(known, ListForm::warm_copy);
+    take_list(known, EndpointUpdateKind::cached);
     open_source();
     if (roster_.watch_every > 0)
         watch();
@@ -51,16 +51,16 @@
     source_ = roster::make_source(loop_, roster_, name_);
     if (source_)
         source_->start({[this](auto list) {
-                            take_list(list, ListForm::total);
+                            take_list(list, EndpointUpdateKind::full);
                             to_keep_ = std::move(list);
                             keep_last_list();
                         },
                         [this](const std::string& why) {
                             events_.log("the list of engines is lost: " + why);
-                            events_.changed({ListForm::lost, {}});
+                            events_.changed({EndpointUpdateKind::source_lost, {}});
                         }});
     else
-        take_list(own_, ListForm::total);
+        take_list(own_, EndpointUpdateKind::full);
 }
 
 // A disk that is full or broken for a while is tried again: the same list may not come again for long.
@@ -83,7 +83,7 @@
     if (source_)
         source_->ask();
     else
-        events_.changed({ListForm::incr, {}});
+        events_.changed({EndpointUpdateKind::incremental, {}});
 }
 
 void Engines::reload(const config::FrontSettings& s) {
@@ -96,8 +96,8 @@
     return found == engines_.end() ? nullptr : found->second.get();
 }
 
-void Engines::take_list(const std::vector<config::EngineSettings>& list, ListForm form) {
-    ListChange change{form, {}};
+void Engines::take_list(const std::vector<config::EngineSettings>& list, EndpointUpdateKind form) {
+    EndpointUpdate change{form, {}};
     std::set<EngineId> named;
     std::vector<Engine*> coming;  // new, or back after it was off: its process may be a cold one
     for (const auto& settings : list) {
@@ -114,23 +114,23 @@
                 ask_before_more(*e);
             });
         }
-        const bool comes = is_new || engine->watch.entry().state == EngineState::off;
-        if (comes && settings.state != EngineState::off && roster_.watch_every > 0) {
-            engine->watch.will_be_asked();
+        const bool comes = is_new || engine->watch.endpoint().state == EndpointState::removed;
+        if (comes && settings.state != EndpointState::removed && roster_.watch_every > 0) {
+            engine->watch.await_status();
             coming.push_back(engine.get());
         }
         engine->settings = settings;
-        engine->watch.listed(
+        engine->watch.on_listed(
             {id, settings.state, settings.zone, settings.kind, settings.cell, 0, settings.share});
         named.insert(id);
-        change.engines.push_back(engine->watch.entry());
+        change.endpoints.push_back(engine->watch.endpoint());
     }
     for (auto& [id, engine] : engines_) {
-        if (named.contains(id) || engine->watch.entry().state == EngineState::off)
+        if (named.contains(id) || engine->watch.endpoint().state == EndpointState::removed)
             continue;
-        EngineEntry gone = engine->watch.entry();
-        gone.state = EngineState::off;
-        engine->watch.listed(gone);
+        Endpoint gone = engine->watch.endpoint();
+        gone.state = EndpointState::removed;
+        engine->watch.on_listed(gone);
     }
     events_.changed(std::move(change));
     for (Engine* e : coming)
@@ -139,15 +139,15 @@
 
 void Engines::changed(Engine& e) {
     events_.log("engine " + e.settings.name + " is " +
-                (e.watch.entry().state == EngineState::on       ? "on"
-                 : e.watch.entry().state == EngineState::fading ? "draining"
-                                                                : "off"));
-    events_.changed({ListForm::incr, {e.watch.entry()}});
+                (e.watch.endpoint().state == EndpointState::ready      ? "on"
+                 : e.watch.endpoint().state == EndpointState::draining ? "draining"
+                                                                       : "off"));
+    events_.changed({EndpointUpdateKind::incremental, {e.watch.endpoint()}});
 }
 
 void Engines::watch() {
     for (auto& [id, e] : engines_)
-        if (e->watch.entry().state != EngineState::off && !e->info.active() && !e->state.active())
+        if (e->watch.endpoint().state != EndpointState::removed && !e->info.active() && !e->state.active())
             ask_state(*e);
     watching_ = loop_.after(roster_.watch_every, [this] {
         watch();
@@ -157,12 +157,12 @@
 // Its process may have ended and another, cold one stand in its place. Not more often than a word is waited
 // for: an engine that ends each connection at once would be asked without end.
 void Engines::ask_before_more(Engine& e) {
-    if (roster_.watch_every <= 0 || e.watch.entry().state == EngineState::off)
+    if (roster_.watch_every <= 0 || e.watch.endpoint().state == EndpointState::removed)
         return;
     if (e.lost_at > 0 && loop_.now() - e.lost_at < kFirstWord)
         return;
     e.lost_at = loop_.now();
-    if (e.watch.will_be_asked())
+    if (e.watch.await_status())
         changed(e);
     ask_and_wait(e);
 }
@@ -184,7 +184,7 @@
     e.info = e.client->send(
         {"GET", "/v1/info", 1, headers, {}, {}}, limit, [this, &e, headers, limit](http::Answer a) {
             const auto unheard = [&] {
-                if (e.watch.could_not_be_asked())
+                if (e.watch.on_status_unavailable())
                     changed(e);
             };
             if (a.reached != http::Reached::answered || a.response.status != 200)
@@ -204,14 +204,14 @@
                 {"GET", "/v1/info/state", 1, headers, {}, {}}, limit, [this, &e](http::Answer s) {
                     const bool told = s.reached == http::Reached::answered && s.response.status == 200;
                     if (!told) {
-                        if (e.watch.could_not_be_asked())
+                        if (e.watch.on_status_unavailable())
                             changed(e);
                         return;
                     }
                     const bool ends =
                         statement::as_string(trimmed(s.response.body)).value_or("") == "SHUTTING_DOWN";
-                    const bool news = e.watch.said(loop_.now(), ends, e.starting, e.uptime);
-                    const bool held = e.watch.hold_while_cold(loop_.now(), hold_until_, warm_up_);
+                    const bool news = e.watch.on_status_reported(loop_.now(), ends, e.starting, e.uptime);
+                    const bool held = e.watch.hold_in_slow_start(loop_.now(), hold_until_, warm_up_);
                     if (news || held)
                         changed(e);
                 });
@@ -222,7 +222,7 @@
     first_word_ = 0;
     const Micros now = loop_.now();
     for (; !awaited_.empty() && awaited_.front().until <= now; awaited_.pop_front())
-        if (Engine* e = find(awaited_.front().id); e && e->watch.could_not_be_asked())
+        if (Engine* e = find(awaited_.front().id); e && e->watch.on_status_unavailable())
             changed(*e);
     if (!awaited_.empty())
         first_word_ = loop_.after(awaited_.front().until - now, [this] {
@@ -234,7 +234,7 @@
     hold_until_ = until;
     loop_.cancel(std::exchange(holding_, 0));
     for (auto& [id, e] : engines_)
-        if (e->watch.hold_while_cold(loop_.now(), until, warm_up_))
+        if (e->watch.hold_in_slow_start(loop_.now(), until, warm_up_))
             changed(*e);
     if (until > loop_.now())
         holding_ = loop_.after(until - loop_.now(), [this] {
@@ -243,21 +243,23 @@
         });
 }
 
-void Engines::probe(EngineId id, std::function<void(Micros, Outcome, std::optional<Report>)> done) {
+void Engines::probe(EngineId id,
+                    std::function<void(Micros, AttemptOutcome, std::optional<LoadReport>)> done) {
     Engine* e = find(id);
     if (!e)
-        return done(0, Outcome::skipped, std::nullopt);
+        return done(0, AttemptOutcome::not_sent, std::nullopt);
     const Micros began = loop_.now();
     e->client
         ->send({"GET", "/v1/status", 1, {}, {}, {}}, kSecondMicros,
                [this, began, done = std::move(done)](const http::Answer& a) {
                    const bool fine = a.reached == http::Reached::answered && a.response.status == 200;
-                   const Outcome how = fine                                      ? Outcome::done
-                                       : a.reached == http::Reached::answered    ? Outcome::err
-                                       : a.reached == http::Reached::late        ? Outcome::etimedout
-                                       : a.reached == http::Reached::broken      ? Outcome::econnreset
-                                       : a.reached == http::Reached::lacked_here ? Outcome::skipped
-                                                                                 : Outcome::econnrefused;
+                   const AttemptOutcome how =
+                       fine                                      ? AttemptOutcome::succeeded
+                       : a.reached == http::Reached::answered    ? AttemptOutcome::failed
+                       : a.reached == http::Reached::late        ? AttemptOutcome::timed_out
+                       : a.reached == http::Reached::broken      ? AttemptOutcome::connection_reset
+                       : a.reached == http::Reached::lacked_here ? AttemptOutcome::not_sent
+                                                                 : AttemptOutcome::connection_refused;
                    done(loop_.now() - began, how,
                         fine ? statement::read_report(a.response.headers) : std::nullopt);
                })
--- a/src/front/engines.hpp
+++ b/src/front/engines.hpp
@@ -21,7 +21,7 @@
     EngineId id = 0;
     config::EngineSettings settings;
     std::unique_ptr<http::Client> client;
-    decide::EngineWatch watch;
+    decide::EndpointStateTracker watch;
     http::Client::Call info, state;
     std::optional<Micros> uptime;
     bool starting = false;
@@ -31,7 +31,7 @@
 class Engines {
 public:
     struct Events {
-        std::function<void(ListChange)> changed;
+        std::function<void(EndpointUpdate)> changed;
         std::function<void(std::string)> log;
     };
     Engines(net::Loop& loop, const config::FrontSettings& settings, Events events);
@@ -47,10 +47,11 @@
         return engines_;
     }
     // Asks an engine for its load; `done` gets the time taken and how it went.
-    void probe(EngineId id, std::function<void(Micros taken, Outcome, std::optional<Report>)> done);
+    void probe(EngineId id,
+               std::function<void(Micros taken, AttemptOutcome, std::optional<LoadReport>)> done);
 
 private:
-    void take_list(const std::vector<config::EngineSettings>& list, ListForm form);
+    void take_list(const std::vector<config::EngineSettings>& list, EndpointUpdateKind form);
     void open_source();
     void keep_last_list();
     void watch();
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -10,8 +10,8 @@
 namespace gatetiller::front {
 namespace {
 
-using decide::Happening;
-using decide::Phase;
+using decide::RequestEvent;
+using decide::RequestPhase;
 
 constexpr double kMega = 1048576.0;
 constexpr Micros kDrainLook = 50 * kMillisecond;
@@ -40,11 +40,11 @@
         case Ended::served:
             return decide::RequestState::served;
         case Ended::refused:
-            return decide::RequestState::refused;
+            return decide::RequestState::shed;
         case Ended::failed:
             return decide::RequestState::failed;
         case Ended::cut:
-            return decide::RequestState::cut;
+            return decide::RequestState::truncated;
         case Ended::cancelled:
             return decide::RequestState::cancelled;
         case Ended::abandoned:
@@ -53,7 +53,7 @@
     return decide::RequestState::failed;
 }
 
-std::vector<std::string> tenant_names(const Settings& s) {
+std::vector<std::string> tenant_names(const PolicySettings& s) {
     std::vector<std::string> names;
     for (const auto& t : s.tenants)
         names.push_back(t.name);
@@ -69,7 +69,7 @@
           number(n),
           engine(e),
           sent(f.loop_.now()),
-          notes(sent, f.settings_.module.note_period) {}
+          notes(sent, f.settings_.module.progress_period) {}
     ~Attempt() override {
         front.loop_.cancel(timer);
     }
@@ -86,16 +86,16 @@
     EngineId engine;
     std::unique_ptr<statement::EngineCall> call;
     Micros sent;
-    decide::Notes notes;
+    decide::ProgressReporter notes;
     net::TimerId timer = 0;
     bool out = false, over = false, ever_ran = false;  // out: it is the one that the statement's life counts
-    decide::AttemptFacts facts;
+    decide::AttemptEndRecord facts;
     std::int64_t row_bytes = 0;
     std::string engine_id, engine_name, engine_kind;
     store::LedgerWriter::Place place;
     statement::Stats stats;
     std::string columns;
-    std::optional<Report> report;
+    std::optional<LoadReport> report;
 };
 
 struct Front::Running {
@@ -108,9 +108,9 @@
     std::vector<std::unique_ptr<Attempt>> attempts;
     double grant_mb = 0;
     int priority = 1;
-    decide::Life life;
+    decide::RequestLifecycle life;
     Ended ended = Ended::failed;
-    Outcome last = Outcome::skipped;
+    AttemptOutcome last = AttemptOutcome::not_sent;
     std::string last_error, last_engine;
     std::optional<decide::RequestRow> row;  // until its last one is given to the ledger
     bool in_ledger = false;
@@ -118,10 +118,10 @@
     statement::Stats stats;
 
     Attempt* out() {
-        return life.out() ? attempts.back().get() : nullptr;
+        return life.attempt_in_flight() ? attempts.back().get() : nullptr;
     }
     bool flowing() const {
-        return life.phase() == Phase::flowing;
+        return life.phase() == RequestPhase::streaming;
     }
 };
 
@@ -138,7 +138,7 @@
                   carry_out(a);
               }),
       engines_(loop, settings_,
-               {[this](const ListChange& c) {
+               {[this](const EndpointUpdate& c) {
                     engines_changed(c);
                 },
                 [this](const std::string& t) {
@@ -165,7 +165,7 @@
     driver_.start();
     // Until the ledger tells whether a life before was killed, cold engines are not pushed by both.
     if (deps_.ledger)
-        engines_.hold_cold(loop_.now() + settings_.module.overload_for);
+        engines_.hold_cold(loop_.now() + settings_.module.overload_window);
     engines_.start();
     if (deps_.ledger)
         look_in_ledger();
@@ -203,7 +203,7 @@
         auto r = statement::text_response(status, text);
         if (status == 429 || status == 503)
             r.headers.add("Retry-After",
-                          retry_after(come_back > 0 ? come_back : settings_.holding.come_back));
+                          retry_after(come_back > 0 ? come_back : settings_.holding.retry_after));
         return r;
     };
     if (draining_)
@@ -218,24 +218,24 @@
     if (quota_.any()) {
         team = teams_.of({c.user, c.source, decide::tags_without(c.tags, routed->key), "", tenant}, 0);
         switch (quota_.state(team, loop_.now())) {
-            case decide::QuotaState::within:
+            case decide::QuotaState::within_budget:
                 break;
-            case decide::QuotaState::soft:
+            case decide::QuotaState::over_soft_limit:
                 routed->tenant = settings_.budgets.over;
                 break;
-            case decide::QuotaState::hard:
+            case decide::QuotaState::over_hard_limit:
                 return turned_away(429, "over_budget", "team '" + team + "' has used up its budget",
-                                   quota_.come_back(team, loop_.now()));
+                                   quota_.retry_after(team, loop_.now()));
         }
     }
     switch (holding_.admit(c.user, s.sql.size())) {
-        case decide::Admission::taken:
+        case decide::AdmissionVerdict::admitted:
             break;
-        case decide::Admission::front_full:
+        case decide::AdmissionVerdict::gateway_full:
             return turned_away(429, "front_full", "too many statements at this front");
-        case decide::Admission::user_full:
+        case decide::AdmissionVerdict::user_limit_reached:
             return turned_away(429, "user_full", "too many statements of this user");
-        case decide::Admission::too_long:
+        case decide::AdmissionVerdict::statement_too_long:
             return turned_away(
                 413, "too_long",
                 "a statement of over " + std::to_string(settings_.holding.statement_bytes) + " bytes");
@@ -247,20 +247,20 @@
     auto r = std::make_unique<Running>();
     r->id = id, r->routed = std::move(*routed), r->arrived = loop_.now(), r->team = std::move(team);
     const Micros limit = c.run_limit > 0 ? std::min(c.run_limit, cls->deadline) : cls->deadline;
-    const Micros left = decide::time_left(limit, loop_.unseen(), settings_.answer_reserve);
+    const Micros left = decide::client_time_left(limit, loop_.unseen(), settings_.answer_reserve);
     r->deadline = r->arrived + left;
-    Demand d{id,   r->routed.cls, r->routed.tenant,          r->routed.key,
-             left, std::nullopt,  c.memory_estimate / kMega, r->routed.group,
-             false};
+    RequestArrived d{id,   r->routed.cls, r->routed.tenant,          r->routed.key,
+                     left, std::nullopt,  c.memory_estimate / kMega, r->routed.group,
+                     false};
     if (c.cpu_estimate > 0)
-        d.cost = c.cpu_estimate;
+        d.estimated_work = c.cpu_estimate;
     if (deps_.ledger) {
         decide::RequestRow row;
-        row.who = std::make_shared<const decide::Who>(decide::Who{
+        row.who = std::make_shared<const decide::Requester>(decide::Requester{
             c.user, c.source, decide::tags_without(c.tags, r->routed.key), r->routed.cls, tenant});
         row.id = id, row.key = r->routed.key, row.taken = loop_.wall();
-        if (cls->effect == Effect::by_key)
-            row.key_window = cls->window;
+        if (cls->idempotency == Idempotency::keyed)
+            row.key_window = cls->key_window;
         r->in_ledger = deps_.ledger->taken(row, row.taken, r->place);
         r->number = row.number;
         r->row = std::move(row);
@@ -274,26 +274,26 @@
 
 void Front::left(const std::string& id, statement::Left how) {
     Running* r = find(id);
-    if (!r || r->life.phase() == Phase::over)
+    if (!r || r->life.phase() == RequestPhase::closed)
         return;
     // Where the answer waited unfetched, the work was done all the same: the record says who ended it.
     r->ended = how == statement::Left::abandoned ? Ended::abandoned : Ended::cancelled;
     if (r->ended_at == 0)
         r->ended_at = loop_.now();
-    r->life.take(Happening::left);
-    post(Gone{id});
+    r->life.apply(RequestEvent::client_disconnected);
+    post(ClientDisconnected{id});
     // The module calls off what it may; a stream that had begun is nobody's any more, and ends here.
-    if (Attempt* a = r->out(); a && settings_.module.may_cancel) {
+    if (Attempt* a = r->out(); a && settings_.module.can_cancel) {
         a->call->cancel();
-        complete(*a, Outcome::ecanceled, true);
+        complete(*a, AttemptOutcome::cancelled, true);
     }
     finish(*r);
 }
 
 void Front::rows_going_out(const std::string& id) {
     Running* r = find(id);
-    if (r && r->life.take(Happening::rows_given))
-        post(Begun{id, r->out()->number});
+    if (r && r->life.apply(RequestEvent::streaming_started))
+        post(ResponseStarted{id, r->out()->number});
 }
 
 void Front::room(const std::string& id) {
@@ -306,14 +306,14 @@
 
 void Front::final_given(const std::string& id) {
     Running* r = find(id);
-    if (r && r->life.take(Happening::final_given))
+    if (r && r->life.apply(RequestEvent::response_delivered))
         finish(*r);
 }
 
 // The client has its final document, or has left. What is known is written down; the rest is freed once no
 // attempt is out any more.
 void Front::finish(Running& r) {
-    holding_.finished(r.submission.context.user);
+    holding_.release(r.submission.context.user);
     const Micros now = loop_.now(), ended = r.ended_at > 0 ? r.ended_at : now;
     Finished f{r.id,
                r.submission.context.trace_token,
@@ -342,7 +342,7 @@
         deps_.ledger->update(std::move(*r.row), loop_.wall(), r.place);
         r.row.reset();
     }
-    if (r.life.freeable())
+    if (r.life.releasable())
         free_later(r.id);
 }
 
@@ -376,19 +376,19 @@
         return "";
     const auto s = deps_.ledger->status();
     return ",\"ledger\":{\"state\":" +
-           statement::json_string(s.trouble == decide::StoreTrouble::none ? "written" : name_of(s.trouble)) +
+           statement::json_string(s.trouble == decide::StoreError::none ? "written" : name_of(s.trouble)) +
            ",\"waiting\":" + std::to_string(s.waiting) + ",\"lost\":" + std::to_string(s.lost) + "}";
 }
 
 std::string Front::status_members() {
     std::string engines;
     for (const auto& [number, e] : engines_.all()) {
-        const auto state = e->watch.entry().state;
+        const auto state = e->watch.endpoint().state;
         engines += (engines.empty() ? "" : ",") + ("{\"name\":" + statement::json_string(e->settings.name)) +
                    ",\"address\":" + statement::json_string(e->settings.address.text()) + ",\"state\":" +
-                   (state == EngineState::on       ? "\"on\""
-                    : state == EngineState::fading ? "\"fading\""
-                                                   : "\"off\"") +
+                   (state == EndpointState::ready      ? "\"on\""
+                    : state == EndpointState::draining ? "\"fading\""
+                                                       : "\"off\"") +
                    ",\"connections\":" + std::to_string(e->client->open()) + "}";
     }
     return ",\"engines\":[" + engines +
@@ -413,19 +413,19 @@
 
 // A list, or an engine's own word. What waits to go out to one that takes nothing new is taken back: it would
 // begin once its connection is up.
-void Front::engines_changed(const ListChange& change) {
+void Front::engines_changed(const EndpointUpdate& change) {
     if (dropped(change))
         return;
     // Before the module hears of it: what it sends at once to an engine that is back is asked of the guard.
-    for (const EngineEntry& entry : change.engines) {
-        if (entry.state == EngineState::on)
+    for (const Endpoint& entry : change.endpoints) {
+        if (entry.state == EndpointState::ready)
             draining_engines_.erase(entry.id);
         else
             draining_engines_.emplace(entry.id, loop_.now());
     }
-    if (change.form == ListForm::total)  // what it lacks is gone
+    if (change.kind == EndpointUpdateKind::full)  // what it lacks is gone
         for (const auto& [id, engine] : engines_.all())
-            if (engine->watch.entry().state == EngineState::off)
+            if (engine->watch.endpoint().state == EndpointState::removed)
                 draining_engines_.emplace(id, loop_.now());
     driver_.post(change);
     std::vector<Attempt*> waiting;
@@ -434,72 +434,73 @@
             waiting.push_back(out);
     for (Attempt* a : waiting)
         if (!a->over && a->call->recall())
-            complete(*a, Outcome::skipped, a->running.life.finished());
+            complete(*a, AttemptOutcome::not_sent, a->running.life.finished());
 }
 
 void Front::carry_out(const Action& action) {
-    std::visit(Overloaded{[&](const Send& a) {
-                              send(a);
-                          },
-                          [&](const Terms& a) {
-                              // An attempt that is out keeps its priority: the statement API has no way to
-                              // change it.
-                              if (Running* r = find(a.id)) {
-                                  if (a.grant_mb > 0)
-                                      r->grant_mb = a.grant_mb;
-                                  r->priority = a.priority;
-                              }
-                          },
-                          [&](const Refuse& a) {
-                              Running* r = find(a.id);
-                              if (!r || r->life.finished())
-                                  return;
-                              auto d = failed_document(
-                                  r->stats, "QUERY_QUEUE_FULL",
-                                  "refused, trying again is harmless" +
-                                      (r->last_error.empty() ? std::string(": no engine has room in time")
-                                                             : ": " + r->last_error));
-                              answer_finally(*r, std::move(d), Ended::refused, a.come_back);
-                          },
-                          [&](const Fail& a) {
-                              Running* r = find(a.id);
-                              if (!r || r->life.finished())
-                                  return;
-                              const bool late =
-                                  r->last == Outcome::etimedout || loop_.now() + kNearDeadline >= r->deadline;
-                              const char* name = late                             ? "EXCEEDED_TIME_LIMIT"
-                                                 : r->last == Outcome::econnreset ? "REMOTE_HOST_GONE"
-                                                                                  : "GENERIC_INTERNAL_ERROR";
-                              auto d = failed_document(
-                                  r->stats, name,
-                                  "it may have run" + (r->last_error.empty() ? "" : ": " + r->last_error));
-                              answer_finally(*r, std::move(d), Ended::failed, 0);
-                          },
-                          [&](const Cancel& a) {
-                              Running* r = find(a.id);
-                              if (!r || a.attempt < 0 || a.attempt >= static_cast<int>(r->attempts.size()))
-                                  return;
-                              Attempt& attempt = *r->attempts[static_cast<std::size_t>(a.attempt)];
-                              if (attempt.over || r->flowing())
-                                  return;  // a stream that has begun is not called off
-                              attempt.call->cancel();
-                              complete(attempt, Outcome::ecanceled, r->life.finished());
-                          },
-                          [&](const Probe& a) {
-                              engines_.probe(a.engine, [this, id = a.engine](Micros taken, Outcome how,
-                                                                             std::optional<Report> report) {
-                                  post(Probed{id, taken, how, report});
-                              });
-                          },
-                          [&](const Tell&) {},  // no peers here: the settings never allow it
-                          [&](const Observe&) {
-                              engines_.ask();
-                          },
-                          [&](const SetTimer&) {}},  // the driver keeps the timers
-               action);
-}
-
-void Front::send(const Send& action) {
+    std::visit(
+        Overloaded{
+            [&](const DispatchAttempt& a) {
+                send(a);
+            },
+            [&](const ResourceGrant& a) {
+                // An attempt that is out keeps its priority: the statement API has no way to
+                // change it.
+                if (Running* r = find(a.id)) {
+                    if (a.memory_mb > 0)
+                        r->grant_mb = a.memory_mb;
+                    r->priority = a.priority;
+                }
+            },
+            [&](const ShedRequest& a) {
+                Running* r = find(a.id);
+                if (!r || r->life.finished())
+                    return;
+                auto d =
+                    failed_document(r->stats, "QUERY_QUEUE_FULL",
+                                    "refused, trying again is harmless" +
+                                        (r->last_error.empty() ? std::string(": no engine has room in time")
+                                                               : ": " + r->last_error));
+                answer_finally(*r, std::move(d), Ended::refused, a.retry_after);
+            },
+            [&](const FailRequest& a) {
+                Running* r = find(a.id);
+                if (!r || r->life.finished())
+                    return;
+                const bool late =
+                    r->last == AttemptOutcome::timed_out || loop_.now() + kNearDeadline >= r->deadline;
+                const char* name = late                                          ? "EXCEEDED_TIME_LIMIT"
+                                   : r->last == AttemptOutcome::connection_reset ? "REMOTE_HOST_GONE"
+                                                                                 : "GENERIC_INTERNAL_ERROR";
+                auto d = failed_document(
+                    r->stats, name, "it may have run" + (r->last_error.empty() ? "" : ": " + r->last_error));
+                answer_finally(*r, std::move(d), Ended::failed, 0);
+            },
+            [&](const CancelAttempt& a) {
+                Running* r = find(a.id);
+                if (!r || a.attempt < 0 || a.attempt >= static_cast<int>(r->attempts.size()))
+                    return;
+                Attempt& attempt = *r->attempts[static_cast<std::size_t>(a.attempt)];
+                if (attempt.over || r->flowing())
+                    return;  // a stream that has begun is not called off
+                attempt.call->cancel();
+                complete(attempt, AttemptOutcome::cancelled, r->life.finished());
+            },
+            [&](const CheckHealth& a) {
+                engines_.probe(a.engine, [this, id = a.engine](Micros taken, AttemptOutcome how,
+                                                               std::optional<LoadReport> report) {
+                    post(HealthCheckCompleted{id, taken, how, report});
+                });
+            },
+            [&](const BroadcastToPeers&) {},  // no peers here: the settings never allow it
+            [&](const WatchEndpoints&) {
+                engines_.ask();
+            },
+            [&](const StartTimer&) {}},  // the driver keeps the timers
+        action);
+}
+
+void Front::send(const DispatchAttempt& action) {
     Running* r = find(action.id);
     if (!r)
         return;
@@ -510,29 +511,29 @@
         metrics_.violation(*broken);
         deps_.log(std::string("VIOLATION prevented: ") + decide::name_of(*broken) + ": " + r->id +
                   " attempt " + std::to_string(a.number));
-        return complete(a, Outcome::skipped, r->life.finished());
+        return complete(a, AttemptOutcome::not_sent, r->life.finished());
     }
-    a.out = r->life.take(Happening::sent);
+    a.out = r->life.apply(RequestEvent::attempt_started);
     if (r->first_sent == 0)
         r->first_sent = a.sent;
     Engine* engine = engines_.find(action.engine);
     if (!engine)
-        return complete(a, Outcome::econnrefused, false);
+        return complete(a, AttemptOutcome::connection_refused, false);
     r->last_engine = a.engine_name = engine->settings.name;
     a.engine_kind = engine->settings.kind;
     const Micros limit =
-        action.time_out > 0 ? std::min(action.time_out, r->deadline - a.sent) : r->deadline - a.sent;
+        action.timeout > 0 ? std::min(action.timeout, r->deadline - a.sent) : r->deadline - a.sent;
     // The engine stops by itself at the deadline, whatever becomes of this front.
     std::map<std::string, std::string> set{{"query_max_run_time", session_span(limit)}};
     if (r->grant_mb > 0)
         set["query_max_memory"] = std::to_string(std::llround(r->grant_mb)) + "MB";
-    if (settings_.module.priorities)
+    if (settings_.module.supports_priorities)
         set["query_priority"] = std::to_string(r->priority);
     std::string tag;
     if (deps_.ledger)
         tag = decide::tag_of({deps_.ledger->life(), r->number, static_cast<std::uint32_t>(a.number)});
     auto headers = statement::engine_headers(r->submission.context, set, tag);
-    note_attempt(a, decide::AttemptState::out);
+    note_attempt(a, decide::AttemptState::in_flight);
     headers.add("User-Agent", "gatetiller/" + settings_.name);
     a.timer = loop_.after(limit, [this, &a] {
         a.timer = 0;
@@ -540,7 +541,7 @@
             return;
         a.call->cancel();
         a.running.last_error = "no answer in time";
-        complete(a, Outcome::etimedout, a.running.life.finished());
+        complete(a, AttemptOutcome::timed_out, a.running.life.finished());
     });
     a.call = std::make_unique<statement::EngineCall>(loop_, *engine->client, settings_.calls, a);
     a.call->start(std::move(headers), r->submission.sql, [this, &a] {
@@ -563,33 +564,33 @@
     const auto cls = std::find_if(classes.begin(), classes.end(), [&](const auto& c) {
         return c.name == r.routed.cls;
     });
-    decide::AttemptFactsNow facts;
-    facts.client_left = r.ended == Ended::cancelled || r.ended == Ended::abandoned;
-    facts.final_given = r.life.finished() && !facts.client_left;
-    facts.attempt_out = r.life.out() && !is_out;
-    facts.left = r.deadline - loop_.now();
-    facts.attempts = a.number;
+    decide::AttemptContext facts;
+    facts.client_disconnected = r.ended == Ended::cancelled || r.ended == Ended::abandoned;
+    facts.final_response_sent = r.life.finished() && !facts.client_disconnected;
+    facts.attempt_in_flight = r.life.attempt_in_flight() && !is_out;
+    facts.time_left = r.deadline - loop_.now();
+    facts.earlier_attempts = a.number;
     for (const auto& earlier : r.attempts)
-        if (earlier->over && !never_ran(earlier->facts.outcome) && !facts.may_have_run) {
+        if (earlier->over && !proves_not_executed(earlier->facts.outcome) && !facts.earlier_execution) {
             const Engine* const ran = engines_.find(earlier->engine);
-            decide::EarlierRun run;
-            run.sent_before = a.sent - earlier->sent;
+            decide::EarlierExecution run;
+            run.sent_ago = a.sent - earlier->sent;
             if (ran)
-                run.zone = ran->watch.entry().zone, run.cell = ran->watch.entry().cell;
-            facts.may_have_run = run;
+                run.zone = ran->watch.endpoint().zone, run.cell = ran->watch.endpoint().cell;
+            facts.earlier_execution = run;
         }
     if (const Engine* const engine = engines_.find(a.engine)) {
-        const EngineEntry& entry = engine->watch.entry();
+        const Endpoint& entry = engine->watch.endpoint();
         facts.target.listed = true;
         facts.target.kind = entry.kind, facts.target.zone = entry.zone, facts.target.cell = entry.cell;
         if (const auto drains = draining_engines_.find(a.engine); drains != draining_engines_.end())
             facts.target.draining_for = loop_.now() - drains->second;
     }
-    return decide::AttemptGuard(settings_.module).forbids(facts, *cls, std::nullopt);
+    return decide::AttemptGuard(settings_.module).find_violation(facts, *cls, std::nullopt);
 }
 
 void Front::answer_finally(Running& r, statement::Document document, Ended ended, Micros come_back) {
-    r.life.take(Happening::answer);
+    r.life.apply(RequestEvent::response_ready);
     r.ended = ended;
     r.ended_at = loop_.now();
     http::Headers headers;
@@ -599,25 +600,25 @@
     statements_.push(r.id, std::move(document), std::move(headers));
 }
 
-void Front::complete(Attempt& a, Outcome outcome, bool finished) {
+void Front::complete(Attempt& a, AttemptOutcome outcome, bool finished) {
     if (std::exchange(a.over, true))
         return;
     loop_.cancel(std::exchange(a.timer, 0));
     Running& r = a.running;
     if (a.out)
-        r.life.take(Happening::attempt_over);
+        r.life.apply(RequestEvent::attempt_ended);
     r.last = outcome;
     metrics_.attempt(outcome);
     a.facts.outcome = outcome;
     note_attempt(a, decide::state_of(a.facts));
-    quota_.used(r.team, loop_.now(), a.stats.cpu_ms * kMillisecond);
-    Completed c{r.id, a.number, a.engine, outcome, loop_.now() - a.sent, finished, 0, 0, a.report};
-    if (outcome == Outcome::done && settings_.module.cost_in_answers) {
+    quota_.record_use(r.team, loop_.now(), a.stats.cpu_ms * kMillisecond);
+    AttemptCompleted c{r.id, a.number, a.engine, outcome, loop_.now() - a.sent, finished, 0, 0, a.report};
+    if (outcome == AttemptOutcome::succeeded && settings_.module.cost_in_responses) {
         c.work_ms = static_cast<double>(a.stats.cpu_ms);
         c.needed_mb = static_cast<double>(a.stats.peak_memory_bytes) / kMega;
     }
     post(std::move(c));
-    if (r.life.freeable())
+    if (r.life.releasable())
         free_later(r.id);
 }
 
@@ -638,15 +639,15 @@
         a.columns = d.columns;
     if (d.final()) {
         decide::AttemptEnd how;
-        how.ever_ran = a.ever_ran;
+        how.has_executed = a.ever_ran;
         if (d.error)
             how.has_error = true, how.error_type = d.error->type, how.error_name = d.error->name;
         return end_attempt(a, how, std::move(d), headers);
     }
-    const decide::Seen seen{d.stats.progress,      d.stats.queued,         d.stats.scheduled,
-                            d.stats.queued_splits, d.stats.running_splits, d.stats.spilled_bytes};
-    for (const auto& note : a.notes.take(loop_.now(), seen)) {
-        post(Note{r.id, a.number, a.engine, note.topic, note.value});
+    const decide::QueryStats seen{d.stats.progress,      d.stats.queued,         d.stats.scheduled,
+                                  d.stats.queued_splits, d.stats.running_splits, d.stats.spilled_bytes};
+    for (const auto& note : a.notes.observe(loop_.now(), seen)) {
+        post(AttemptProgress{r.id, a.number, a.engine, note.kind, note.value});
         if (a.over)
             return;  // the module called it off
     }
@@ -663,23 +664,23 @@
 }
 
 void Front::ask_on(Attempt& a) {
-    if (holding_.may_ask_on(statements_.waiting_bytes(a.running.id), statements_.waiting_in_all()))
+    if (holding_.can_fetch_more(statements_.waiting_bytes(a.running.id), statements_.waiting_in_all()))
         a.call->next();
 }
 
 void Front::on_end(Attempt& a, const statement::CallEnd& end) {
     if (a.over)
         return;
-    using How = decide::AttemptEnd::How;
+    using How = decide::AttemptEnd::Kind;
     using Call = statement::CallEnd::How;
     decide::AttemptEnd how;
-    how.how = end.how == Call::not_sent       ? How::not_sent
-              : end.how == Call::connect_late ? How::connect_late
-              : end.how == Call::lacked_here  ? How::lacked_here
-              : end.how == Call::withdrawn    ? How::lacked_here
-              : end.how == Call::turned_away  ? How::turned_away
-              : end.how == Call::late         ? How::late
-                                              : How::lost;
+    how.kind = end.how == Call::not_sent       ? How::not_sent
+               : end.how == Call::connect_late ? How::connect_timeout
+               : end.how == Call::lacked_here  ? How::local_resource_exhausted
+               : end.how == Call::withdrawn    ? How::local_resource_exhausted
+               : end.how == Call::turned_away  ? How::rejected
+               : end.how == Call::late         ? How::timed_out
+                                               : How::connection_lost;
     how.status = end.status;
     end_attempt(
         a, how,
@@ -690,17 +691,17 @@
 void Front::end_attempt(Attempt& a, decide::AttemptEnd how, statement::Document d,
                         const http::Headers& headers) {
     Running& r = a.running;
-    const auto verdict = decide::judge(how);
-    using How = decide::AttemptEnd::How;
-    a.facts.document = how.how == How::answered;
-    a.facts.connected =
-        how.how != How::not_sent && how.how != How::connect_late && how.how != How::lacked_here;
+    const auto verdict = decide::classify_attempt_end(how);
+    using How = decide::AttemptEnd::Kind;
+    a.facts.document = how.kind == How::answered;
+    a.facts.connected = how.kind != How::not_sent && how.kind != How::connect_timeout &&
+                        how.kind != How::local_resource_exhausted;
     if (d.error)
         r.last_error = d.error->message;
     if (verdict.for_client && !r.life.finished()) {
         if (d.columns.empty())
             d.columns = a.columns;
-        r.life.take(Happening::answer);
+        r.life.apply(RequestEvent::response_ready);
         r.ended = Ended::served, r.ended_at = loop_.now();
         a.facts.for_client = true;
         complete(a, verdict.outcome, true);
@@ -711,7 +712,7 @@
         // Rows have gone out: nothing is tried again, and the client learns that what it has is not whole.
         if (!d.error)
             d.error = statement::error_named("REMOTE_HOST_GONE", "the engine failed after the first rows");
-        r.life.take(Happening::answer);
+        r.life.apply(RequestEvent::response_ready);
         r.ended = Ended::cut, r.ended_at = loop_.now();
         complete(a, verdict.outcome, true);
         d.data.clear(), d.next_uri.clear();
@@ -750,7 +751,7 @@
         deps_.log(text);
     if (const auto before = deps_.ledger->before(); before.known && !std::exchange(before_known_, true)) {
         // What was sent after its last commit may be as young as this life.
-        engines_.hold_cold(before.killed ? loop_.now() + settings_.module.overload_for : 0);
+        engines_.hold_cold(before.killed ? loop_.now() + settings_.module.overload_window : 0);
     }
     for (const auto& p : deps_.ledger->take_past())
         quota_.restore(teams_.of({p.who->user, p.who->source, p.who->tags, "", p.who->tenant}, 0),
--- a/src/front/front.hpp
+++ b/src/front/front.hpp
@@ -75,14 +75,14 @@
     void handle(http::Request& request, http::Server::Reply reply);
     bool dropped(const Event& event) const;  // as tests of broken fronts ask for
     void post(Event event);
-    void engines_changed(const ListChange& change);
+    void engines_changed(const EndpointUpdate& change);
     bool may_begin(const Attempt& a);
     void carry_out(const Action& action);
-    void send(const Send& action);
+    void send(const DispatchAttempt& action);
     std::optional<decide::Invariant> forbidden(const Attempt& a,
                                                bool is_out = false);  // is_out: it is the one that is out
     void answer_finally(Running& r, statement::Document document, Ended ended, Micros come_back);
-    void complete(Attempt& a, Outcome outcome, bool finished);
+    void complete(Attempt& a, AttemptOutcome outcome, bool finished);
     void on_document(Attempt& a, statement::Document document, const http::Headers& headers);
     void on_end(Attempt& a, const statement::CallEnd& end);
     void end_attempt(Attempt& a, decide::AttemptEnd how, statement::Document answer,
@@ -100,11 +100,11 @@
     config::FrontSettings settings_;
     Deps deps_;
     decide::Router router_;
-    decide::Holding holding_;
+    decide::StatementAdmission holding_;
     decide::Teams teams_;
     decide::Quota quota_;
     Metrics metrics_;
-    core::Driver driver_;
+    core::PolicyDriver driver_;
     Engines engines_;
     statement::ServerSide statements_;
     http::Server server_;
--- a/src/front/metrics.cpp
+++ b/src/front/metrics.cpp
@@ -69,7 +69,7 @@
 void Metrics::turned_away(const char* why) {
     turned_away_.Add({{"why", why}}).Increment();
 }
-void Metrics::attempt(Outcome outcome) {
+void Metrics::attempt(AttemptOutcome outcome) {
     attempts_.Add({{"outcome", decide::name_of(outcome)}}).Increment();
 }
 
@@ -83,7 +83,7 @@
 }
 
 void Metrics::ledger(const store::WriterStatus& s) {
-    gauges_.Add({{"what", "ledger_written"}}).Set(s.trouble == decide::StoreTrouble::none ? 1 : 0);
+    gauges_.Add({{"what", "ledger_written"}}).Set(s.trouble == decide::StoreError::none ? 1 : 0);
     gauges_.Add({{"what", "ledger_rows_waiting"}}).Set(static_cast<double>(s.waiting));
     gauges_.Add({{"what", "ledger_rows_lost"}}).Set(static_cast<double>(s.lost));
     gauges_.Add({{"what", "ledger_rows_committed"}}).Set(static_cast<double>(s.committed));
--- a/src/front/metrics.hpp
+++ b/src/front/metrics.hpp
@@ -43,7 +43,7 @@
     Metrics();
     void taken(const std::string& cls);
     void turned_away(const char* why);
-    void attempt(Outcome outcome);
+    void attempt(AttemptOutcome outcome);
     void violation(decide::Invariant invariant);  // prevented by a guard
     void finished(const Finished& f);
     struct Now {
--- a/src/lab/books.cpp
+++ b/src/lab/books.cpp
@@ -35,10 +35,10 @@
           from_(*report::local_time("UTC", "2026-11-01")),
           step_(30 * 86'400 * kSecondMicros / std::max<std::int64_t>(1, o.requests)) {
         for (int i = 0; i < o.teams; ++i)
-            who_.push_back(std::make_shared<const decide::Who>(
-                decide::Who{"user-" + std::to_string(i * 7), "source-" + std::to_string(i % 5),
-                            "team=" + std::to_string(i), i % 4 == 0 ? "report" : "lookup",
-                            "tenant-" + std::to_string(i % 12)}));
+            who_.push_back(std::make_shared<const decide::Requester>(
+                decide::Requester{"user-" + std::to_string(i * 7), "source-" + std::to_string(i % 5),
+                                  "team=" + std::to_string(i), i % 4 == 0 ? "report" : "lookup",
+                                  "tenant-" + std::to_string(i % 12)}));
     }
 
     Result<std::string> run() {
@@ -107,7 +107,7 @@
         for (int i = 0; i < decide::kFindings; ++i)
             if (const auto& f = r->findings[static_cast<std::size_t>(i)]; f.queries > 0)
                 findings += std::string(findings.empty() ? "" : ", ") +
-                            decide::name_of(static_cast<decide::Finding>(i)) + " " +
+                            decide::name_of(static_cast<decide::SettlementFinding>(i)) + " " +
                             std::to_string(f.queries);
         line("findings", "%s", findings.c_str());
         return out;
@@ -160,8 +160,8 @@
                 a.ended_after = 200'000, a.grant_bytes = 128 << 20;
                 const bool lost = i + 1 < r.attempts;
                 a.whole = !lost && !in_hand;
-                a.state = in_hand ? decide::AttemptState::out
-                          : lost  ? decide::AttemptState::lost
+                a.state = in_hand ? decide::AttemptState::in_flight
+                          : lost  ? decide::AttemptState::connection_lost
                                   : decide::AttemptState::answered;
                 ++attempts_;
                 if (o_.journal) {
@@ -190,7 +190,7 @@
     const BooksOptions& o_;
     Random random_;
     Micros from_, step_;
-    std::vector<std::shared_ptr<const decide::Who>> who_;
+    std::vector<std::shared_ptr<const decide::Requester>> who_;
     std::int64_t attempts_ = 0;
     double event_seconds_ = 0;
 };
--- a/src/lab/checker.cpp
+++ b/src/lab/checker.cpp
@@ -567,10 +567,10 @@
             const auto allowed = [](const auto& names, const std::string& name) {
                 return !names || std::find(names->begin(), names->end(), name) != names->end();
             };
-            if (c->served_on || c->azs_open)
+            if (c->allowed_kinds || c->allowed_zones)
                 ++out_.bound;
-            if (facts != by_address_.end() &&
-                (!allowed(c->served_on, facts->second->kind) || !allowed(c->azs_open, facts->second->zone)))
+            if (facts != by_address_.end() && (!allowed(c->allowed_kinds, facts->second->kind) ||
+                                               !allowed(c->allowed_zones, facts->second->zone)))
                 broken(6, r.at, r.front, a.trace,
                        "class " + c->name + " may not run on " + name_of(a.engine));
         }
@@ -601,22 +601,23 @@
     void rule_2(const std::string& name, Front& f) {
         for (const auto& [trace, s] : f.statements) {
             const auto* c = class_of(trace);
-            if (!c || c->effect == Effect::repeatable)
+            if (!c || c->idempotency == Idempotency::idempotent)
                 continue;
-            out_.keyed += c->effect == Effect::by_key;
+            out_.keyed += c->idempotency == Idempotency::keyed;
             const Attempt* first = nullptr;  // that may have run
             for (const std::size_t n : s.attempts) {
                 const Attempt& a = f.attempts[n];
-                if (first && c->effect == Effect::once)
+                if (first && c->idempotency == Idempotency::non_idempotent)
                     broken(2, a.sent, name, trace, "sent again though an earlier attempt may have run");
-                if (first && c->effect == Effect::by_key) {
-                    if (a.sent > first->sent + c->window)
+                if (first && c->idempotency == Idempotency::keyed) {
+                    if (a.sent > first->sent + c->key_window)
                         broken(2, a.sent, name, trace, "sent again after engines may have forgotten its key");
                     const auto one = by_address_.find(first->engine), other = by_address_.find(a.engine);
                     if (one != by_address_.end() && other != by_address_.end()) {
                         const bool zone = one->second->zone == other->second->zone,
                                    cell = zone && one->second->cell == other->second->cell;
-                        if ((c->key_scope == Scope::zone && !zone) || (c->key_scope == Scope::cell && !cell))
+                        if ((c->key_scope == KeyScope::zone && !zone) ||
+                            (c->key_scope == KeyScope::cell && !cell))
                             broken(2, a.sent, name, trace,
                                    "sent again to an engine that doesn't know its key");
                     }
@@ -629,7 +630,7 @@
                 continue;
             for (const ClientRecord* final : tries->second.finals)
                 if (final->detail == "refused" &&
-                    !(c->effect == Effect::by_key && c->key_scope == Scope::all))
+                    !(c->idempotency == Idempotency::keyed && c->key_scope == KeyScope::all))
                     broken(2, final->at, name, trace,
                            "refused, which says that trying again is harmless, though it may have run");
         }
@@ -638,7 +639,8 @@
     void rule_5(const std::string& name, Front& f) {
         std::map<std::string, std::vector<const Statement*>> lines;
         for (const auto& [trace, s] : f.statements)
-            if (const auto* c = class_of(trace); c && c->in_turn && !key_of(trace).empty() && s.taken > 0)
+            if (const auto* c = class_of(trace);
+                c && c->ordered_by_key && !key_of(trace).empty() && s.taken > 0)
                 lines[key_of(trace)].push_back(&s);
         for (auto& [key, line] : lines) {
             std::stable_sort(line.begin(), line.end(), [](const auto* a, const auto* b) {
@@ -742,7 +744,7 @@
             if (r.entry.event != "started")
                 continue;
             const auto* c = class_of(r.entry.trace);
-            if (c && c->effect == Effect::once && ++ran[r.entry.trace]["any"] == 2)
+            if (c && c->idempotency == Idempotency::non_idempotent && ++ran[r.entry.trace]["any"] == 2)
                 broken(2, r.entry.at, r.entry.front, r.entry.trace, "an engine ran it a second time");
         }
     }
@@ -756,16 +758,17 @@
                 continue;
             const std::string request = trace.substr(0, trace.rfind('.'));
             auto& [asked, served] = by_request[request];
-            asked = c->value;
+            asked = c->priority_weight;
             const ClientRecord*& begun = first.try_emplace(request, t.asked).first->second;
             if (t.asked->at < begun->at)
                 begun = t.asked;
             for (const ClientRecord* final : t.finals)
                 if (final->detail == "served") {
                     const Micros taken = final->at - begun->at;
-                    served = std::max(served, taken <= begun->aim    ? c->value
-                                              : taken <= c->deadline ? c->value * c->late_share
-                                                                     : 0);
+                    served =
+                        std::max(served, taken <= begun->aim    ? c->priority_weight
+                                         : taken <= c->deadline ? c->priority_weight * c->late_value_share
+                                                                : 0);
                 }
         }
         for (const auto& [request, w] : by_request)
--- a/src/lab/day.cpp
+++ b/src/lab/day.cpp
@@ -142,10 +142,10 @@
         facts.classes = settings_.classes;
         for (const auto& e : engines_)
             facts.engines.push_back(e->facts);
-        facts.answer_grace = settings_.grace_to_answer, facts.drain_grace = settings_.drain_grace,
-        facts.turn_gap = settings_.turn_gap;
-        facts.ratio_span = settings_.ratio_span, facts.extra_free = settings_.extra_free,
-        facts.extra_per_request = settings_.extra_per_request;
+        facts.answer_grace = settings_.response_grace, facts.drain_grace = settings_.drain_grace,
+        facts.turn_gap = settings_.key_order_gap;
+        facts.ratio_span = settings_.retry_budget_window, facts.extra_free = settings_.retry_budget_base,
+        facts.extra_per_request = settings_.retry_budget_ratio;
         records_out_ << line_of(facts);
         // Engines have answered their state, and the list has come, before the first statement.
         for (const Micros until = loop_.now() + script_.lead; loop_.now() < until;)
@@ -624,7 +624,7 @@
     Random random_;
     std::ofstream records_out_;
     http::Server list_;
-    Settings settings_;
+    PolicySettings settings_;
     std::vector<std::unique_ptr<EngineProcess>> engines_;
     std::vector<std::unique_ptr<FrontProcess>> fronts_;
     std::map<std::string, std::unique_ptr<http::Client>> http_;
--- a/src/lab/load.cpp
+++ b/src/lab/load.cpp
@@ -131,8 +131,9 @@
     const ClassSettings* settings = settings_of(r->cls);
     const Micros deadline = settings ? settings->deadline : 10 * kSecondMicros;
     r->asked = loop_.now();
-    r->aim = settings ? std::min(deadline, settings->aim + static_cast<Micros>(settings->aim_stretch *
-                                                                               r->work_ms * 1000 / c.threads))
+    r->aim = settings ? std::min(deadline, settings->latency_objective +
+                                               static_cast<Micros>(settings->objective_stretch * r->work_ms *
+                                                                   1000 / c.threads))
                       : deadline;
     double patience =
         static_cast<double>(deadline) * random_.uniform(traffic_.patience_low, traffic_.patience_high);
@@ -274,8 +275,9 @@
     }
     const ClassSettings* settings = settings_of(request->cls);
     const bool served = detail == "served";
-    const bool may = back || (settings && settings->effect == Effect::repeatable) ||
-                     (settings && settings->effect == Effect::by_key && settings->key_scope == Scope::all);
+    const bool may =
+        back || (settings && settings->idempotency == Idempotency::idempotent) ||
+        (settings && settings->idempotency == Idempotency::keyed && settings->key_scope == KeyScope::all);
     close(number);
     if (served || !may || request->tries > traffic_.retries)
         return;
--- a/src/lab/platform.cpp
+++ b/src/lab/platform.cpp
@@ -174,8 +174,8 @@
         }
         return;
     }
-    decide::AnswerFields fields;
-    const bool readable = words.size() == 4 && fields.read(words[2]);
+    decide::ResponseFields fields;
+    const bool readable = words.size() == 4 && fields.parse(words[2]);
     const auto ms = to_number<std::int64_t>(fields.find("ms"));
     const auto hints = readable ? engine::read_hints(words[3]) : Result<engine::Hints>(Error{"no statement"});
     const auto level = fields.find("level").empty() ? 1 : to_number<int>(fields.find("level")).value_or(-1);
--- a/src/lab/records.cpp
+++ b/src/lab/records.cpp
@@ -24,17 +24,17 @@
         ClassSettings s;
         s.name = c.at("name");
         s.deadline = c.at("deadline");
-        s.effect = static_cast<Effect>(c.at("effect").get<int>());
-        s.key_scope = static_cast<Scope>(c.at("key_scope").get<int>());
-        s.window = c.at("window");
-        s.in_turn = c.at("in_turn");
-        s.value = c.at("value");
-        s.aim = c.at("aim");
-        s.late_share = c.at("late_share");
+        s.idempotency = static_cast<Idempotency>(c.at("effect").get<int>());
+        s.key_scope = static_cast<KeyScope>(c.at("key_scope").get<int>());
+        s.key_window = c.at("window");
+        s.ordered_by_key = c.at("in_turn");
+        s.priority_weight = c.at("value");
+        s.latency_objective = c.at("aim");
+        s.late_value_share = c.at("late_share");
         if (c.contains("kinds"))
-            s.served_on = c["kinds"].get<std::vector<std::string>>();
+            s.allowed_kinds = c["kinds"].get<std::vector<std::string>>();
         if (c.contains("zones"))
-            s.azs_open = c["zones"].get<std::vector<std::string>>();
+            s.allowed_zones = c["zones"].get<std::vector<std::string>>();
         f.classes.push_back(std::move(s));
     }
     for (const auto& e : j.at("engines"))
@@ -128,17 +128,17 @@
     for (const auto& c : f.classes) {
         Json k = {{"name", c.name},
                   {"deadline", c.deadline},
-                  {"effect", static_cast<int>(c.effect)},
+                  {"effect", static_cast<int>(c.idempotency)},
                   {"key_scope", static_cast<int>(c.key_scope)},
-                  {"window", c.window},
-                  {"in_turn", c.in_turn},
-                  {"value", c.value},
-                  {"aim", c.aim},
-                  {"late_share", c.late_share}};
-        if (c.served_on)
-            k["kinds"] = *c.served_on;
-        if (c.azs_open)
-            k["zones"] = *c.azs_open;
+                  {"window", c.key_window},
+                  {"in_turn", c.ordered_by_key},
+                  {"value", c.priority_weight},
+                  {"aim", c.latency_objective},
+                  {"late_share", c.late_value_share}};
+        if (c.allowed_kinds)
+            k["kinds"] = *c.allowed_kinds;
+        if (c.allowed_zones)
+            k["zones"] = *c.allowed_zones;
         j["classes"].push_back(std::move(k));
     }
     for (const auto& e : f.engines)
