--- a/src/lab/virtual_day.cpp
+++ b/src/lab/virtual_day.cpp
@@ -136,7 +136,7 @@
         s.name = e->name = "e" + std::to_string(i);
         s.listen = *net::Address::parse("127.0.0.1:0");
         s.machine.cores = 8, s.machine.key_window = 25 * kSecondMicros;
-        s.machine.when_short = WhenShort::trim;
+        s.machine.when_short = MemoryShortagePolicy::trim;
         s.machine.cancel_stops = i % 3 != 0;  // some don't heed
         s.long_poll = 250 * kMillisecond, s.abandoned_after = 3 * kSecondMicros;
         s.seed = random_.next();
@@ -274,12 +274,13 @@
 
     Facts facts() const {
         Facts f;
-        const Settings& m = settings_.module;
+        const PolicySettings& m = settings_.module;
         f.classes = m.classes;
         for (const auto& e : engines_)
             f.engines.push_back({e->name, e->address.text(), "here", "std", 0});
-        f.answer_grace = m.grace_to_answer, f.drain_grace = m.drain_grace, f.turn_gap = m.turn_gap;
-        f.ratio_span = m.ratio_span, f.extra_free = m.extra_free, f.extra_per_request = m.extra_per_request;
+        f.answer_grace = m.response_grace, f.drain_grace = m.drain_grace, f.turn_gap = m.key_order_gap;
+        f.ratio_span = m.retry_budget_window, f.extra_free = m.retry_budget_base,
+        f.extra_per_request = m.retry_budget_ratio;
         return f;
     }
 
@@ -312,7 +313,7 @@
         result_.report = report::to_json(*r).dump();
         for (const auto& [key, line] : r->lines)
             result_.charged += line.all_work();
-        result_.charged -= r->findings[static_cast<std::size_t>(decide::Finding::unlogged)].work;
+        result_.charged -= r->findings[static_cast<std::size_t>(decide::SettlementFinding::unlogged)].work;
         for (const auto& [front, gap] : r->gaps)
             result_.longest_gap = std::max(result_.longest_gap, gap.to - gap.from);
         result_.gaps = r->gaps.size();
--- a/src/node/clients.cpp
+++ b/src/node/clients.cpp
@@ -15,12 +15,12 @@
 constexpr std::size_t kSpareShare = 8;  // one in so many places is kept free by graceful closes, if it can be
 
 // The planted faults of closing: whether one of them would close a connection with these facts.
-bool closes_wrongly(const decide::ClientFacts& facts) {
+bool closes_wrongly(const decide::ClientSnapshot& facts) {
     if (facts.closing)
         return false;
-    if (planted("close_with_request_open") && facts.open > 0)
+    if (planted("close_with_request_open") && facts.open_requests > 0)
         return true;
-    return planted("close_with_answer_unsent") && facts.open == 0 && facts.unsent;
+    return planted("close_with_answer_unsent") && facts.open_requests == 0 && facts.has_unsent;
 }
 
 }  // namespace
@@ -28,7 +28,7 @@
 struct Clients::Connection final : net::StreamEvents {
     Connection(Clients& c, Id number, std::unique_ptr<net::Stream> s)
         : clients(c), id(number), stream(std::move(s)) {
-        facts.connected = facts.last_active = c.loop_.now();
+        facts.connected_at = facts.last_active_at = c.loop_.now();
     }
 
     void on_data(Buffer& in) override {
@@ -41,7 +41,7 @@
             if (framing == thrift::Framing::none)
                 break;
             if (calls == kCallsATurn) {
-                facts.half_since = 0;
+                facts.partial_request_since = 0;
                 offered = true;
                 left_since = clients.loop_.now() - waited_unseen();
                 return stream->offer();
@@ -53,7 +53,7 @@
             }
             auto call = thrift::read_call(frame);
             in.take(thrift::kFrameHead + frame.size());
-            facts.last_active = clients.loop_.now();
+            facts.last_active_at = clients.loop_.now();
             if (call)
                 take(std::move(*call));
             else
@@ -66,23 +66,23 @@
         if (facts.closing)
             return;
         if (in.empty())
-            facts.half_since = 0;
-        else if (facts.half_since == 0)
-            facts.half_since = clients.loop_.now();
+            facts.partial_request_since = 0;
+        else if (facts.partial_request_since == 0)
+            facts.partial_request_since = clients.loop_.now();
     }
     void on_closed(net::Closed) override {
-        clients.drop(id, decide::CloseReason::peer_ended);
+        clients.drop(id, decide::CloseReason::peer_closed);
     }
 
     void take(thrift::Call call) {
         using What = thrift::Call::What;
         switch (call.what) {
             case What::probe:
-                facts.served = true;
+                facts.has_sent_request = true;
                 stream->send(thrift::answer(call.method, call.seq, {}));
                 return;
             case What::give_up:
-                if (numbers.end(call.given_up))
+                if (numbers.release(call.given_up))
                     clients.events_.given_up(id, call.given_up);
                 return;
             case What::unknown:
@@ -92,18 +92,18 @@
             case What::process:
                 break;
         }
-        switch (numbers.take(call.seq)) {
-            case decide::ClientNumbers::Verdict::taken:
+        switch (numbers.accept(call.seq)) {
+            case decide::ClientSequenceNumbers::Verdict::accepted:
                 break;
-            case decide::ClientNumbers::Verdict::not_climbing:
+            case decide::ClientSequenceNumbers::Verdict::not_increasing:
                 return close_with(call.seq, thrift::Fault::bad_sequence, "sequence numbers must climb");
-            case decide::ClientNumbers::Verdict::too_many:
-                return close_with(
-                    call.seq, thrift::Fault::protocol,
-                    "more than " + std::to_string(decide::ClientNumbers::kOpenMost) + " open requests");
+            case decide::ClientSequenceNumbers::Verdict::too_many_open:
+                return close_with(call.seq, thrift::Fault::protocol,
+                                  "more than " + std::to_string(decide::ClientSequenceNumbers::kMaxOpen) +
+                                      " open requests");
         }
-        const Micros unseen = std::max(waited_unseen(), facts.served ? 0 : waited);
-        facts.served = true;
+        const Micros unseen = std::max(waited_unseen(), facts.has_sent_request ? 0 : waited);
+        facts.has_sent_request = true;
         clients.events_.request(id, std::move(call), unseen);
     }
 
@@ -113,16 +113,16 @@
         return std::max({clients.loop_.unseen(), stream->starved(), left_over});
     }
 
-    decide::ClientFacts facts_now() const {
+    decide::ClientSnapshot facts_now() const {
         auto now = facts;
-        now.open = numbers.open();
-        now.unsent = stream->unsent() > 0;
-        now.unread = offered || clients.loop_.now() < unread_until;
+        now.open_requests = numbers.open_count();
+        now.has_unsent = stream->unsent() > 0;
+        now.has_unread = offered || clients.loop_.now() < unread_until;
         return now;
     }
-    decide::ClosingFacts closing_facts() const {
+    decide::ClosingContext closing_facts() const {
         const auto now = facts_now();
-        return {now.open, now.unsent, now.unread};
+        return {now.open_requests, now.has_unsent, now.has_unread};
     }
 
     // Nothing that comes from here on can be read. What was taken before is still owed its answer; a request
@@ -131,13 +131,13 @@
         ++clients.counters_.malformed;
         stream->send(thrift::exception("process", seq, fault, why));
         malformed = true;
-        facts.half_since = 0;
-        if (numbers.end(seq))
+        facts.partial_request_since = 0;
+        if (numbers.release(seq))
             clients.events_.given_up(id, seq);
         close_if_answered();
     }
     void close_if_answered() {
-        if (!malformed || facts.closing || numbers.open() > 0)
+        if (!malformed || facts.closing || numbers.open_count() > 0)
             return;
         if (const auto permit = clients.may_close(*this, decide::CloseReason::malformed))
             close(*permit);
@@ -146,15 +146,15 @@
     // Graceful: what was said goes out, what still comes is read and dropped.
     void close(const decide::ClosePermit&) {
         facts.closing = true, facts.closing_since = clients.loop_.now();
-        facts.half_since = 0;
+        facts.partial_request_since = 0;
         stream->finish();
     }
 
     Clients& clients;
     Id id;
     std::unique_ptr<net::Stream> stream;
-    decide::ClientFacts facts;  // but for those open, which `numbers` knows
-    decide::ClientNumbers numbers;
+    decide::ClientSnapshot facts;  // but for those open, which `numbers` knows
+    decide::ClientSequenceNumbers numbers;
     Micros waited = 0;       // in the kernel's queue, at most
     bool offered = false;    // whole messages wait for the next turn
     bool malformed = false;  // what still comes is dropped; it is closed once what was taken is answered
@@ -163,7 +163,7 @@
     std::shared_ptr<char> alive = std::make_shared<char>();
 };
 
-Clients::Clients(net::Loop& loop, decide::NodeBounds bounds, Events events)
+Clients::Clients(net::Loop& loop, decide::ResourceLimits bounds, Events events)
     : loop_(loop), bounds_(bounds), events_(std::move(events)) {}
 
 Clients::~Clients() {
@@ -205,37 +205,37 @@
 // Whoever leaves must have had time to speak; until then newcomers wait outside. One is in already, over the
 // number.
 void Clients::make_room() {
-    while (connections_.size() >= bounds_.clients)
+    while (connections_.size() >= bounds_.client_connections)
         if (!close_one())
             return;
     // A little ahead of need, so that nobody's last bytes cross a close that can't wait for them.
-    const std::size_t spare = bounds_.clients / kSpareShare;
-    if (connections_.size() + spare < bounds_.clients)
+    const std::size_t spare = bounds_.client_connections / kSpareShare;
+    if (connections_.size() + spare < bounds_.client_connections)
         return;
     const auto [leaver, id] = next_to_leave();
-    if (leaver && leaver->at <= loop_.now() && !connections_.at(id)->facts.closing)
-        close_at_rest(id, decide::CloseReason::made_room);
+    if (leaver && leaver->evictable_at <= loop_.now() && !connections_.at(id)->facts.closing)
+        close_at_rest(id, decide::CloseReason::evicted);
 }
 
-std::pair<std::optional<decide::Leaver>, Clients::Id> Clients::next_to_leave() const {
-    std::vector<decide::ClientFacts> facts;
+std::pair<std::optional<decide::EvictionCandidate>, Clients::Id> Clients::next_to_leave() const {
+    std::vector<decide::ClientSnapshot> facts;
     std::vector<Id> ids;
     for (const auto& [id, c] : connections_)
         facts.push_back(c->facts_now()), ids.push_back(id);
-    const auto leaver = decide::makes_room(facts, loop_.now(), times_);
-    return {leaver, leaver ? ids[leaver->who] : 0};
+    const auto leaver = decide::select_eviction(facts, loop_.now(), times_);
+    return {leaver, leaver ? ids[leaver->index] : 0};
 }
 
 bool Clients::close_one() {
     const auto [leaver, id] = next_to_leave();
-    const Micros now = loop_.now(), at = leaver ? leaver->at : now + times_.to_speak;
+    const Micros now = loop_.now(), at = leaver ? leaver->evictable_at : now + times_.first_byte_grace;
     if (at <= now) {
         // It may be asking right now: what has come already is read first, and a close over unread bytes
         // would be a reset.
         if (!at_rest_now(id))
             return true;
         ++counters_.evicted;
-        drop(id, decide::CloseReason::made_room);
+        drop(id, decide::CloseReason::evicted);
         return true;
     }
     ++counters_.waits;
@@ -267,15 +267,15 @@
     if (!read_all)
         still->second->unread_until = loop_.now() + kReadsOn;
     const auto facts = still->second->facts_now();
-    const auto at = decide::may_leave_at(facts, times_);
-    return (at && *at <= loop_.now()) || decide::overdue(facts, loop_.now(), times_);
+    const auto at = decide::evictable_at(facts, times_);
+    return (at && *at <= loop_.now()) || decide::has_timed_out(facts, loop_.now(), times_);
 }
 
 std::optional<decide::ClosePermit> Clients::may_close(const Connection& c, decide::CloseReason reason) {
     const auto facts = c.closing_facts();
     const auto permit = decide::CloseGuard::permit(facts, reason);
     if (!permit) {
-        events_.violated(*decide::CloseGuard::forbids(facts, reason), c.id);
+        events_.violated(*decide::CloseGuard::find_violation(facts, reason), c.id);
         return std::nullopt;
     }
     ++counters_.closed[static_cast<std::size_t>(reason)];
@@ -306,33 +306,34 @@
     for (const auto& [id, c] : connections_) {
         const auto facts = c->facts_now();
         if (closes_wrongly(facts))
-            (void)may_close(*c, decide::CloseReason::wind_down);
-        const auto at = decide::may_leave_at(facts, times_);
+            (void)may_close(*c, decide::CloseReason::shutdown);
+        const auto at = decide::evictable_at(facts, times_);
         if (!c->facts.closing && at && *at <= loop_.now())
             resting.push_back(id);
     }
     for (const Id id : resting)
-        close_at_rest(id, decide::CloseReason::wind_down);
+        close_at_rest(id, decide::CloseReason::shutdown);
 }
 
 void Clients::close_listener(bool now) {
     if (!listener_)
         return;
     // Past the table's number there may be no descriptor for them.
-    const std::size_t room = bounds_.clients - std::min(bounds_.clients, connections_.size());
+    const std::size_t room =
+        bounds_.client_connections - std::min(bounds_.client_connections, connections_.size());
     if (listener_->accept_waiting(room) || now)
         listener_.reset();
 }
 
 void Clients::reply(Id id, std::int32_t seq, std::string frame) {
     const auto found = connections_.find(id);
-    if (found == connections_.end() || !found->second->numbers.end(seq))
+    if (found == connections_.end() || !found->second->numbers.release(seq))
         return;
     Connection& c = *found->second;
-    c.facts.last_active = loop_.now();
+    c.facts.last_active_at = loop_.now();
     c.stream->send(std::move(frame));
     if (c.stream->unsent() > bounds_.unsent_bytes)
-        return drop(id, decide::CloseReason::reads_nothing);
+        return drop(id, decide::CloseReason::slow_reader);
     c.close_if_answered();
 }
 
@@ -345,7 +346,7 @@
         return;
     const auto kept = std::move(found->second);
     connections_.erase(found);
-    for (const auto left : kept->numbers.end_all())
+    for (const auto left : kept->numbers.release_all())
         events_.given_up(id, left);
 }
 
@@ -357,8 +358,8 @@
     for (const auto& [id, c] : connections_) {
         const auto facts = c->facts_now();
         if (closes_wrongly(facts))
-            (void)may_close(*c, decide::CloseReason::overdue);
-        if (decide::overdue(facts, loop_.now(), times_))
+            (void)may_close(*c, decide::CloseReason::request_timeout);
+        if (decide::has_timed_out(facts, loop_.now(), times_))
             late.push_back(id);
     }
     for (const Id id : late) {
@@ -366,11 +367,11 @@
         if (found == connections_.end())
             continue;
         if (found->second->facts.closing) {
-            drop(id, decide::CloseReason::lingered);
+            drop(id, decide::CloseReason::linger_timeout);
             continue;
         }
         ++counters_.overdue;
-        close_at_rest(id, decide::CloseReason::overdue);
+        close_at_rest(id, decide::CloseReason::request_timeout);
     }
 }
 
--- a/src/node/clients.hpp
+++ b/src/node/clients.hpp
@@ -32,11 +32,11 @@
         std::function<void(Id, thrift::Call, Micros unseen)> request;
         std::function<void(Id, std::int32_t seq)> given_up;  // no answer is owed any more
         // A connection is closed, by whom this front says; for logs.
-        std::function<void(Id, const std::string& peer, decide::CloseReason, const decide::ClosingFacts&)>
+        std::function<void(Id, const std::string& peer, decide::CloseReason, const decide::ClosingContext&)>
             closed;
         std::function<void(decide::Invariant, Id)> violated;  // a guard refused what was about to be done
     };
-    Clients(net::Loop& loop, decide::NodeBounds bounds, Events events);
+    Clients(net::Loop& loop, decide::ResourceLimits bounds, Events events);
     ~Clients();
     Clients(const Clients&) = delete;
     Clients& operator=(const Clients&) = delete;
@@ -44,7 +44,7 @@
     Result<net::Address> listen(const net::Address& at);
     // The answer to an open request, as a whole frame; passed over where the client has gone.
     void reply(Id id, std::int32_t seq, std::string frame);
-    void bound(const decide::NodeBounds& bounds) {
+    void bound(const decide::ResourceLimits& bounds) {
         bounds_ = bounds;
     }  // for whoever comes from now on
     // At a planned restart. From the first call of wind_down() on connections at rest are closed, as are
@@ -68,7 +68,7 @@
     struct Connection;
     void accepted(std::unique_ptr<net::Stream> stream);
     void make_room();
-    std::pair<std::optional<decide::Leaver>, Id> next_to_leave() const;
+    std::pair<std::optional<decide::EvictionCandidate>, Id> next_to_leave() const;
     bool at_rest_now(Id id);
     bool close_one();  // false: nobody may be closed yet, and newcomers wait
     // Closed gracefully, where what is read at the last moment leaves it at rest.
@@ -78,8 +78,8 @@
     void sweep();
 
     net::Loop& loop_;
-    decide::NodeBounds bounds_;
-    decide::ClientTimes times_;
+    decide::ResourceLimits bounds_;
+    decide::ClientTimeouts times_;
     Events events_;
     std::unique_ptr<net::Listener> listener_;
     std::unordered_map<Id, std::unique_ptr<Connection>> connections_;
--- a/src/node/config.cpp
+++ b/src/node/config.cpp
@@ -48,8 +48,8 @@
     return *parsed;
 }
 
-decide::ListedEngine engine_of(const Json& json) {
-    decide::ListedEngine e;
+decide::DiscoveredEndpoint engine_of(const Json& json) {
+    decide::DiscoveredEndpoint e;
     e.name = value<std::string>(json, "instanceId", "text");
     for (char& c : e.name)
         c = lower(c);
@@ -58,14 +58,14 @@
     e.kind = json.value("machineType", "");
     e.cell = json.value("cell", std::int64_t{0});
     e.share = json.value("weight", 1.0);
-    e.started = json.value("startedAtMs", std::int64_t{0}) * kMillisecond;
+    e.started_at = json.value("startedAtMs", std::int64_t{0}) * kMillisecond;
     const auto state = json.value("lifecycle", std::string("active"));
     if (state == "active")
-        e.state = EngineState::on;
+        e.state = EndpointState::ready;
     else if (state == "leaving")
-        e.state = EngineState::fading;
+        e.state = EndpointState::draining;
     else if (state == "left")
-        e.state = EngineState::off;
+        e.state = EndpointState::removed;
     else
         throw Wrong("lifecycle must be active, leaving or left, not " + state);
     return e;
@@ -83,7 +83,7 @@
             std::erase_if(s.known, [&](const auto& k) {
                 return k.name == e.name;
             });
-            if (e.state != EngineState::off)
+            if (e.state != EndpointState::removed)
                 s.known.push_back(std::move(e));
         }
     }
--- a/src/node/config.hpp
+++ b/src/node/config.hpp
@@ -18,13 +18,13 @@
     net::Address listen, dns;
     std::uint64_t seed = 1;
     double cores = 1;
-    std::int64_t memory_mb = 0, sockets = 0;  // the limits of the machine
-    Micros idle_close = 0;                    // engines close connections idle for so long; 0: never
-    Micros connect_time_out = 0;              // a connection not up by then counts as refused
-    int streams = 1;                          // attempts that one connection carries at most
-    std::uint64_t known_number = 0;           // of the name service's last event before the start
-    std::vector<decide::ListedEngine> known;  // the list as it then was
-    Settings module;
+    std::int64_t memory_mb = 0, sockets = 0;        // the limits of the machine
+    Micros idle_close = 0;                          // engines close connections idle for so long; 0: never
+    Micros connect_time_out = 0;                    // a connection not up by then counts as refused
+    int streams = 1;                                // attempts that one connection carries at most
+    std::uint64_t known_number = 0;                 // of the name service's last event before the start
+    std::vector<decide::DiscoveredEndpoint> known;  // the list as it then was
+    PolicySettings module;
     std::string settings_text;  // as they stood in the file, to see whether another file changes them
 };
 
--- a/src/node/engine_link.cpp
+++ b/src/node/engine_link.cpp
@@ -9,10 +9,10 @@
 namespace gatetiller::node {
 namespace {
 
-using decide::ExchangeEnd;
-using decide::Handed;
-using decide::LinkEnd;
-using How = ExchangeEnd::How;
+using decide::ConnectionEnd;
+using decide::ExchangeResult;
+using decide::WriteProgress;
+using Status = ExchangeResult::Status;
 
 // A request that has waited longer than this to go out is written anew, with the time that is then left.
 constexpr Micros kFresh = 10 * kMillisecond;
@@ -26,8 +26,8 @@
 
 const resp::Limits kAnswer{4, 8 * 1024};
 
-std::optional<Report> report_of(std::string_view gauges) {
-    Report report;
+std::optional<LoadReport> report_of(std::string_view gauges) {
+    LoadReport report;
     bool any = false;
     for (const auto part : split(gauges, ';')) {
         const std::size_t colon = part.find(':');
@@ -92,17 +92,17 @@
             case net::Closed::refused:
             case net::Closed::too_late:
                 ++link.pool_.refused;
-                return end_all(LinkEnd::never_up, true, "no connection");
+                return end_all(ConnectionEnd::never_established, true, "no connection");
             case net::Closed::local:
                 ++link.pool_.lacked;
-                return end_all(LinkEnd::lacked_locally, true,
+                return end_all(ConnectionEnd::local_resource_exhausted, true,
                                "this machine lacks something for a connection");
             case net::Closed::by_peer:
             case net::Closed::reset:
                 break;
         }
         ++link.pool_.broken;
-        end_all(LinkEnd::broken, true, "the connection ended");
+        end_all(ConnectionEnd::broken, true, "the connection ended");
     }
     // Requests that waited, as far as they may go out now: each must bear the time that is left to it.
     void on_sending(std::size_t most) override {
@@ -159,8 +159,8 @@
             const auto found = open.find(id);
             if (found == open.end() || found->second->asked_ != 0)
                 return;
-            ExchangeEnd end;
-            end.how = How::unsent, end.why = "it waited until it might not begin any more";
+            ExchangeResult end;
+            end.status = Status::not_sent, end.detail = "it waited until it might not begin any more";
             finish(*found->second, std::move(end));
         });
     }
@@ -181,7 +181,7 @@
         stream->drop_unsent();
         link.loop_.after(0, [this, here = std::weak_ptr<char>(alive), why] {
             if (!here.expired())
-                end_all(LinkEnd::broken, true, why);
+                end_all(ConnectionEnd::broken, true, why);
         });
     }
 
@@ -190,16 +190,16 @@
               const std::string& body) {
         if (word == "PONG")
             return true;
-        decide::AnswerFields fields;
-        if (!fields.read(text))
+        decide::ResponseFields fields;
+        if (!fields.parse(text))
             return spoil("fields that can't be read"), false;
         const auto found = open.find(id);
         if (found == open.end())
             return ++link.pool_.unasked, true;
         Exchange& e = *found->second;
         e.heard_ = true;
-        ExchangeEnd end;
-        end.report = report_of(fields.find("gauges"));
+        ExchangeResult end;
+        end.load_report = report_of(fields.find("gauges"));
         if (word == "INFO") {
             const auto value = to_number<double>(fields.find("amount"));
             const auto note = fields.find("res");
@@ -207,53 +207,55 @@
                 return true;  // no note in it
             const std::weak_ptr<char> here = alive;
             if (note == "so_far")
-                e.events_.on_note(NoteTopic::progress, *value);
+                e.events_.on_note(ProgressKind::fraction_done, *value);
             else if (note == "lacking")
-                e.events_.on_note(NoteTopic::spills, *value);
+                e.events_.on_note(ProgressKind::spilling, *value);
             else if (note == "waiting")
-                e.events_.on_note(NoteTopic::waits, *value);
+                e.events_.on_note(ProgressKind::waiting, *value);
             return !here.expired();
         }
         if (word == "HIT") {
-            if (e.pages_.begun())
+            if (e.pages_.started())
                 return ++link.pool_.unasked, true;
             const auto pages = to_number<std::size_t>(fields.find("chunks"));
-            if (!e.pages_.begin(pages.value_or(1), body))
+            if (!e.pages_.start(pages.value_or(1), body))
                 return spoil("a page that can't be read"), false;
             e.served_.work_ms = to_number<double>(fields.find("spent")).value_or(0);
             e.served_.needed_mb = to_number<double>(fields.find("wanted")).value_or(0);
-            e.served_.report = end.report;
+            e.served_.load_report = end.load_report;
             for (std::size_t n = 1; n < e.pages_.pages(); ++n)
                 say(resp::array({"page", id, std::to_string(n)}));
         } else if (word == "PART") {
-            switch (e.pages_.take(to_number<std::size_t>(fields.find("at")).value_or(0), body)) {
-                case decide::ResultPages::Took::page:
+            switch (e.pages_.add(to_number<std::size_t>(fields.find("at")).value_or(0), body)) {
+                case decide::ResultPages::PageVerdict::accepted:
                     break;
-                case decide::ResultPages::Took::not_asked:
+                case decide::ResultPages::PageVerdict::not_requested:
                     return ++link.pool_.unasked, true;
-                case decide::ResultPages::Took::spoilt:
+                case decide::ResultPages::PageVerdict::malformed:
                     return spoil("a page that can't be read"), false;
             }
         } else if (word == "SHED" || word == "LATE" || word == "FAULT") {
-            if (word != "FAULT" && e.pages_.begun())
+            if (word != "FAULT" && e.pages_.started())
                 return spoil("an end after a result"), false;
-            end.how = word == "SHED" ? How::shed : word == "LATE" ? How::late : How::fault;
-            end.why = body.substr(0, 80);
+            end.status = word == "SHED"   ? Status::rejected
+                         : word == "LATE" ? Status::deadline_passed
+                                          : Status::failed;
+            end.detail = body.substr(0, 80);
             return finish(e, std::move(end));
         } else {
             return spoil("an answer of an unknown kind"), false;
         }
-        if (!e.pages_.whole())
+        if (!e.pages_.complete())
             return true;
-        e.served_.how = How::served;
-        e.served_.rows = e.pages_.rows();
+        e.served_.status = Status::completed;
+        e.served_.rows = e.pages_.take_rows();
         return finish(e, std::move(e.served_));
     }
 
-    decide::LinkFacts facts(const std::string& id) const {
+    decide::ConnectionSnapshot facts(const std::string& id) const {
         return {open.size(), ids.size(), ids.contains(id), retired, used};
     }
-    bool finish(Exchange& e, ExchangeEnd end) {
+    bool finish(Exchange& e, ExchangeResult end) {
         release(e);
         const std::weak_ptr<char> here = alive;
         e.events_.on_end(std::move(end));
@@ -306,20 +308,20 @@
     }
     void spoil(const char* why) {
         ++link.pool_.spoilt;
-        end_all(LinkEnd::broken, false, why);
+        end_all(ConnectionEnd::broken, false, why);
     }
     // `over`: the stream has ended, and nothing more of it goes out. Else what was begun may still go out
     // whole when it is closed.
-    void end_all(LinkEnd link_end, bool stream_over, const char* why) {
+    void end_all(ConnectionEnd link_end, bool stream_over, const char* why) {
         if (link.pool_.trace)
             trace(std::string("ends: ") + why);
-        std::vector<std::pair<Events*, How>> told;
+        std::vector<std::pair<Events*, Status>> told;
         for (const auto& [id, e] : std::exchange(open, {})) {
-            const auto handed = stream->take_back(e->asked_) ? Handed::nothing
+            const auto handed = stream->take_back(e->asked_) ? WriteProgress::none
                                 : stream_over && stream->written(e->asked_) != net::Written::whole
-                                    ? Handed::part
-                                    : Handed::whole;
-            told.emplace_back(&e->events_, decide::proved_by_end(link_end, handed));
+                                    ? WriteProgress::partial
+                                    : WriteProgress::complete;
+            told.emplace_back(&e->events_, decide::classify_connection_end(link_end, handed));
             e->on_ = nullptr;
         }
         unsent.clear();
@@ -328,8 +330,8 @@
         stream.reset();
         link.over(*this);  // `this` is no more: only what was copied counts from here
         for (const auto& [events, how] : told) {
-            ExchangeEnd end;
-            end.how = how, end.why = why;
+            ExchangeResult end;
+            end.status = how, end.detail = why;
             events->on_end(std::move(end));
         }
     }
@@ -382,7 +384,7 @@
 Exchange::~Exchange() {
     if (!on_ || withhold())
         return;
-    on_->say(resp::array({pages_.begun() ? "forget" : "undo", id_}));
+    on_->say(resp::array({pages_.started() ? "forget" : "undo", id_}));
     on_->give_up(*this);
 }
 
@@ -399,11 +401,11 @@
 }
 
 void Exchange::priority(int level) {
-    if (on_ && !pages_.begun())
+    if (on_ && !pages_.started())
         changes_.push_back(on_->say(resp::array({"bump", id_, std::to_string(level)})));
 }
 
-EngineLink::EngineLink(net::Loop& loop, net::Address address, decide::LinkLimits limits, LinkPool& pool)
+EngineLink::EngineLink(net::Loop& loop, net::Address address, decide::ConnectionLimits limits, LinkPool& pool)
     : loop_(loop), address_(std::move(address)), limits_(limits), pool_(pool) {}
 
 EngineLink::~EngineLink() {
@@ -414,7 +416,7 @@
 
 void EngineLink::end_all(const char* why) {
     while (!connections_.empty())
-        connections_.front()->end_all(LinkEnd::broken, false, why);
+        connections_.front()->end_all(ConnectionEnd::broken, false, why);
 }
 
 void EngineLink::end_unacknowledged(const char* why) {
@@ -431,7 +433,7 @@
             return kept.get() == c;
         });
         if (still)
-            c->end_all(LinkEnd::broken, false, why);
+            c->end_all(ConnectionEnd::broken, false, why);
     }
 }
 
@@ -443,20 +445,20 @@
 }
 
 Exchange::Connection* EngineLink::choose(const std::string& id) {
-    std::vector<decide::LinkFacts> facts;
+    std::vector<decide::ConnectionSnapshot> facts;
     facts.reserve(connections_.size());
     for (const auto& c : connections_)
         facts.push_back(c->facts(id));
-    const auto choice = decide::connection_for(facts, loop_.now(), limits_);
-    auto* const use = choice.use ? connections_[*choice.use].get() : nullptr;
+    const auto choice = decide::choose_connection(facts, loop_.now(), limits_);
+    auto* const use = choice.reuse ? connections_[*choice.reuse].get() : nullptr;
     const auto room = [&] {
         return pool_.open < pool_.most || (pool_.make_room && pool_.make_room());
     };
-    if (use && !(choice.new_if_room && room()))
+    if (use && !(choice.open_if_capacity && room()))
         return use;
     connections_.push_back(std::make_unique<Exchange::Connection>(*this));
     auto& fresh = *connections_.back();
-    fresh.stream = loop_.connect(address_, fresh, limits_.connect_time_out);
+    fresh.stream = loop_.connect(address_, fresh, limits_.connect_timeout);
     return &fresh;
 }
 
@@ -486,7 +488,7 @@
 
 void EngineLink::close_idle() {
     std::erase_if(connections_, [&](const auto& c) {
-        return decide::stale(c->facts(""), loop_.now(), limits_);
+        return decide::near_idle_timeout(c->facts(""), loop_.now(), limits_);
     });
 }
 
--- a/src/node/engine_link.hpp
+++ b/src/node/engine_link.hpp
@@ -37,9 +37,9 @@
 public:
     struct Events {
         virtual ~Events() = default;
-        virtual void on_note(NoteTopic topic, double value) = 0;
+        virtual void on_note(ProgressKind topic, double value) = 0;
         virtual void on_end(
-            decide::ExchangeEnd end) = 0;  // the last call; the exchange may be destroyed in it
+            decide::ExchangeResult end) = 0;  // the last call; the exchange may be destroyed in it
         // The request as it stands now, with the time that is left; nothing where there is none. Asked again
         // for one that has waited.
         struct Request {
@@ -83,12 +83,12 @@
     Micros written_at_ = 0;             // when the request was written down; its deadline counts from then
     std::vector<net::SendId> changes_;  // of its priority, likewise
     decide::ResultPages pages_;
-    decide::ExchangeEnd served_;  // as its first answer told; good once every page is there
+    decide::ExchangeResult served_;  // as its first answer told; good once every page is there
 };
 
 class EngineLink {
 public:
-    EngineLink(net::Loop& loop, net::Address address, decide::LinkLimits limits, LinkPool& pool);
+    EngineLink(net::Loop& loop, net::Address address, decide::ConnectionLimits limits, LinkPool& pool);
     ~EngineLink();                  // gives up what is open without a word to its owners
     void end_all(const char* why);  // ends what is open, each with what that proves
     // The same, of the connections on which the kernel holds bytes that the engine has not acknowledged.
@@ -113,7 +113,7 @@
 
     net::Loop& loop_;
     net::Address address_;
-    decide::LinkLimits limits_;
+    decide::ConnectionLimits limits_;
     LinkPool& pool_;
     std::vector<std::unique_ptr<Exchange::Connection>> connections_;
 };
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -12,8 +12,8 @@
 namespace gatetiller::node {
 namespace {
 
-using decide::Happening;
-using How = decide::ExchangeEnd::How;
+using decide::RequestEvent;
+using How = decide::ExchangeResult::Status;
 
 constexpr const char* kService = "_work._tcp.fleet.local";
 constexpr Micros kAnswerReserve = 5 * kMillisecond;  // for an answer's way to its client
@@ -36,38 +36,38 @@
 
 // Within which a repeat may go out, so that it arrives while the engines still know its key.
 Micros repeat_window(const ClassSettings& c) {
-    return std::max<Micros>(0, c.window - kRepeatWay);
+    return std::max<Micros>(0, c.key_window - kRepeatWay);
 }
 
 // What the module is told of the settings: windows of repeats that leave time for a repeat's way to its
 // engine, as it must arrive within them; the rest as it is, but for faults planted by the soak.
-Settings module_settings(Settings s) {
+PolicySettings module_settings(PolicySettings s) {
     for (ClassSettings& c : s.classes)
-        c.window = repeat_window(c);
+        c.key_window = repeat_window(c);
     if (planted("send_over_attempt_cap"))
-        s.attempts_cap += 20;
+        s.max_attempts += 20;
     if (planted("cold_engine_taken_for_warm"))
-        s.warm_up = 0;
+        s.slow_start_window = 0;
     for (ClassSettings& c : s.classes) {
-        if (planted("repeat_of_once") && c.effect == Effect::once)
-            c.effect = Effect::repeatable;
+        if (planted("repeat_of_once") && c.idempotency == Idempotency::non_idempotent)
+            c.idempotency = Idempotency::idempotent;
         if (planted("repeat_past_key_window"))
-            c.window = 3600 * kSecondMicros;
+            c.key_window = 3600 * kSecondMicros;
         if (planted("repeat_outside_key_scope"))
-            c.key_scope = Scope::all;
+            c.key_scope = KeyScope::all;
         if (planted("send_against_placement"))
-            c.azs_open.reset();
+            c.allowed_zones.reset();
     }
     return s;
 }
 
-const char* reason_text(EndReason reason) {
+const char* reason_text(GiveUpReason reason) {
     switch (reason) {
-        case EndReason::out_of_time:
+        case GiveUpReason::deadline_unreachable:
             return "out_of_time";
-        case EndReason::worthless:
+        case GiveUpReason::objective_missed:
             return "worthless";
-        case EndReason::no_tries_left:
+        case GiveUpReason::attempts_exhausted:
             return "no_tries_left";
     }
     return "unknown";
@@ -81,8 +81,8 @@
     ~Attempt() override {
         node.loop_.cancel(timer), node.loop_.cancel(window);
     }
-    void on_note(NoteTopic topic, double value) override;
-    void on_end(decide::ExchangeEnd end) override {
+    void on_note(ProgressKind topic, double value) override;
+    void on_end(decide::ExchangeResult end) override {
         node.on_end(*this, std::move(end));
     }
     std::optional<Request> request() override;
@@ -114,26 +114,26 @@
     std::optional<Micros> ran_since;  // when the first attempt that may have run was sent; of those over
     std::string ran_zone;             // of its engine, as is ran_cell
     std::int64_t ran_cell = 0;
-    decide::Life life;
+    decide::RequestLifecycle life;
     bool client_left = false;
 
     Attempt* out() {
-        return life.out() ? attempts.back().get() : nullptr;
+        return life.attempt_in_flight() ? attempts.back().get() : nullptr;
     }
 };
 
-void Node::Attempt::on_note(NoteTopic topic, double value) {
+void Node::Attempt::on_note(ProgressKind topic, double value) {
     if (over)
         return;
     ++notes, noted = node.loop_.now();
-    node.driver_.post(Note{running.id, number, engine, topic, value});
+    node.driver_.post(AttemptProgress{running.id, number, engine, topic, value});
 }
 
 Node::Node(net::Loop& loop, NodeSettings settings, NodeDeps deps)
     : loop_(loop),
       settings_(std::move(settings)),
       deps_(std::move(deps)),
-      bounds_(decide::bounds_of(settings_.sockets, settings_.memory_mb)),
+      bounds_(decide::derive_limits(settings_.sockets, settings_.memory_mb)),
       driver_(loop, settings_.seed, module_settings(settings_.module),
               [this](const Action& a) {
                   carry_out(a);
@@ -146,11 +146,12 @@
                     given_up(c, seq);
                 },
                 [this](Clients::Id c, const std::string& peer, decide::CloseReason reason,
-                       const decide::ClosingFacts& facts) {
+                       const decide::ClosingContext& facts) {
                     if (deps_.trace)
                         deps_.trace("client " + std::to_string(c) + " " + peer + " closed: " +
-                                    decide::name_of(reason) + " open=" + std::to_string(facts.open) +
-                                    (facts.unsent ? " unsent" : "") + (facts.unread ? " unread" : ""));
+                                    decide::name_of(reason) + " open=" + std::to_string(facts.open_requests) +
+                                    (facts.has_unsent ? " unsent" : "") +
+                                    (facts.has_unread ? " unread" : ""));
                 },
                 [this](decide::Invariant i, Clients::Id c) {
                     count(i, "client " + std::to_string(c));
@@ -175,8 +176,8 @@
             }}),
       guard_(settings_.module),
       wall_offset_(loop.wall() - loop.now()),
-      restart_(decide::restart_times(settings_.module)) {
-    pool_.most = bounds_.engines;
+      restart_(decide::derive_shutdown_schedule(settings_.module)) {
+    pool_.most = bounds_.engine_connections;
     pool_.trace = deps_.trace;
     pool_.make_room = [this] {
         return std::any_of(engines_.begin(), engines_.end(), [](const auto& e) {
@@ -210,8 +211,9 @@
         return std::to_string(span / kMillisecond);
     };
     for (const auto& c : settings_.module.classes)
-        classes += " " + c.name + "(aim " + ms(c.aim) + " ms, deadline " + ms(c.deadline) + " ms)";
-    deps_.log("classes" + classes + "; notes every " + ms(settings_.module.note_period) + " ms");
+        classes +=
+            " " + c.name + "(aim " + ms(c.latency_objective) + " ms, deadline " + ms(c.deadline) + " ms)";
+    deps_.log("classes" + classes + "; notes every " + ms(settings_.module.progress_period) + " ms");
     deps_.log(bounds_text());
     tick_timer_ = loop_.after(kTick, [this] {
         tick();
@@ -221,9 +223,9 @@
 
 std::string Node::bounds_text() const {
     return std::to_string(settings_.memory_mb) + " MB, " + std::to_string(settings_.sockets) +
-           " descriptors: " + std::to_string(bounds_.clients) + " for clients, " +
-           std::to_string(bounds_.engines) + " for engines; at most " + std::to_string(bounds_.requests) +
-           " requests";
+           " descriptors: " + std::to_string(bounds_.client_connections) + " for clients, " +
+           std::to_string(bounds_.engine_connections) + " for engines; at most " +
+           std::to_string(bounds_.requests) + " requests";
 }
 
 void Node::reload(const NodeSettings& s) {
@@ -235,9 +237,9 @@
         take_change(list_.take(s.known_number, s.known, loop_.now(), wall_now()));
     if (s.sockets != settings_.sockets || s.memory_mb != settings_.memory_mb) {
         settings_.sockets = s.sockets, settings_.memory_mb = s.memory_mb;
-        bounds_ = decide::bounds_of(s.sockets, s.memory_mb);
+        bounds_ = decide::derive_limits(s.sockets, s.memory_mb);
         clients_.bound(bounds_);
-        pool_.most = bounds_.engines;
+        pool_.most = bounds_.engine_connections;
         deps_.log(bounds_text());
     }
     if (s.settings_text != settings_.settings_text || s.listen != settings_.listen ||
@@ -248,29 +250,30 @@
 // ---- The list of engines
 
 void Node::heard_list(const roster::DnsSource::Heard& heard) {
-    const auto held = list_.number();
+    const auto held = list_.serial();
     if (deps_.trace)
         deps_.trace("name service: list " + std::to_string(heard.number) + " of " +
                     std::to_string(heard.engines.size()) + " engines asked " +
                     std::to_string((loop_.now() - heard.asked) / kMillisecond) +
                     " ms ago, held: " + list_text());
     auto change = list_.take(heard.number, heard.engines, loop_.now(), wall_now(), heard.asked);
-    if (heard.number < held && list_.number() == heard.number)
+    if (heard.number < held && list_.serial() == heard.number)
         deps_.log("the name service's numbering has started anew: list " + std::to_string(held) +
                   " was held, " + std::to_string(heard.number) + " is now");
     take_change(std::move(change));
 }
 
-void Node::take_change(std::optional<ListChange> change) {
+void Node::take_change(std::optional<EndpointUpdate> change) {
     if (!change)
         return;
-    decide::LinkLimits limits;
-    limits.connections = std::max<std::size_t>(1, bounds_.engines / 2);  // the pool bounds them all together
-    limits.streams = static_cast<std::size_t>(settings_.streams);
-    limits.connect_time_out = settings_.connect_time_out;
-    limits.idle_close = settings_.idle_close;
+    decide::ConnectionLimits limits;
+    limits.max_connections =
+        std::max<std::size_t>(1, bounds_.engine_connections / 2);  // the pool bounds them all together
+    limits.max_streams = static_cast<std::size_t>(settings_.streams);
+    limits.connect_timeout = settings_.connect_time_out;
+    limits.idle_timeout = settings_.idle_close;
     std::vector<std::unique_ptr<EngineLink>> moved;
-    for (const auto& [id, listed] : list_.engines()) {
+    for (const auto& [id, listed] : list_.endpoints()) {
         Engine& e = engines_[id];
         if (e.link && e.address == listed.address)
             continue;
@@ -283,11 +286,11 @@
         e.link = std::make_unique<EngineLink>(loop_, *at, limits, pool_);
     }
     for (auto& [id, e] : engines_)
-        e.listed = list_.engines().contains(id);
+        e.listed = list_.endpoints().contains(id);
     note_change(*change);
     if (planted("send_past_drain_grace"))
-        for (EngineEntry& entry : change->engines)
-            entry.state = EngineState::on;
+        for (Endpoint& entry : change->endpoints)
+            entry.state = EndpointState::ready;
     driver_.post(std::move(*change));
     // After the module knows: what ends here is tried again by the new list.
     for (const auto& link : moved)
@@ -296,7 +299,7 @@
     std::vector<Attempt*> waiting;
     for (const auto& [id, r] : running_) {
         Attempt* const out = r->out();
-        if (out && list_.state(out->engine) != EngineState::on)
+        if (out && list_.state(out->engine) != EndpointState::ready)
             waiting.push_back(out);
     }
     for (Attempt* a : waiting)
@@ -338,27 +341,28 @@
     return loop_.now() + wall_offset_;
 }
 
-void Node::note_change(const ListChange& change) {
-    const bool each = change.form == ListForm::incr && change.engines.size() <= kEnginesShown;
+void Node::note_change(const EndpointUpdate& change) {
+    const bool each =
+        change.kind == EndpointUpdateKind::incremental && change.endpoints.size() <= kEnginesShown;
     if (!each)
-        deps_.log("list " + std::to_string(list_.number()) + ": " + std::to_string(change.engines.size()) +
+        deps_.log("list " + std::to_string(list_.serial()) + ": " + std::to_string(change.endpoints.size()) +
                   " engines");
-    for (const EngineEntry& entry : change.engines) {
+    for (const Endpoint& entry : change.endpoints) {
         Engine& e = engines_[entry.id];
-        e.kind = entry.kind, e.zone = entry.zone, e.cell = entry.cell, e.came_up = entry.came_up;
-        const bool drains = entry.state != EngineState::on;
+        e.kind = entry.kind, e.zone = entry.zone, e.cell = entry.cell, e.came_up = entry.started_at;
+        const bool drains = entry.state != EndpointState::ready;
         if (!drains)
             e.draining_since = 0;
         else if (e.draining_since == 0)
             e.draining_since = loop_.now(), e.to_discard = true;
-        const char* const state = entry.state == EngineState::on       ? " is on"
-                                  : entry.state == EngineState::fading ? " drains"
-                                                                       : " is gone";
+        const char* const state = entry.state == EndpointState::ready      ? " is on"
+                                  : entry.state == EndpointState::draining ? " drains"
+                                                                           : " is gone";
         if (!each)
             continue;
-        const Micros up_for = (loop_.now() - entry.came_up) / kMillisecond;
+        const Micros up_for = (loop_.now() - entry.started_at) / kMillisecond;
         deps_.log("engine " + e.name + state +
-                  (entry.came_up > 0 ? ", up for " + std::to_string(up_for) + " ms" : ""));
+                  (entry.started_at > 0 ? ", up for " + std::to_string(up_for) + " ms" : ""));
     }
 }
 
@@ -381,31 +385,37 @@
         return turned_away("malformed", thrift::exception("process", call.seq, thrift::Fault::invalid_type,
                                                           checked.error()));
     }
-    const Micros pause = settings_.module.retry_hints ? settings_.module.max_retry_after : 0;
-    const decide::NodeHolding holding{running_.size(), statement_bytes_, running_.contains(checked->id),
-                                      draining_since_ > 0 ? loop_.now() - draining_since_ : 0};
+    const Micros pause = settings_.module.sends_retry_after ? settings_.module.max_retry_after : 0;
+    const decide::NodeLoad holding{running_.size(), statement_bytes_, running_.contains(checked->id),
+                                   draining_since_ > 0 ? loop_.now() - draining_since_ : 0};
     switch (decide::admit(holding, call.body.size(), bounds_, restart_)) {
-        case decide::NodeAdmission::taken:
+        case decide::NodeAdmission::admitted:
             break;
-        case decide::NodeAdmission::twice:
+        case decide::NodeAdmission::duplicate:
             return turned_away("twice", refusal(call.seq, pause));
-        case decide::NodeAdmission::no_room:
+        case decide::NodeAdmission::at_capacity:
             return turned_away("no_room", refusal(call.seq, pause));
-        case decide::NodeAdmission::ending:
+        case decide::NodeAdmission::shutting_down:
             return turned_away("ending", refusal(call.seq, 0));
     }
-    const Micros left = decide::time_left(checked->patience, unseen, kAnswerReserve);
+    const Micros left = decide::client_time_left(checked->client_timeout, unseen, kAnswerReserve);
     auto r = std::make_unique<Running>();
-    r->id = checked->id, r->token = checked->token, r->body = std::move(call.body);
+    r->id = checked->id, r->token = checked->idempotency_key, r->body = std::move(call.body);
     r->cls = checked->cls, r->tenant = checked->tenant;
     r->client = client, r->seq = call.seq;
     r->arrived = loop_.now(), r->deadline = r->arrived + left;
     statement_bytes_ += r->body.size();
-    Demand d{r->id, r->cls->name,  r->tenant,          "",
-             left,  checked->cost, checked->memory_mb, decide::table_group(r->body),
-             false};
-    if (checked->cost) {
-        const auto work = static_cast<double>(*checked->cost);
+    RequestArrived d{r->id,
+                     r->cls->name,
+                     r->tenant,
+                     "",
+                     left,
+                     checked->estimated_work,
+                     checked->estimated_memory_mb,
+                     decide::table_group(r->body),
+                     false};
+    if (checked->estimated_work) {
+        const auto work = static_cast<double>(*checked->estimated_work);
         mean_work_ = mean_work_ > 0 ? mean_work_ + kWorkLearnt * (work - mean_work_) : work;
     }
     if (deps_.trace)
@@ -424,22 +434,22 @@
         return;
     Running* r = find(found->second);
     asked_.erase(found);
-    if (!r || !r->life.take(Happening::left))
+    if (!r || !r->life.apply(RequestEvent::client_disconnected))
         return;
     r->client_left = true;
     ++ended_["given_up"];
     if (deps_.trace)
         deps_.trace(r->id + " " + r->cls->name + " given up by client " + std::to_string(client));
-    driver_.post(Gone{r->id});
+    driver_.post(ClientDisconnected{r->id});
     if (planted("send_after_client_left"))
         send_again(*r);
     // Whether or not the module may call it off: nothing begins for a client that has gone.
     if (Attempt* const out = r->out()) {
         withhold(*out);
         if (!out->over && out->exchange && out->exchange->discard_unacknowledged())
-            complete(*out, Outcome::econnreset, r->life.finished());
+            complete(*out, AttemptOutcome::connection_reset, r->life.finished());
     }
-    if (r->life.freeable())
+    if (r->life.releasable())
         free_later(r->id);
 }
 
@@ -449,10 +459,10 @@
 }
 
 // The client's one final answer.
-void Node::finish(Running& r, std::string frame, const char* how, std::optional<EndReason> reason) {
-    if (!r.life.take(Happening::answer))
+void Node::finish(Running& r, std::string frame, const char* how, std::optional<GiveUpReason> reason) {
+    if (!r.life.apply(RequestEvent::response_ready))
         return;
-    r.life.take(Happening::final_given);
+    r.life.apply(RequestEvent::response_delivered);
     ++ended_[how];
     if (reason)
         ++ended_[std::string(how) + ":" + reason_text(*reason)];
@@ -469,16 +479,16 @@
         clients_.reply(r.client, r.seq, std::move(frame));
     if (planted("send_after_final"))
         send_again(r);
-    if (r.life.freeable())
+    if (r.life.releasable())
         free_later(r.id);
 }
 
 void Node::send_again(const Running& r) {
     if (!r.attempts.empty())
-        send(Send{r.id, r.attempts.front()->engine, kSecondMicros});
+        send(DispatchAttempt{r.id, r.attempts.front()->engine, kSecondMicros});
 }
 
-void Node::refuse(Running& r, Micros come_back, const char* how, std::optional<EndReason> reason) {
+void Node::refuse(Running& r, Micros come_back, const char* how, std::optional<GiveUpReason> reason) {
     finish(r, refusal(r.seq, come_back), how, reason);
 }
 
@@ -502,44 +512,46 @@
 // ---- Actions of the module
 
 void Node::carry_out(const Action& action) {
-    std::visit(Overloaded{[&](const Send& a) {
-                              send(a);
-                          },
-                          [&](const Terms& a) {
-                              Running* r = find(a.id);
-                              if (!r)
-                                  return;
-                              r->grant_mb = a.grant_mb;
-                              const bool changed = std::exchange(r->priority, a.priority) != a.priority;
-                              if (Attempt* out = r->out(); out && out->exchange && changed)
-                                  out->exchange->priority(a.priority);
-                          },
-                          [&](const Refuse& a) {
-                              if (Running* r = find(a.id))
-                                  refuse(*r, a.come_back, "refused", a.reason);
-                          },
-                          [&](const Fail& a) {
-                              if (Running* r = find(a.id))
-                                  finish(*r, thrift::crashed(r->seq, {}), "failed", a.reason);
-                          },
-                          [&](const Cancel& a) {
-                              Running* r = find(a.id);
-                              if (!r || a.attempt < 0 || a.attempt >= static_cast<int>(r->attempts.size()))
-                                  return;
-                              Attempt& attempt = *r->attempts[static_cast<std::size_t>(a.attempt)];
-                              complete(attempt, Outcome::ecanceled, r->life.finished());
-                          },
-                          [&](const Probe& a) {
-                              // Engines here tell their load with answers alone: nothing to ask them.
-                              driver_.post(Probed{a.engine, 0, Outcome::skipped, std::nullopt});
-                          },
-                          [&](const Tell&) {},       // no peers here: the settings never allow it
-                          [&](const Observe&) {},    // the name service is asked all the time
-                          [&](const SetTimer&) {}},  // the driver keeps the timers
-               action);
-}
-
-void Node::send(const Send& action) {
+    std::visit(
+        Overloaded{
+            [&](const DispatchAttempt& a) {
+                send(a);
+            },
+            [&](const ResourceGrant& a) {
+                Running* r = find(a.id);
+                if (!r)
+                    return;
+                r->grant_mb = a.memory_mb;
+                const bool changed = std::exchange(r->priority, a.priority) != a.priority;
+                if (Attempt* out = r->out(); out && out->exchange && changed)
+                    out->exchange->priority(a.priority);
+            },
+            [&](const ShedRequest& a) {
+                if (Running* r = find(a.id))
+                    refuse(*r, a.retry_after, "refused", a.reason);
+            },
+            [&](const FailRequest& a) {
+                if (Running* r = find(a.id))
+                    finish(*r, thrift::crashed(r->seq, {}), "failed", a.reason);
+            },
+            [&](const CancelAttempt& a) {
+                Running* r = find(a.id);
+                if (!r || a.attempt < 0 || a.attempt >= static_cast<int>(r->attempts.size()))
+                    return;
+                Attempt& attempt = *r->attempts[static_cast<std::size_t>(a.attempt)];
+                complete(attempt, AttemptOutcome::cancelled, r->life.finished());
+            },
+            [&](const CheckHealth& a) {
+                // Engines here tell their load with answers alone: nothing to ask them.
+                driver_.post(HealthCheckCompleted{a.engine, 0, AttemptOutcome::not_sent, std::nullopt});
+            },
+            [&](const BroadcastToPeers&) {},  // no peers here: the settings never allow it
+            [&](const WatchEndpoints&) {},    // the name service is asked all the time
+            [&](const StartTimer&) {}},       // the driver keeps the timers
+        action);
+}
+
+void Node::send(const DispatchAttempt& action) {
     Running* r = find(action.id);
     if (!r)
         return;
@@ -547,7 +559,7 @@
         std::make_unique<Attempt>(*this, *r, static_cast<int>(r->attempts.size()), action.engine));
     Attempt& a = *r->attempts.back();
     const Micros until = r->deadline - a.sent;
-    const Micros limit = action.time_out > 0 ? std::min(action.time_out, until) : until;
+    const Micros limit = action.timeout > 0 ? std::min(action.timeout, until) : until;
     a.until = a.sent + limit;
     const auto found =
         planted("send_to_unlisted_engine") && a.number > 0 ? engines_.end() : engines_.find(action.engine);
@@ -559,31 +571,31 @@
     if (found != engines_.end())
         ++found->second.out;
     if (!permit) {
-        count(*guard_.forbids(facts, *r->cls, cold), text_of(a));
-        return complete(a, Outcome::skipped, r->life.finished());
+        count(*guard_.find_violation(facts, *r->cls, cold), text_of(a));
+        return complete(a, AttemptOutcome::not_sent, r->life.finished());
     }
-    a.out = r->life.take(Happening::sent);
+    a.out = r->life.apply(RequestEvent::attempt_started);
     if (!found->second.link)
-        return complete(a, Outcome::econnrefused, false);
+        return complete(a, AttemptOutcome::connection_refused, false);
     a.timer = loop_.after(limit, [this, &a] {
         a.timer = 0;
-        complete(a, Outcome::etimedout, a.running.life.finished());
+        complete(a, AttemptOutcome::timed_out, a.running.life.finished());
     });
     // A repeat must arrive while the engines still know the key, not only be sent by then.
-    if (r->cls->effect == Effect::by_key && r->ran_since)
+    if (r->cls->idempotency == Idempotency::keyed && r->ran_since)
         a.window = loop_.after(*r->ran_since + repeat_window(*r->cls) - a.sent, [this, &a] {
             a.window = 0;
             withhold(a);
         });
     const int times = planted("send_over_cold_budget") ? 400 : 1;
-    if (facts.target.cold)
+    if (facts.target.in_slow_start)
         found->second.sent.insert(found->second.sent.end(), static_cast<std::size_t>(times), a.sent);
     if (deps_.trace)
         deps_.trace(text_of(a) + " sent limit_ms=" + std::to_string(limit / kMillisecond) + " " +
                     list_text());
     a.exchange = found->second.link->ask(*permit, r->id, a);
     if (!a.exchange)
-        return complete(a, Outcome::skipped, r->life.finished());
+        return complete(a, AttemptOutcome::not_sent, r->life.finished());
     if (planted("send_while_attempt_out") && a.number == 0)
         send(action);
 }
@@ -599,27 +611,28 @@
         "kind=" + r.cls->name + ",ms=" + std::to_string(std::max<Micros>(1, left / kMillisecond));
     if (!r.token.empty())
         fields += ",token=" + r.token;
-    const Settings& module = node.settings_.module;
-    if (module.grants && r.grant_mb > 0)
+    const PolicySettings& module = node.settings_.module;
+    if (module.supports_memory_grants && r.grant_mb > 0)
         fields += ",reserve=" + std::to_string(static_cast<std::int64_t>(std::ceil(r.grant_mb)));
-    if (module.priorities)
+    if (module.supports_priorities)
         fields += ",level=" + std::to_string(r.priority);
     return Request{std::move(fields), r.body};
 }
 
 // The list, its number and for how long it has not been confirmed: what an attempt's engine was chosen by.
 std::string Node::list_text() const {
-    return "list=" + std::to_string(list_.number()) +
-           " list_age_ms=" + std::to_string((loop_.now() - list_.heard()) / kMillisecond);
+    return "list=" + std::to_string(list_.serial()) +
+           " list_age_ms=" + std::to_string((loop_.now() - list_.confirmed_at()) / kMillisecond);
 }
 
 // By what holds at this moment and not when the attempt was decided: a connection that came up late, or a
 // stall of this process, lies between the two.
 bool Node::Attempt::may_begin(std::uint64_t connection) {
     auto facts = node.facts_of(*this);
-    facts.attempt_out = false;  // it is the one that is out
-    const bool drained = node.list_.state(engine) != EngineState::on && !planted("send_past_drain_grace");
-    const auto forbidden = node.guard_.forbids(facts, *running.cls, std::nullopt);
+    facts.attempt_in_flight = false;  // it is the one that is out
+    const bool drained =
+        node.list_.state(engine) != EndpointState::ready && !planted("send_past_drain_grace");
+    const auto forbidden = node.guard_.find_violation(facts, *running.cls, std::nullopt);
     const bool may =
         !over && !drained && (!forbidden || planted("guard_off") || planted("send_after_client_left"));
     if (node.deps_.trace)
@@ -634,43 +647,45 @@
 
 // ---- What the guard of attempts is told
 
-decide::AttemptFactsNow Node::facts_of(const Attempt& a) const {
+decide::AttemptContext Node::facts_of(const Attempt& a) const {
     const Running& r = a.running;
-    decide::AttemptFactsNow facts;
-    facts.client_left = r.client_left;
-    facts.final_given = r.life.finished() && !r.client_left;
-    facts.attempt_out = r.life.out();
-    facts.left = a.until - loop_.now();
-    facts.attempts = a.number;
+    decide::AttemptContext facts;
+    facts.client_disconnected = r.client_left;
+    facts.final_response_sent = r.life.finished() && !r.client_left;
+    facts.attempt_in_flight = r.life.attempt_in_flight();
+    facts.time_left = a.until - loop_.now();
+    facts.earlier_attempts = a.number;
     if (r.ran_since) {
-        decide::EarlierRun earlier;
-        earlier.sent_before = loop_.now() - *r.ran_since;
+        decide::EarlierExecution earlier;
+        earlier.sent_ago = loop_.now() - *r.ran_since;
         earlier.zone = r.ran_zone, earlier.cell = r.ran_cell;
-        facts.may_have_run = earlier;
+        facts.earlier_execution = earlier;
     }
     if (const auto found = engines_.find(a.engine); found != engines_.end())
         facts.target = target_facts(found->second);
     return facts;
 }
 
-decide::TargetFacts Node::target_facts(const Engine& e) const {
+decide::EndpointSnapshot Node::target_facts(const Engine& e) const {
     const Micros now = loop_.now();
-    const Micros window_begins = now - settings_.module.overload_for;
-    decide::TargetFacts target;
+    const Micros window_begins = now - settings_.module.overload_window;
+    decide::EndpointSnapshot target;
     target.listed = true;
     target.draining_for = e.draining_since > 0 ? now - e.draining_since : 0;
-    target.cold = e.came_up > 0 && now < e.came_up + settings_.module.warm_up;
-    target.cold_sent = static_cast<double>(std::count_if(e.sent.begin(), e.sent.end(), [&](Micros at) {
-        return at > window_begins;
-    }));
+    target.in_slow_start = e.came_up > 0 && now < e.came_up + settings_.module.slow_start_window;
+    target.slow_start_attempts =
+        static_cast<double>(std::count_if(e.sent.begin(), e.sent.end(), [&](Micros at) {
+            return at > window_begins;
+        }));
     target.kind = e.kind, target.zone = e.zone, target.cell = e.cell;
     return target;
 }
 
 std::optional<double> Node::cold_requests(const Engine& e) const {
-    for (const KindSettings& kind : settings_.module.kinds)
+    for (const EngineKindSettings& kind : settings_.module.kinds)
         if (kind.name == e.kind)
-            return decide::cold_share_requests(settings_.module, kind.cores, static_cast<Micros>(mean_work_));
+            return decide::slow_start_share_requests(settings_.module, kind.cores,
+                                                     static_cast<Micros>(mean_work_));
     return std::nullopt;
 }
 
@@ -684,59 +699,59 @@
     deps_.log(std::string("VIOLATION prevented: ") + decide::name_of(invariant) + ": " + what);
 }
 
-void Node::complete(Attempt& a, Outcome outcome, bool finished, decide::ExchangeEnd* end) {
+void Node::complete(Attempt& a, AttemptOutcome outcome, bool finished, decide::ExchangeResult* end) {
     if (std::exchange(a.over, true))
         return;
     loop_.cancel(std::exchange(a.timer, 0)), loop_.cancel(std::exchange(a.window, 0));
     const std::string state = deps_.trace && a.exchange ? a.exchange->state() : "";
     if (a.exchange && a.exchange->take_back())
-        outcome = Outcome::skipped;
+        outcome = AttemptOutcome::not_sent;
     a.exchange.reset();  // gives it up at the engine, where it is not over
     Running& r = a.running;
-    if (!never_ran(outcome) && !r.ran_since) {
+    if (!proves_not_executed(outcome) && !r.ran_since) {
         r.ran_since = a.sent;
         if (const auto found = engines_.find(a.engine); found != engines_.end())
             r.ran_zone = found->second.zone, r.ran_cell = found->second.cell;
     }
     ++attempts_ended_[decide::name_of(outcome)];
     if (a.out)
-        r.life.take(Happening::attempt_over);
+        r.life.apply(RequestEvent::attempt_ended);
     if (const auto found = engines_.find(a.engine); found != engines_.end())
         --found->second.out;
-    Completed c{r.id, a.number, a.engine, outcome, loop_.now() - a.sent, finished, 0, 0, std::nullopt};
+    AttemptCompleted c{r.id, a.number, a.engine, outcome, loop_.now() - a.sent, finished, 0, 0, std::nullopt};
     if (end) {
-        c.report = end->report;
-        if (outcome == Outcome::done && settings_.module.cost_in_answers)
+        c.load_report = end->load_report;
+        if (outcome == AttemptOutcome::succeeded && settings_.module.cost_in_responses)
             c.work_ms = end->work_ms, c.needed_mb = end->needed_mb;
     }
-    if (deps_.trace && outcome != Outcome::done) {
+    if (deps_.trace && outcome != AttemptOutcome::succeeded) {
         deps_.trace(
-            text_of(a) + " " + decide::name_of(outcome) + " ms=" + std::to_string(c.taken / kMillisecond) +
+            text_of(a) + " " + decide::name_of(outcome) + " ms=" + std::to_string(c.duration / kMillisecond) +
             " notes=" + std::to_string(a.notes) +
             (a.notes > 0 ? " last_note_ms=" + std::to_string((a.noted - a.sent) / kMillisecond) : "") +
-            (end ? " " + end->why : "") + (state.empty() ? "" : " " + state));
+            (end ? " " + end->detail : "") + (state.empty() ? "" : " " + state));
     }
     driver_.post(std::move(c));
-    if (r.life.freeable())
+    if (r.life.releasable())
         free_later(r.id);
 }
 
 void Node::recall(Attempt& a) {
     if (!a.over && a.exchange && a.exchange->take_back())
-        complete(a, Outcome::skipped, a.running.life.finished());
+        complete(a, AttemptOutcome::not_sent, a.running.life.finished());
 }
 
 void Node::withhold(Attempt& a) {
     if (!a.over && a.exchange && a.exchange->withhold())
-        complete(a, Outcome::skipped, a.running.life.finished());
+        complete(a, AttemptOutcome::not_sent, a.running.life.finished());
 }
 
-void Node::on_end(Attempt& a, decide::ExchangeEnd end) {
+void Node::on_end(Attempt& a, decide::ExchangeResult end) {
     if (a.over)
         return;
     Running& r = a.running;
-    const Outcome outcome = decide::outcome_of(end.how);
-    if (end.how != How::served || r.life.finished())
+    const AttemptOutcome outcome = decide::outcome_of(end.status);
+    if (end.status != How::completed || r.life.finished())
         return complete(a, outcome, r.life.finished(), &end);
     std::string frame = thrift::answer("process", r.seq, end.rows);
     finish(r, std::move(frame), "served");
@@ -757,7 +772,7 @@
         if (it->second.link)
             it->second.link->close_idle();
         auto& sent = it->second.sent;
-        while (!sent.empty() && sent.front() <= loop_.now() - settings_.module.overload_for)
+        while (!sent.empty() && sent.front() <= loop_.now() - settings_.module.overload_window)
             sent.pop_front();
         ++it;
     }
@@ -769,7 +784,7 @@
 // Told once for each silence. The list held stays in force, however old
 // (docs/incidents/drain-told-and-not-held.md).
 void Node::look_at_list_age() {
-    const bool old = loop_.now() - list_.heard() > kListOld;
+    const bool old = loop_.now() - list_.confirmed_at() > kListOld;
     if (old == std::exchange(list_is_old_, old))
         return;
     deps_.log(
@@ -841,15 +856,15 @@
 
 void Node::look_drained() {
     const Micros since = loop_.now() - draining_since_;
-    if (since >= restart_.last_answers)
+    if (since >= restart_.final_responses_at)
         end_all();
-    if (since >= restart_.takes_new)
+    if (since >= restart_.admit_until)
         clients_.wind_down();
-    if (since >= restart_.stays)
-        clients_.close_listener(since >= restart_.leaves);
-    const bool settled =
-        since >= restart_.stays && !clients_.listens() && running_.empty() && clients_.connections() == 0;
-    if (settled || since >= restart_.leaves) {
+    if (since >= restart_.listen_until)
+        clients_.close_listener(since >= restart_.exit_at);
+    const bool settled = since >= restart_.listen_until && !clients_.listens() && running_.empty() &&
+                         clients_.connections() == 0;
+    if (settled || since >= restart_.exit_at) {
         deps_.log("drained: " + status());
         return drained_();
     }
@@ -866,11 +881,12 @@
             left.push_back(id);
     for (const auto& id : left) {
         Running& r = *running_.at(id);
-        if (decide::last_word(*r.cls, r.ran_since.has_value() || r.out()) == decide::LastWord::refused)
+        if (decide::final_response_at_shutdown(*r.cls, r.ran_since.has_value() || r.out()) ==
+            decide::FinalResponse::rejected)
             refuse(r, 0, "ending");
         else
             finish(r, thrift::crashed(r.seq, {}), "failed");
-        driver_.post(Gone{id});  // the module calls off what is out
+        driver_.post(ClientDisconnected{id});  // the module calls off what is out
     }
 }
 
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -40,7 +40,7 @@
     // failed.
     Result<net::Address> start();
     bool has_list() const {
-        return !list_.engines().empty() || list_.number() > 0;
+        return !list_.endpoints().empty() || list_.serial() > 0;
     }
     bool listens() const {
         return clients_.listens();
@@ -81,17 +81,17 @@
     };
 
     void heard_list(const roster::DnsSource::Heard& heard);
-    void take_change(std::optional<ListChange> change);  // of the list
-    void note_change(const ListChange& change);
+    void take_change(std::optional<EndpointUpdate> change);  // of the list
+    void note_change(const EndpointUpdate& change);
     void discard_for_drained();
     Micros wall_now() const;
     void requested(Clients::Id client, thrift::Call call, Micros unseen);
     void given_up(Clients::Id client, std::int32_t seq);
     void carry_out(const Action& action);
-    void send(const Send& action);
+    void send(const DispatchAttempt& action);
     void send_again(const Running& r);  // of faults planted by the soak
-    decide::AttemptFactsNow facts_of(const Attempt& a) const;
-    decide::TargetFacts target_facts(const Engine& e) const;
+    decide::AttemptContext facts_of(const Attempt& a) const;
+    decide::EndpointSnapshot target_facts(const Engine& e) const;
     std::optional<double> cold_requests(const Engine& e) const;
     std::string text_of(const Attempt& a) const;
     std::string list_text() const;
@@ -100,12 +100,12 @@
     void recall(Attempt& a);
     // Ends one that has not gone out whole, which never ran either, at the price of its connection.
     void withhold(Attempt& a);
-    void complete(Attempt& a, Outcome outcome, bool finished, decide::ExchangeEnd* end = nullptr);
-    void on_end(Attempt& a, decide::ExchangeEnd end);
+    void complete(Attempt& a, AttemptOutcome outcome, bool finished, decide::ExchangeResult* end = nullptr);
+    void on_end(Attempt& a, decide::ExchangeResult end);
     void finish(Running& r, std::string frame, const char* how,
-                std::optional<EndReason> reason = std::nullopt);
+                std::optional<GiveUpReason> reason = std::nullopt);
     void refuse(Running& r, Micros come_back, const char* how,
-                std::optional<EndReason> reason = std::nullopt);
+                std::optional<GiveUpReason> reason = std::nullopt);
     void free_later(const std::string& id);
     void tick();
     void look_at_list_age();
@@ -118,12 +118,12 @@
     net::Loop& loop_;
     NodeSettings settings_;
     NodeDeps deps_;
-    decide::NodeBounds bounds_;
+    decide::ResourceLimits bounds_;
     LinkPool pool_;
-    core::Driver driver_;
+    core::PolicyDriver driver_;
     Clients clients_;
     roster::DnsSource dns_;
-    decide::EngineList list_;
+    decide::EndpointList list_;
     std::map<EngineId, Engine> engines_;
     std::unordered_map<std::string, std::unique_ptr<Running>> running_;
     std::map<std::pair<Clients::Id, std::int32_t>, std::string> asked_;  // which request a client's number is
@@ -138,7 +138,7 @@
     Micros wall_offset_ = 0;  // from the loop's clock to the wall's, read once
     bool started_ = false, discovering_ = false;
     bool list_is_old_ = false;  // and the log says so
-    decide::RestartTimes restart_;
+    decide::ShutdownSchedule restart_;
     Micros draining_since_ = 0;
     std::function<void()> drained_;
     net::TimerId free_timer_ = 0, tick_timer_ = 0, drain_timer_ = 0, discard_timer_ = 0;
--- a/src/platform/settings.hpp
+++ b/src/platform/settings.hpp
@@ -12,9 +12,9 @@
 
 // The settings object as JSON text. What is absent has the value of the interface; a value of a wrong kind or
 // an unknown word is an error that names it.
-Result<Settings> parse_settings(std::string_view json);
+Result<PolicySettings> parse_settings(std::string_view json);
 
 // Where a named value of a load report belongs; nullptr for a name that is not known.
-std::optional<double> Report::*report_field(std::string_view name);
+std::optional<double> LoadReport::*report_field(std::string_view name);
 
 }  // namespace gatetiller::platform
--- a/src/policy/brain.cpp
+++ b/src/policy/brain.cpp
@@ -188,15 +188,15 @@
 
 struct Engine {
     bool takes() const {
-        return listed && entry.state == EngineState::on;
+        return listed && entry.state == EndpointState::ready;
     }
-    EngineEntry entry;
+    Endpoint entry;
     bool listed = false;
     double cores = 1, memory = 0;
     std::vector<std::pair<int, int>> out;  // slot and attempt of what is out there
     double threads = 0, granted = 0;
     std::deque<std::pair<Micros, double>> cold;  // when and what work was sent while cold, in the last window
-    Report report;
+    LoadReport report;
     Micros reported = -kReportLife;
     int out_at_report = 0;
     double slow = 1;    // latency over expected run time
@@ -245,12 +245,12 @@
 
 }  // namespace
 
-class Brain::Front {
+class GatewayPolicy::Front {
 public:
     std::vector<Action> actions;
     double alpha = 0.5;
 
-    Settings s;
+    PolicySettings s;
     Micros now;
     std::mt19937_64 rng;
     std::vector<Engine> engines;
@@ -292,32 +292,34 @@
         return static_cast<double>(rng() >> 11) * 0x1p-53;
     }
 
-    Front(Micros at, std::uint64_t seed, Settings settings) : s(std::move(settings)), now(at), rng(seed) {
-        if (s.classes.empty() || s.siblings < 1)
+    Front(Micros at, std::uint64_t seed, PolicySettings settings)
+        : s(std::move(settings)), now(at), rng(seed) {
+        if (s.classes.empty() || s.instance_count < 1)
             throw std::invalid_argument("no classes or no fronts");
         for (const ClassSettings& c : s.classes)
-            if (c.threads <= 0 || c.deadline <= 0 || c.aim <= 0 || c.aim > c.deadline)
+            if (c.threads <= 0 || c.deadline <= 0 || c.latency_objective <= 0 ||
+                c.latency_objective > c.deadline)
                 throw std::invalid_argument("class " + c.name + ": aim, deadline or threads don't fit");
             else
-                shortest_aim = std::min(shortest_aim, static_cast<double>(c.aim));
+                shortest_aim = std::min(shortest_aim, static_cast<double>(c.latency_objective));
         classes.resize(s.classes.size());
         tenants.resize(std::max<std::size_t>(1, s.tenants.size()));
         for (std::size_t t = 0; t < s.tenants.size(); ++t)
-            tenants[t].filled = now, tenants[t].tokens = s.tenants[t].quota_per_s / s.siblings;
+            tenants[t].filled = now, tenants[t].tokens = s.tenants[t].quota_per_s / s.instance_count;
         streams.resize(classes.size() * tenants.size());
         fitted = moved = now;
     }
 
     void start() {
-        if (s.ask_discovery)
-            actions.push_back(Observe{}), asked = now;
-        actions.push_back(SetTimer{kTick, 0});
+        if (s.watches_endpoints)
+            actions.push_back(WatchEndpoints{}), asked = now;
+        actions.push_back(StartTimer{kTick, 0});
     }
 
     // ---- The guard: the only path that sends, refuses or fails keeps the seven rules
 
     bool is_cold(const Engine& e) const {
-        return e.entry.came_up > 0 && now < e.entry.came_up + s.warm_up;
+        return e.entry.started_at > 0 && now < e.entry.started_at + s.slow_start_window;
     }
 
     // What a query is taken to cost a cold engine. While nothing has told its work it may take as long as
@@ -334,8 +336,8 @@
                 return (r.cost + usual_work) / 2;
             return std::max(r.cost, usual_work * (1 + 1 / std::sqrt(k.estimates)));
         }
-        const bool answered = k.heard >= kSeedAnswers && now >= k.since + kAimsHeard * c.aim;
-        return answered ? k.work : std::max(k.work, static_cast<double>(c.aim) * c.threads);
+        const bool answered = k.heard >= kSeedAnswers && now >= k.since + kAimsHeard * c.latency_objective;
+        return answered ? k.work : std::max(k.work, static_cast<double>(c.latency_objective) * c.threads);
     }
 
     // Of the first query of a window: while its class is not known it goes by the guess, or nothing would
@@ -346,24 +348,26 @@
     }
 
     double cold_budget(const Engine& e) const {
-        return kColdMargin * s.overload_factor * s.cold_share * kCapacityBusy * e.cores *
-               static_cast<double>(s.overload_for);
+        return kColdMargin * s.overload_factor * s.slow_start_capacity_share * kCapacityBusy * e.cores *
+               static_cast<double>(s.overload_window);
     }
 
     bool may_try_again(const Request& r) const {
         if (r.finished || r.streaming || now >= r.deadline)
             return false;
-        const bool spent = static_cast<int>(r.attempts.size()) >= s.attempts_cap;
+        const bool spent = static_cast<int>(r.attempts.size()) >= s.max_attempts;
         if (spent || r.attempt_out())
             return false;       // no second copy, though may_duplicate may allow one
         if (r.bound_to >= 0) {  // something may have run
-            if (s.classes[r.cls].effect == Effect::once)
+            if (s.classes[r.cls].idempotency == Idempotency::non_idempotent)
                 return false;
-            if (s.classes[r.cls].effect == Effect::by_key && now >= r.bound_since + s.classes[r.cls].window)
+            if (s.classes[r.cls].idempotency == Idempotency::keyed &&
+                now >= r.bound_since + s.classes[r.cls].key_window)
                 return false;
         }
-        if (!r.attempts.empty() && s.extra_free && s.extra_per_request) {
-            const double allowed = *s.extra_free + *s.extra_per_request * static_cast<double>(taken.size());
+        if (!r.attempts.empty() && s.retry_budget_base && s.retry_budget_ratio) {
+            const double allowed =
+                *s.retry_budget_base + *s.retry_budget_ratio * static_cast<double>(taken.size());
             if (static_cast<double>(further.size() + 1) > allowed)
                 return false;
         }
@@ -384,18 +388,18 @@
         const ClassSettings& c = s.classes[r.cls];
         if (!e.takes())
             return false;
-        if (!holds(c.served_on, e.entry.kind) || !holds(c.azs_open, e.entry.zone))
+        if (!holds(c.allowed_kinds, e.entry.kind) || !holds(c.allowed_zones, e.entry.zone))
             return false;
-        if (r.bound_to >= 0 && c.effect == Effect::by_key) {
-            const EngineEntry& first = engines[r.bound_to].entry;
-            if (c.key_scope != Scope::all && first.zone != e.entry.zone)
+        if (r.bound_to >= 0 && c.idempotency == Idempotency::keyed) {
+            const Endpoint& first = engines[r.bound_to].entry;
+            if (c.key_scope != KeyScope::all && first.zone != e.entry.zone)
                 return false;
-            if (c.key_scope == Scope::cell && first.cell != e.entry.cell)
+            if (c.key_scope == KeyScope::cell && first.cell != e.entry.cell)
                 return false;
         }
         if (is_cold(e)) {
             const double work = e.cold.empty() ? first_cold_work(r) : cold_work(r);
-            const double budget = cold_budget(e), part = budget / s.siblings;
+            const double budget = cold_budget(e), part = budget / s.instance_count;
             double sum = work;
             for (const auto& [at, sent] : e.cold)
                 sum += sent;
@@ -409,9 +413,9 @@
 
     bool may_refuse(const Request& r) const {
         const ClassSettings& c = s.classes[r.cls];
-        if (c.effect == Effect::repeatable || (r.bound_to < 0 && !r.attempt_out()))
+        if (c.idempotency == Idempotency::idempotent || (r.bound_to < 0 && !r.attempt_out()))
             return true;
-        return c.effect == Effect::by_key && c.key_scope == Scope::all;
+        return c.idempotency == Idempotency::keyed && c.key_scope == KeyScope::all;
     }
 
     void send(int slot, int index) {
@@ -420,16 +424,16 @@
             return;
         Engine& e = engines[index];
         unqueue(slot);
-        const double most = s.largest_share * e.memory;
+        const double most = s.max_memory_share * e.memory;
         // A grant over the need costs nothing where engines count the lesser of the two.
-        const double margin = s.when_short == WhenShort::swap ? kGrantFree : kGrant;
-        const double grant = s.grants && most > 0 ? std::min(r.memory * margin, most) : 0;
+        const double margin = s.memory_shortage_policy == MemoryShortagePolicy::swap ? kGrantFree : kGrant;
+        const double grant = s.supports_memory_grants && most > 0 ? std::min(r.memory * margin, most) : 0;
         const int priority = priority_of(r);
-        if (grant > 0 || (s.priorities && priority != r.priority)) {
-            actions.push_back(Terms{r.id, grant, priority});
+        if (grant > 0 || (s.supports_priorities && priority != r.priority)) {
+            actions.push_back(ResourceGrant{r.id, grant, priority});
             r.priority = priority;
         }
-        actions.push_back(Send{r.id, e.entry.id, time_out(r, e)});
+        actions.push_back(DispatchAttempt{r.id, e.entry.id, time_out(r, e)});
         if (!r.attempts.empty())
             further.push_back(now);
         if (is_cold(e))
@@ -441,16 +445,16 @@
         e.threads += width, e.granted += r.memory;
     }
 
-    void end(int slot, EndReason reason) {
+    void end(int slot, GiveUpReason reason) {
         Request& r = requests[slot];
         if (r.finished)
             return;
         unqueue(slot);
         if (may_refuse(r)) {
             const double hint = static_cast<double>(s.max_retry_after) * (0.5 + 0.5 * uniform());
-            actions.push_back(Refuse{r.id, s.retry_hints ? static_cast<Micros>(hint) : 0, reason});
+            actions.push_back(ShedRequest{r.id, s.sends_retry_after ? static_cast<Micros>(hint) : 0, reason});
         } else {
-            actions.push_back(Fail{r.id, reason});
+            actions.push_back(FailRequest{r.id, reason});
         }
         r.finished = true;
         call_off(slot);
@@ -458,24 +462,25 @@
 
     // Whether calling off its attempt frees work and leaves it another try.
     bool may_move(const Request& r) const {
-        return s.may_cancel && !r.finished && !r.streaming && s.classes[r.cls].effect != Effect::once &&
-               static_cast<int>(r.attempts.size()) < s.attempts_cap;
+        return s.can_cancel && !r.finished && !r.streaming &&
+               s.classes[r.cls].idempotency != Idempotency::non_idempotent &&
+               static_cast<int>(r.attempts.size()) < s.max_attempts;
     }
 
     // Nothing more is owed for it: what is out is called off where that frees work.
     void call_off(int slot) {
         const Request& r = requests[slot];
-        if (s.may_cancel && !r.streaming)
+        if (s.can_cancel && !r.streaming)
             for (std::size_t i = 0; i < r.attempts.size(); ++i)
                 if (r.attempts[i].open)
-                    actions.push_back(Cancel{r.id, static_cast<int>(i)});
+                    actions.push_back(CancelAttempt{r.id, static_cast<int>(i)});
         free_if_over(slot);
     }
 
     // ---- Estimates and streams
 
     bool learns_need() const {
-        return !s.cost_in_answers && s.when_short != WhenShort::swap;
+        return !s.cost_in_responses && s.memory_shortage_policy != MemoryShortagePolicy::swap;
     }
 
     // Where needs aren't told, notes of spilling do: what was granted and missing. Guards against estimates
@@ -489,7 +494,7 @@
         approach(classes[r.cls].memory_ratio, std::min((a.grant + missing) / r.raw_memory, 20.0));
     }
 
-    void learn(Request& r, const Attempt& a, const Completed& c) {
+    void learn(Request& r, const Attempt& a, const AttemptCompleted& c) {
         ClassState& k = classes[r.cls];
         if (learns_need() && a.grant > 0 && !a.spilled)
             k.memory_ratio *= 1 - kLearn * kQuiet;
@@ -501,7 +506,7 @@
                 approach(k.memory_ratio, std::clamp(c.needed_mb / r.raw_memory, 0.05, 20.0), kLearn);
         } else if (r.raw_cost > 0) {
             // Costs aren't told: the ratio follows a low percentile of latency over estimate.
-            const double seen = static_cast<double>(c.taken) * a.threads / r.raw_cost;
+            const double seen = static_cast<double>(c.duration) * a.threads / r.raw_cost;
             k.cost_ratio *= seen > k.cost_ratio ? 1 + kLearn * kQuiet : 1 - kLearn * (1 - kQuiet);
             k.cost_ratio = std::clamp(k.cost_ratio, 0.05, 20.0);
             k.work = k.raw * k.cost_ratio;
@@ -509,11 +514,11 @@
     }
 
     // Strain: run time over told work, or over the class's calmest, which creeps up to learn lasting change.
-    void observe_strain(const Request& r, const Attempt& a, const Completed& c) {
+    void observe_strain(const Request& r, const Attempt& a, const AttemptCompleted& c) {
         ClassState& k = classes[r.cls];
         const double told = c.work_ms * kMs, known = told > 0 ? told : r.raw_cost;
-        const double base = known > 0 ? known : static_cast<double>(s.classes[r.cls].aim);
-        double ratio = static_cast<double>(std::max<Micros>(c.taken, 1)) * a.threads / base;
+        const double base = known > 0 ? known : static_cast<double>(s.classes[r.cls].latency_objective);
+        double ratio = static_cast<double>(std::max<Micros>(c.duration, 1)) * a.threads / base;
         if (k.heard > 0)
             ratio = std::min(ratio, kRunaway * k.ratio);
         approach(k.ratio, ratio, std::max(kLearn, 1 / ++k.heard));
@@ -529,14 +534,14 @@
     // strain or, with costs not told and strain so relative, attempts are late by themselves. Guards against
     // uneven fronts and jams that came before any calm. Harm: strain of a few slow engines shrinks it too.
     void move_reach() {
-        if (s.reports != ReportSource::none)
+        if (s.load_report_source != LoadReportSource::none)
             return;
         for (ClassState& k : classes)
             k.calm *= kCalmCreep;
         if (strain > kStrained || late > kLateMost)
             reach = std::max(1.0, reach * kReachDown);
         else if (bound && strain < kCalm && late < kLateLeast)
-            reach = std::min(reach * (1 + kBeta), 1.0 * s.siblings);
+            reach = std::min(reach * (1 + kBeta), 1.0 * s.instance_count);
         bound = false;
     }
 
@@ -564,7 +569,8 @@
         t.service = t.enough ? engine_time : run;
         t.eta = disengaged / kTarget;
         const double deadline = static_cast<double>(c.deadline);
-        const double aim = std::min(static_cast<double>(c.aim) + c.aim_stretch * run, deadline);
+        const double aim =
+            std::min(static_cast<double>(c.latency_objective) + c.objective_stretch * run, deadline);
         t.budget = mean_latency_budget(t.cv, aim, deadline, kTarget);
     }
 
@@ -601,13 +607,13 @@
         e.errors = std::max(e.errors, kErrorShun);
     }
 
-    void take_report(Engine& e, const std::optional<Report>& report) {
+    void take_report(Engine& e, const std::optional<LoadReport>& report) {
         if (e.alive = now; !report)
             return;
         e.report = *report, e.reported = heard = now;
-        auto& there = e.report.concurrent;  // where not told, from its cores: busy is at the knee
-        if (const auto busy = report->load_share; !there && busy)
-            there = *busy / kBusyShare * kKnee * e.cores / usual.threads + report->depth.value_or(0);
+        auto& there = e.report.running_queries;  // where not told, from its cores: busy is at the knee
+        if (const auto busy = report->busy_cores_share; !there && busy)
+            there = *busy / kBusyShare * kKnee * e.cores / usual.threads + report->queue_depth.value_or(0);
         if (there)
             approach(crowd, *there * usual.threads / e.cores, kCrowdStep);
         e.out_at_report = static_cast<int>(e.out.size());
@@ -617,7 +623,7 @@
     // this class for a reason of its own, and only this class rests. Guards against an engine that lacks what
     // one class needs. Harm: where a report is behind, each class asks a full engine once.
     void rest(Engine& e, int cls) {
-        const bool young = now - e.reported <= kReportLife && e.report.concurrent;
+        const bool young = now - e.reported <= kReportLife && e.report.running_queries;
         const bool alone = young && !under_pressure(e) && reported(e) * usual.threads <= kKnee * e.cores;
         (alone ? e.turns_away[cls] : e.full_until) = now + kFullRest;
     }
@@ -643,19 +649,19 @@
         }
     }
 
-    void judge(Engine& e, const Completed& c, Request& r, Attempt& a) {
-        const Outcome o = c.outcome;
-        e.down = o == Outcome::econnrefused || (e.down && o != Outcome::done);
-        if (o == Outcome::done) {
+    void judge(Engine& e, const AttemptCompleted& c, Request& r, Attempt& a) {
+        const AttemptOutcome o = c.outcome;
+        e.down = o == AttemptOutcome::connection_refused || (e.down && o != AttemptOutcome::succeeded);
+        if (o == AttemptOutcome::succeeded) {
             e.errors *= 1 - kErrorStep;
             if (e.errors < kErrorTrial)
                 e.shun_for = 0;
-        } else if (o == Outcome::err) {
+        } else if (o == AttemptOutcome::failed) {
             blame(e, r, a);
-        } else if (o == Outcome::busy)
+        } else if (o == AttemptOutcome::rejected)
             rest(e, r.cls);
-        const bool silent = o == Outcome::etimedout && e.alive < a.sent;  // no sign of life since
-        if (silent || o == Outcome::econnrefused || o == Outcome::econnreset)
+        const bool silent = o == AttemptOutcome::timed_out && e.alive < a.sent;  // no sign of life since
+        if (silent || o == AttemptOutcome::connection_refused || o == AttemptOutcome::connection_reset)
             shun(e);
     }
 
@@ -680,15 +686,15 @@
             return true;
         if (now - e.reported > kReportLife)
             return false;
-        const Report& p = e.report;
-        return p.load_share.value_or(0) > kBusyShare || p.disks_busy.value_or(0) > kBusyShare ||
-               p.memory_granted.value_or(0) > kBusyShare || p.depth.value_or(0) >= 1;
+        const LoadReport& p = e.report;
+        return p.busy_cores_share.value_or(0) > kBusyShare || p.busy_disks_share.value_or(0) > kBusyShare ||
+               p.granted_memory_share.value_or(0) > kBusyShare || p.queue_depth.value_or(0) >= 1;
     }
 
     // Queries there in all, as its last report and the fleet tell, and those of other fronts.
     double reported(const Engine& e) const {
         const double usual_there = crowded() * e.cores / usual.threads;
-        const double told = e.report.concurrent.value_or(usual_there);
+        const double told = e.report.running_queries.value_or(usual_there);
         // It holds for as long as what it counts takes to run, fading into what the fleet holds.
         const double life = std::max<double>(kReportLife, told * usual.work / e.cores);
         return told + (usual_there - told) * std::min(1.0, static_cast<double>(now - e.reported) / life);
@@ -701,7 +707,7 @@
         return heard_lately() ? crowd : kKnee;
     }
     double others(const Engine& e) const {
-        return s.siblings < 2 ? 0 : std::max(0.0, reported(e) - e.out_at_report);
+        return s.instance_count < 2 ? 0 : std::max(0.0, reported(e) - e.out_at_report);
     }
 
     bool has_room(const Engine& e, const Request& r) {
@@ -721,7 +727,7 @@
         // Where fronts outnumber threads, C for each engine is under one query: it binds over the fleet too.
         // Sensitive queries pass while reports tell of room, best-effort ones wait while they tell of none. A
         // jammed engine reports nothing, as it answers nothing: notes that crawl tell of it too.
-        const double part = kThreadsPerCore / s.siblings * reach;
+        const double part = kThreadsPerCore / s.instance_count * reach;
         const bool quick = classes[r.cls].sensitive, room = crowded() < kKnee && drag < 2 * kSlowPressure;
         if (!quick && crowded() > kThreadsPerCore)
             return false;
@@ -740,13 +746,14 @@
             const Attempt& a = other.attempts[n];
             const double left = a.work * std::max(0.1, 1 - a.progress);
             work += left;
-            if (other.group == r.group && s.classes[other.cls].holds_group &&
-                (c.yields_to_loads || c.holds_group))
+            if (other.group == r.group && s.classes[other.cls].locks_table_group &&
+                (c.waits_for_table_lock || c.locks_table_group))
                 work += left / a.threads * e.cores;  // it would stand still until that load ends
         }
         work += others(e) * usual.work;
-        const double warm = is_cold(e) ? double(now - e.entry.came_up) / double(s.warm_up) : 1;
-        const double capacity = e.cores * (s.cold_share + (1 - s.cold_share) * warm);
+        const double warm = is_cold(e) ? double(now - e.entry.started_at) / double(s.slow_start_window) : 1;
+        const double capacity =
+            e.cores * (s.slow_start_capacity_share + (1 - s.slow_start_capacity_share) * warm);
         const double slow = std::max(1.0, e.slow / usual_slow());
         const bool crosses = s.cross_zone_price > 0 && e.entry.zone != s.zone;
         return work / std::max(capacity, 0.1) * slow * (crosses ? kOtherZone : 1);
@@ -779,7 +786,7 @@
         if (r.over_share || now > r.aim)
             return 0;
         const auto dense = [&](std::size_t k) {
-            return s.classes[k].value / std::max(classes[k].work, 1.0);
+            return s.classes[k].priority_weight / std::max(classes[k].work, 1.0);
         };
         for (std::size_t k = 0; k < classes.size(); ++k)
             if (dense(k) > dense(r.cls))
@@ -789,8 +796,9 @@
 
     // A try at an engine under suspicion ends early where it could not be called off later.
     Micros time_out(const Request& r, const Engine& e) const {
-        const bool last = static_cast<int>(r.attempts.size()) + 1 >= s.attempts_cap;
-        const bool stays = s.may_cancel || last || s.classes[r.cls].effect == Effect::once;
+        const bool last = static_cast<int>(r.attempts.size()) + 1 >= s.max_attempts;
+        const bool stays =
+            s.can_cancel || last || s.classes[r.cls].idempotency == Idempotency::non_idempotent;
         if (stays || e.errors < kErrorTrial)
             return r.deadline - now;
         return std::min(r.deadline - now, static_cast<Micros>(kTimeOutRuns * run_time(r) * usual_slow()));
@@ -813,8 +821,8 @@
     // Work for each unit of worth still to be had.
     double price(const Request& r) const {
         const ClassSettings& c = s.classes[r.cls];
-        const double worth = c.value * (r.over_share ? s.over_share_worth : 1);
-        return r.cost / std::max(worth * (now + run_time(r) > r.aim ? c.late_share : 1), 1e-3);
+        const double worth = c.priority_weight * (r.over_share ? s.over_quota_weight : 1);
+        return r.cost / std::max(worth * (now + run_time(r) > r.aim ? c.late_value_share : 1), 1e-3);
     }
 
     void queue(int slot) {
@@ -848,7 +856,7 @@
                 continue;
             if (r.side == Side::best_effort)
                 tenants[r.tenant].pass +=
-                    r.cost / std::max(s.tenants.empty() ? 1 : s.tenants[r.tenant].share, 0.01);
+                    r.cost / std::max(s.tenants.empty() ? 1 : s.tenants[r.tenant].fair_share, 0.01);
             send(slot, e);
             return true;
         }
@@ -894,7 +902,7 @@
         if (r.finished || r.attempt_out() || r.queued)
             return;
         if (!may_try_again(r))
-            return end(slot, EndReason::no_tries_left);
+            return end(slot, GiveUpReason::attempts_exhausted);
         if (has_turn(r))
             queue(slot);
     }
@@ -908,7 +916,7 @@
         for (std::size_t i = 0; i < requests.size(); ++i)
             if (const Request& r = requests[i]; r.queued && r.side != Side::behind)
                 held.emplace_back(price(r), static_cast<int>(i)), work += r.cost;
-        const double limit = fleet_cores / s.siblings * kBacklog * shortest_aim;
+        const double limit = fleet_cores / s.instance_count * kBacklog * shortest_aim;
         std::sort(held.rbegin(), held.rend());
         for (const auto& [price, slot] : held) {
             if (work <= limit)
@@ -941,23 +949,23 @@
             if (!r.used || r.finished || r.streaming)
                 continue;
             const ClassSettings& c = s.classes[r.cls];
-            const bool worthless = c.late_share <= 0 && now > r.aim;
+            const bool worthless = c.late_value_share <= 0 && now > r.aim;
             if (!r.attempt_out()) {
                 const bool out_of_time =
                     now + kAnswerMargin >= r.deadline || now + static_cast<Micros>(run_time(r)) > r.deadline;
                 if (out_of_time)
-                    end(slot, EndReason::out_of_time);
+                    end(slot, GiveUpReason::deadline_unreachable);
                 else if (worthless)
-                    end(slot, EndReason::worthless);
+                    end(slot, GiveUpReason::objective_missed);
                 else if (!may_try_again(r))
-                    end(slot, EndReason::no_tries_left);
+                    end(slot, GiveUpReason::attempts_exhausted);
                 else if (r.queued && r.side != Side::behind && gives_way(r))
                     unqueue(slot), queue(slot);
-            } else if (worthless && s.may_cancel && c.effect == Effect::repeatable) {
-                end(slot, EndReason::worthless);
-            } else if (s.priorities && priority_of(r) != r.priority) {
+            } else if (worthless && s.can_cancel && c.idempotency == Idempotency::idempotent) {
+                end(slot, GiveUpReason::objective_missed);
+            } else if (s.supports_priorities && priority_of(r) != r.priority) {
                 r.priority = priority_of(r);
-                actions.push_back(Terms{r.id, 0, r.priority});
+                actions.push_back(ResourceGrant{r.id, 0, r.priority});
             }
         }
         for (Engine& e : engines) {
@@ -970,31 +978,32 @@
                 // Harm: an engine that notes some and forgets others loses their tries. A short query ends
                 // before any note: it is overdue by its usual run, and sent again while its aim can be met.
                 const Micros quiet = now - std::max({a.sent, a.heard, woke});
-                const bool lost = s.note_period > 0 && quiet >= 2 * s.note_period + kSilentAfter / 2;
+                const bool lost = s.progress_period > 0 && quiet >= 2 * s.progress_period + kSilentAfter / 2;
                 const Request& r = requests[slot];
                 const double usual_run =  // of its class at least: a tiny estimate is mostly overhead
                     std::max(e.slow, usual_slow()) * std::max(a.expected(), classes[r.cls].work / a.threads);
-                const bool overdue = s.classes[r.cls].late_share <= 0 && a.heard == 0 && a.sent >= woke &&
+                const bool overdue = s.classes[r.cls].late_value_share <= 0 && a.heard == 0 &&
+                                     a.sent >= woke &&
                                      static_cast<double>(now - a.sent) > kLost * usual_run &&
                                      now + static_cast<Micros>(run_time(r)) <= r.aim;
                 if ((lost || overdue) && may_move(r))
-                    actions.push_back(Cancel{r.id, n});
+                    actions.push_back(CancelAttempt{r.id, n});
             }
-            while (!e.cold.empty() && e.cold.front().first < now - s.overload_for)
+            while (!e.cold.empty() && e.cold.front().first < now - s.overload_window)
                 e.cold.pop_front();
             if (now >= e.lot_until)
-                e.lot = uniform(), e.lot_until = now + s.overload_for;
+                e.lot = uniform(), e.lot_until = now + s.overload_window;
             // No note and no answer from an engine that holds work: silent. What may move is called off.
-            if (s.note_period <= 0 || e.out.empty())
+            if (s.progress_period <= 0 || e.out.empty())
                 continue;
-            const Micros silence = s.note_period + kSilentAfter;
+            const Micros silence = s.progress_period + kSilentAfter;
             const Attempt& oldest = requests[e.out.front().first].attempts[e.out.front().second];
             if (now - std::max({oldest.sent, e.alive, woke}) < silence)
                 continue;
             shun(e);
             for (const auto& [slot, n] : e.out)
                 if (may_move(requests[slot]))
-                    actions.push_back(Cancel{requests[slot].id, n});
+                    actions.push_back(CancelAttempt{requests[slot].id, n});
         }
     }
 
@@ -1005,26 +1014,27 @@
         return found == ids.end() ? -1 : found->second;
     }
 
-    void on(const ListChange& c) {
-        if (c.form != ListForm::warm_copy)
-            subscribed = c.form != ListForm::lost;
-        if (c.form == ListForm::total || c.form == ListForm::warm_copy)
+    void on(const EndpointUpdate& c) {
+        if (c.kind != EndpointUpdateKind::cached)
+            subscribed = c.kind != EndpointUpdateKind::source_lost;
+        if (c.kind == EndpointUpdateKind::full || c.kind == EndpointUpdateKind::cached)
             for (Engine& e : engines)
                 e.listed = false;
-        for (const EngineEntry& entry : c.engines) {
+        for (const Endpoint& entry : c.endpoints) {
             const auto [place, fresh] = engine_index.try_emplace(entry.id, static_cast<int>(engines.size()));
             if (fresh)
                 engines.emplace_back().alive = now;
             Engine& e = engines[place->second];
             if (fresh)
                 e.probed = now - static_cast<Micros>((1 + uniform()) * kProbeEvery);
-            if (entry.came_up > e.entry.came_up) {  // a fresh process: nothing known of the old one holds
+            if (entry.started_at >
+                e.entry.started_at) {  // a fresh process: nothing known of the old one holds
                 e.shun_until = e.shun_for = e.full_until = 0;
                 e.errors = 0, e.slow = 1, e.down = false, e.turns_away.clear();
             }
             e.entry = entry;
-            e.listed = entry.state != EngineState::off;
-            for (const KindSettings& k : s.kinds)
+            e.listed = entry.state != EndpointState::removed;
+            for (const EngineKindSettings& k : s.kinds)
                 if (k.name == entry.kind)
                     e.cores = std::max(1.0, k.cores), e.memory = k.memory_mb;
         }
@@ -1033,9 +1043,9 @@
             fleet_cores += e.listed ? e.cores : 0;
     }
 
-    void on(const Demand& d) {
+    void on(const RequestArrived& d) {
         const auto called = [&](const ClassSettings& c) {
-            return c.name == d.type;
+            return c.name == d.class_name;
         };
         const auto type = std::find_if(s.classes.begin(), s.classes.end(), called);
         if (type == s.classes.end() || ids.contains(d.id))
@@ -1057,22 +1067,24 @@
         probe_credit = std::min(probe_credit + kProbeShare, 2.0);
         const ClassSettings& c = s.classes[r.cls];
         ClassState& k = classes[r.cls];
-        if (d.cost && *d.cost > 0) {
-            r.raw_cost = static_cast<double>(*d.cost);
+        if (d.estimated_work && *d.estimated_work > 0) {
+            r.raw_cost = static_cast<double>(*d.estimated_work);
             if (k.raw <= 0)
                 k.raw = k.work = r.raw_cost;
             approach(k.raw, r.raw_cost, std::max(kLearn, 1 / ++k.estimates));
-            if (!s.cost_in_answers)
+            if (!s.cost_in_responses)
                 k.work = k.raw * k.cost_ratio;
             r.cost = r.raw_cost * k.cost_ratio;
         } else {
             if (k.work <= 0)
-                k.work = static_cast<double>(c.aim) * c.threads / 4, k.since = now;
+                k.work = static_cast<double>(c.latency_objective) * c.threads / 4, k.since = now;
             r.cost = k.work;
         }
-        r.raw_memory = d.memory_mb, r.memory = d.memory_mb * k.memory_ratio, r.group = d.group;
+        r.raw_memory = d.estimated_memory_mb, r.memory = d.estimated_memory_mb * k.memory_ratio,
+        r.group = d.table_group;
         r.arrival = now, r.deadline = now + d.time_left;
-        r.aim = now + std::min(d.time_left, c.aim + static_cast<Micros>(c.aim_stretch * run_time(r)));
+        r.aim = now + std::min(d.time_left,
+                               c.latency_objective + static_cast<Micros>(c.objective_stretch * run_time(r)));
         Stream& t = stream_of(r);
         if (t.budget <= 0) {
             k.sensitive = k.work / c.threads < kSensitiveRun;
@@ -1081,7 +1093,7 @@
         r.due = now + static_cast<Micros>(t.budget - t.service);
         if (!s.tenants.empty() && s.tenants[r.tenant].quota_per_s > 0) {
             Tenant& q = tenants[r.tenant];
-            const double rate = s.tenants[r.tenant].quota_per_s / s.siblings;
+            const double rate = s.tenants[r.tenant].quota_per_s / s.instance_count;
             q.tokens += rate * static_cast<double>(now - std::exchange(q.filled, now)) / kSecond;
             q.tokens = std::min(q.tokens, std::max(rate, 1.0));  // a second's worth at most
             r.over_share = q.tokens < 1;
@@ -1095,19 +1107,19 @@
         ++first_all, first_sensitive += k.sensitive;
         if (first_all <= kSeedCount)
             alpha = std::clamp(first_sensitive / first_all, kAlphaLow, kAlphaHigh);
-        if (c.in_turn && !d.key.empty()) {
-            r.key = d.key, r.in_line = true;
+        if (c.ordered_by_key && !d.ordering_key.empty()) {
+            r.key = d.ordering_key, r.in_line = true;
             lines[r.key].push_back(slot);
         }
         settle(slot);
     }
 
-    void on(const Begun& b) {
+    void on(const ResponseStarted& b) {
         if (const int slot = slot_of(b.id); slot >= 0)
             requests[slot].streaming = true;
     }
 
-    void on(const Completed& c) {
+    void on(const AttemptCompleted& c) {
         const int slot = slot_of(c.id);
         if (slot < 0)
             return;
@@ -1121,33 +1133,33 @@
         std::erase(e.out, std::pair(slot, c.attempt));
         e.threads -= a.threads, e.granted -= a.memory;
         release(a);
-        const bool lingers = c.outcome == Outcome::etimedout || c.outcome == Outcome::ecanceled;
-        if (!lingers && c.outcome != Outcome::econnrefused)
+        const bool lingers = c.outcome == AttemptOutcome::timed_out || c.outcome == AttemptOutcome::cancelled;
+        if (!lingers && c.outcome != AttemptOutcome::connection_refused)
             e.alive = now;
-        if (c.report)
-            take_report(e, c.report);
+        if (c.load_report)
+            take_report(e, c.load_report);
         judge(e, c, r, a);
-        const bool done = c.outcome == Outcome::done;
-        if (!s.cost_in_answers && (done || (lingers && e.alive >= a.sent)))
-            approach(late, !done || c.taken > r.aim - r.arrival);
-        if (!never_ran(c.outcome) && r.bound_to < 0)
+        const bool done = c.outcome == AttemptOutcome::succeeded;
+        if (!s.cost_in_responses && (done || (lingers && e.alive >= a.sent)))
+            approach(late, !done || c.duration > r.aim - r.arrival);
+        if (!proves_not_executed(c.outcome) && r.bound_to < 0)
             r.bound_to = a.engine, r.bound_since = a.sent;
         if (done) {
             learn(r, a, c);
             observe_strain(r, a, c);
-            observe_latency(r, a, c.taken);
+            observe_latency(r, a, c.duration);
         }
-        if (r.in_line && (lingers || c.outcome == Outcome::econnreset))
-            rests[r.key] = now + s.turn_gap;
-        if (c.finished)
+        if (r.in_line && (lingers || c.outcome == AttemptOutcome::connection_reset))
+            rests[r.key] = now + s.key_order_gap;
+        if (c.request_finished)
             unqueue(slot), r.finished = true;
-        if (c.outcome == Outcome::busy)
+        if (c.outcome == AttemptOutcome::rejected)
             r.not_before = now + kTick;
         settle(slot);
         free_if_over(slot);
     }
 
-    void on(const Note& n) {
+    void on(const AttemptProgress& n) {
         const int slot = slot_of(n.id);
         if (slot < 0 || n.attempt < 0 || n.attempt >= static_cast<int>(requests[slot].attempts.size()))
             return;
@@ -1157,13 +1169,13 @@
             return;
         a.heard = now;
         Request& r = requests[slot];
-        if (n.topic == NoteTopic::spills)
+        if (n.kind == ProgressKind::spilling)
             learn_need(r, a, n.value);
         // Behind a load, of whatever front, it stands still: moved at once, as nothing is lost; but not where
         // three engines in a row hold one, as most do then.
-        if (n.topic == NoteTopic::waits && n.value == kForLoad && n.attempt < kMoves && may_move(r))
-            actions.push_back(Cancel{r.id, n.attempt});
-        if (n.topic != NoteTopic::progress)
+        if (n.kind == ProgressKind::waiting && n.value == kForLoad && n.attempt < kMoves && may_move(r))
+            actions.push_back(CancelAttempt{r.id, n.attempt});
+        if (n.kind != ProgressKind::fraction_done)
             return;
         a.progress = std::clamp(n.value, 0.0, 1.0);
         const double lasts = static_cast<double>(now - a.sent) / std::max(a.progress, 0.01);
@@ -1176,18 +1188,18 @@
             return;
         if (r.raw_cost <= 0 && r.shown <= 0)
             r.shown = lasts;
-        actions.push_back(Cancel{r.id, n.attempt});
+        actions.push_back(CancelAttempt{r.id, n.attempt});
     }
 
-    void on(const Probed& p) {
+    void on(const HealthCheckCompleted& p) {
         const auto found = engine_index.find(p.engine);
-        if (found != engine_index.end() && p.outcome == Outcome::done)
-            take_report(engines[found->second], p.report);
+        if (found != engine_index.end() && p.outcome == AttemptOutcome::succeeded)
+            take_report(engines[found->second], p.load_report);
     }
 
     void on(const PeerMessage&) {}
 
-    void on(const Gone& g) {
+    void on(const ClientDisconnected& g) {
         const int slot = slot_of(g.id);
         if (slot < 0)
             return;
@@ -1198,19 +1210,19 @@
 
     // ---- Timers
 
-    void on(const Bell&) {
-        actions.push_back(SetTimer{kTick, 0});
+    void on(const TimerFired&) {
+        actions.push_back(StartTimer{kTick, 0});
         sweep(), shed();
         if (now - fitted >= kFitEvery)
             fitted = now, fit();
         if (now - moved >= kAlphaEvery)
             moved = now, move_alpha(), move_reach();
-        if (s.ask_discovery && !subscribed &&
-            now - asked >= static_cast<Micros>(kAskShare * static_cast<double>(s.ask_within))) {
+        if (s.watches_endpoints && !subscribed &&
+            now - asked >= static_cast<Micros>(kAskShare * static_cast<double>(s.watch_deadline))) {
             asked = now;
-            actions.push_back(Observe{});
+            actions.push_back(WatchEndpoints{});
         }
-        if (s.may_probe && s.reports == ReportSource::probe)
+        if (s.can_health_check && s.load_report_source == LoadReportSource::health_checks)
             probe();
     }
 
@@ -1223,16 +1235,16 @@
         if (!next || probe_credit < 1 || now - next->probed < kProbeEvery)
             return;
         probe_credit -= 1, next->probed = now;
-        actions.push_back(Probe{next->entry.id});
+        actions.push_back(CheckHealth{next->entry.id});
     }
 
     void take(Micros at, const Event& event) {
         if (at > now + kStall)
             woke = at;  // timers come more often: this front stood still and heard nothing
         now = std::max(now, at);
-        while (!taken.empty() && taken.front() <= now - s.ratio_span)
+        while (!taken.empty() && taken.front() <= now - s.retry_budget_window)
             taken.pop_front();
-        while (!further.empty() && further.front() < now - s.ratio_span)
+        while (!further.empty() && further.front() < now - s.retry_budget_window)
             further.pop_front();
         std::visit(
             [this](const auto& e) {
@@ -1243,23 +1255,23 @@
     }
 };
 
-Brain::Brain(Micros now, std::uint64_t seed, Settings settings)
+GatewayPolicy::GatewayPolicy(Micros now, std::uint64_t seed, PolicySettings settings)
     : front_(std::make_unique<Front>(now, seed, std::move(settings))) {}
-Brain::~Brain() = default;
-Brain::Brain(Brain&&) noexcept = default;
-Brain& Brain::operator=(Brain&&) noexcept = default;
+GatewayPolicy::~GatewayPolicy() = default;
+GatewayPolicy::GatewayPolicy(GatewayPolicy&&) noexcept = default;
+GatewayPolicy& GatewayPolicy::operator=(GatewayPolicy&&) noexcept = default;
 
-std::vector<Action> Brain::start() {
+std::vector<Action> GatewayPolicy::start() {
     front_->start();
     return std::exchange(front_->actions, {});
 }
 
-std::vector<Action> Brain::handle(Micros now, const Event& event) {
+std::vector<Action> GatewayPolicy::handle(Micros now, const Event& event) {
     front_->take(now, event);
     return std::exchange(front_->actions, {});
 }
 
-double Brain::alpha() const {
+double GatewayPolicy::alpha() const {
     return front_->alpha;
 }
 
--- a/src/policy/brain.hpp
+++ b/src/policy/brain.hpp
@@ -18,255 +18,259 @@
 // ---- Settings
 // -----------------------------------------------------------------------------------------------
 
-enum class Effect {
-    repeatable,
-    by_key,
-    once
+enum class Idempotency {
+    idempotent,
+    keyed,
+    non_idempotent
 };
-enum class Scope {
+enum class KeyScope {
     all,
     zone,
     cell
 };  // which engines drop a keyed repeat
-enum class WhenShort {
+enum class MemoryShortagePolicy {
     queue,
     trim,
     swap
 };  // what an engine does when grants pass its memory
-enum class ReportSource {
+enum class LoadReportSource {
     none,
-    answers,
-    probe
+    responses,
+    health_checks
 };
 
 struct ClassSettings {
     std::string name;
-    Micros aim = 0;
-    double aim_stretch = 0;  // the aim grows by this times work over threads
+    Micros latency_objective = 0;
+    double objective_stretch = 0;  // the aim grows by this times work over threads
     Micros deadline = 0;
-    Effect effect = Effect::once;
-    Scope key_scope = Scope::cell;
-    Micros window = 0;  // by_key: how long repeats are dropped
-    double late_share = 0;
-    double value = 1;
-    bool in_turn = false;
-    std::optional<std::vector<std::string>> served_on;  // the only kinds allowed
-    std::optional<std::vector<std::string>> azs_open;   // the only zones allowed
+    Idempotency idempotency = Idempotency::non_idempotent;
+    KeyScope key_scope = KeyScope::cell;
+    Micros key_window = 0;  // by_key: how long repeats are dropped
+    double late_value_share = 0;
+    double priority_weight = 1;
+    bool ordered_by_key = false;
+    std::optional<std::vector<std::string>> allowed_kinds;  // the only kinds allowed
+    std::optional<std::vector<std::string>> allowed_zones;  // the only zones allowed
     double threads = 1;
-    bool holds_group = false;      // a load: holds its group of tables on its engine
-    bool yields_to_loads = false;  // stands still while a load holds its group
+    bool locks_table_group = false;     // a load: holds its group of tables on its engine
+    bool waits_for_table_lock = false;  // stands still while a load holds its group
 };
 
 struct TenantSettings {
     std::string name;
     double quota_per_s = 0;  // over all fronts
-    double share = 0;
+    double fair_share = 0;
 };
 
-struct KindSettings {
+struct EngineKindSettings {
     std::string name;
     double cores = 0;
     double memory_mb = 0;
 };
 
-struct Settings {
+struct PolicySettings {
     std::vector<ClassSettings> classes;
     std::vector<TenantSettings> tenants;
-    std::vector<KindSettings> kinds;
+    std::vector<EngineKindSettings> kinds;
     std::string zone;
-    int me = 0;
-    int siblings = 1;
-    bool ask_discovery = false;
-    bool worth_by_work = false;
-    double over_share_worth = 1;
-    double largest_share = 1;  // of an engine's memory, for one query
-    bool grants = false;
-    bool priorities = false;
-    bool cost_in_answers = false;
-    Micros note_period = 0;
-    WhenShort when_short = WhenShort::queue;
-    ReportSource reports = ReportSource::none;
-    double probe_price = 0;
+    int instance_index = 0;
+    int instance_count = 1;
+    bool watches_endpoints = false;
+    bool weight_by_work = false;
+    double over_quota_weight = 1;
+    double max_memory_share = 1;  // of an engine's memory, for one query
+    bool supports_memory_grants = false;
+    bool supports_priorities = false;
+    bool cost_in_responses = false;
+    Micros progress_period = 0;
+    MemoryShortagePolicy memory_shortage_policy = MemoryShortagePolicy::queue;
+    LoadReportSource load_report_source = LoadReportSource::none;
+    double health_check_price = 0;
     double cross_zone_price = 0;
-    bool may_cancel = false;
-    bool may_duplicate = false;
-    bool may_probe = false;
-    bool may_tell_peers = false;
-    bool retry_hints = false;
+    bool can_cancel = false;
+    bool can_hedge = false;
+    bool can_health_check = false;
+    bool can_broadcast = false;
+    bool sends_retry_after = false;
     Micros max_retry_after = 0;
-    int attempts_cap = 1;
+    int max_attempts = 1;
     // figures of the rules
-    Micros grace_to_answer = 0;
-    Micros ask_within = 0;
+    Micros response_grace = 0;
+    Micros watch_deadline = 0;
     Micros drain_grace = 0;
-    double cold_share = 0;
-    Micros warm_up = 0;
+    double slow_start_capacity_share = 0;
+    Micros slow_start_window = 0;
     double overload_factor = 0;
-    Micros overload_for = 0;
-    std::optional<double> extra_free;  // with these two absent, further attempts are not rationed
-    std::optional<double> extra_per_request;
-    Micros ratio_span = 0;
-    Micros turn_gap = 0;
+    Micros overload_window = 0;
+    std::optional<double> retry_budget_base;  // with these two absent, further attempts are not rationed
+    std::optional<double> retry_budget_ratio;
+    Micros retry_budget_window = 0;
+    Micros key_order_gap = 0;
 };
 
 // ---- Events
 // -------------------------------------------------------------------------------------------------
 
-enum class EngineState {
-    on,
-    fading,
-    off
+enum class EndpointState {
+    ready,
+    draining,
+    removed
 };
 
-struct EngineEntry {
+struct Endpoint {
     EngineId id = 0;
-    EngineState state = EngineState::on;
+    EndpointState state = EndpointState::ready;
     std::string zone;
     std::string kind;
     std::int64_t cell = 0;
-    Micros came_up = 0;
+    Micros started_at = 0;
     double share = 1;
 };
 
-struct Report {  // what an engine says of its load; any part may be missing
-    std::optional<double> concurrent, depth, load_share, mean_ms, tps, err_ps, memory_granted, disks_busy;
+struct LoadReport {  // what an engine says of its load; any part may be missing
+    std::optional<double> running_queries, queue_depth, busy_cores_share, mean_ms, tps, err_ps,
+        granted_memory_share, busy_disks_share;
 };
 
-enum class Outcome {
-    done,
-    err,
-    busy,
-    etimedout,
-    econnrefused,
-    econnreset,
-    ecanceled,
-    skipped
+enum class AttemptOutcome {
+    succeeded,
+    failed,
+    rejected,
+    timed_out,
+    connection_refused,
+    connection_reset,
+    cancelled,
+    not_sent
 };
 // Whether an attempt that ended so is proved not to have run.
-constexpr bool never_ran(Outcome o) {
-    return o == Outcome::busy || o == Outcome::econnrefused || o == Outcome::skipped;
+constexpr bool proves_not_executed(AttemptOutcome o) {
+    return o == AttemptOutcome::rejected || o == AttemptOutcome::connection_refused ||
+           o == AttemptOutcome::not_sent;
 }
-enum class ListForm {
-    incr,
-    total,
-    warm_copy,
-    lost
+enum class EndpointUpdateKind {
+    incremental,
+    full,
+    cached,
+    source_lost
 };
 
-struct ListChange {
-    ListForm form = ListForm::incr;
-    std::vector<EngineEntry> engines;
+struct EndpointUpdate {
+    EndpointUpdateKind kind = EndpointUpdateKind::incremental;
+    std::vector<Endpoint> endpoints;
 };
-struct Demand {
+struct RequestArrived {
     std::string id;
-    std::string type;
+    std::string class_name;
     std::string tenant;
-    std::string key;  // empty: no order to keep
+    std::string ordering_key;  // empty: no order to keep
     Micros time_left = 0;
-    std::optional<Micros> cost;  // estimated work of all threads, as time on one
-    double memory_mb = 0;
-    std::int64_t group = 0;
-    bool repeat = false;
+    std::optional<Micros> estimated_work;  // estimated work of all threads, as time on one
+    double estimated_memory_mb = 0;
+    std::int64_t table_group = 0;
+    bool client_retry = false;
 };
-struct Begun {
+struct ResponseStarted {
     std::string id;
     int attempt = 0;
 };
-struct Completed {
+struct AttemptCompleted {
     std::string id;
     int attempt = 0;
     EngineId engine = 0;
-    Outcome outcome = Outcome::done;
-    Micros taken = 0;
-    bool finished = false;
+    AttemptOutcome outcome = AttemptOutcome::succeeded;
+    Micros duration = 0;
+    bool request_finished = false;
     double work_ms = 0;  // 0: not told
     double needed_mb = 0;
-    std::optional<Report> report;
+    std::optional<LoadReport> load_report;
 };
-enum class NoteTopic {
-    progress = 1,
-    spills = 2,
-    waits = 3
+enum class ProgressKind {
+    fraction_done = 1,
+    spilling = 2,
+    waiting = 3
 };
-struct Note {
+struct AttemptProgress {
     std::string id;
     int attempt = 0;
     EngineId engine = 0;
-    NoteTopic topic = NoteTopic::progress;
+    ProgressKind kind = ProgressKind::fraction_done;
     double value = 0;
 };
-struct Probed {
+struct HealthCheckCompleted {
     EngineId engine = 0;
-    Micros taken = 0;
-    Outcome outcome = Outcome::done;
-    std::optional<Report> report;
+    Micros duration = 0;
+    AttemptOutcome outcome = AttemptOutcome::succeeded;
+    std::optional<LoadReport> load_report;
 };
 struct PeerMessage {
     int from = 0;
     std::string bytes;
 };
-struct Gone {
+struct ClientDisconnected {
     std::string id;
 };
-struct Bell {
-    std::int64_t name = 0;
+struct TimerFired {
+    std::int64_t timer = 0;
 };
-using Event = std::variant<ListChange, Demand, Begun, Completed, Note, Probed, PeerMessage, Gone, Bell>;
+using Event = std::variant<EndpointUpdate, RequestArrived, ResponseStarted, AttemptCompleted, AttemptProgress,
+                           HealthCheckCompleted, PeerMessage, ClientDisconnected, TimerFired>;
 
 // ---- Actions
 // ------------------------------------------------------------------------------------------------
 
-struct Send {
+struct DispatchAttempt {
     std::string id;
     EngineId engine = 0;
-    Micros time_out = 0;
+    Micros timeout = 0;
 };
-struct Terms {
+struct ResourceGrant {
     std::string id;
-    double grant_mb = 0;  // 0: the engine's own choice
+    double memory_mb = 0;  // 0: the engine's own choice
     int priority = 1;
 };
-enum class EndReason {
-    out_of_time,
-    worthless,
-    no_tries_left
+enum class GiveUpReason {
+    deadline_unreachable,
+    objective_missed,
+    attempts_exhausted
 };  // of a request given up on; for logs
-struct Refuse {
+struct ShedRequest {
     std::string id;
-    Micros come_back = 0;
-    EndReason reason = EndReason::out_of_time;
+    Micros retry_after = 0;
+    GiveUpReason reason = GiveUpReason::deadline_unreachable;
 };
-struct Fail {
+struct FailRequest {
     std::string id;
-    EndReason reason = EndReason::out_of_time;
+    GiveUpReason reason = GiveUpReason::deadline_unreachable;
 };
-struct Cancel {
+struct CancelAttempt {
     std::string id;
     int attempt = 0;
 };
-struct Probe {
+struct CheckHealth {
     EngineId engine = 0;
 };
-struct Tell {
+struct BroadcastToPeers {
     std::string bytes;  // to every peer
 };
-struct Observe {};  // subscribe to the list
-struct SetTimer {
+struct WatchEndpoints {};  // subscribe to the list
+struct StartTimer {
     Micros delay = 0;
-    std::int64_t name = 0;
+    std::int64_t timer = 0;
 };
-using Action = std::variant<Send, Terms, Refuse, Fail, Cancel, Probe, Tell, Observe, SetTimer>;
+using Action = std::variant<DispatchAttempt, ResourceGrant, ShedRequest, FailRequest, CancelAttempt,
+                            CheckHealth, BroadcastToPeers, WatchEndpoints, StartTimer>;
 
 // ---- One front
 // ----------------------------------------------------------------------------------------------
 
-class Brain {
+class GatewayPolicy {
 public:
     // Settings that contradict themselves throw std::invalid_argument.
-    Brain(Micros now, std::uint64_t seed, Settings settings);
-    ~Brain();
-    Brain(Brain&&) noexcept;
-    Brain& operator=(Brain&&) noexcept;
+    GatewayPolicy(Micros now, std::uint64_t seed, PolicySettings settings);
+    ~GatewayPolicy();
+    GatewayPolicy(GatewayPolicy&&) noexcept;
+    GatewayPolicy& operator=(GatewayPolicy&&) noexcept;
 
     // What to do at the start; to be called once, before the first event.
     std::vector<Action> start();
--- a/src/report/render.cpp
+++ b/src/report/render.cpp
@@ -9,7 +9,7 @@
 
 using decide::Line;
 using decide::RequestState;
-using decide::Waste;
+using decide::WastedWork;
 
 constexpr const char* kColumns[] = {"team", "class", "day", "kind"};
 
@@ -87,8 +87,8 @@
         const Micros served = l.work[0];
         std::vector<std::string> cells = rows[i].group;
         for (const std::int64_t n :
-             {requests, count(RequestState::served), l.errors, count(RequestState::refused),
-              count(RequestState::failed), count(RequestState::cut), count(RequestState::cancelled),
+             {requests, count(RequestState::served), l.errors, count(RequestState::shed),
+              count(RequestState::failed), count(RequestState::truncated), count(RequestState::cancelled),
               count(RequestState::abandoned), count(RequestState::interrupted) + count(RequestState::open),
               l.repeats, l.attempts, l.further})
             cells.push_back(std::to_string(n));
@@ -216,7 +216,7 @@
     std::vector<std::vector<std::string>> rows;
     for (int i = 0; i < decide::kFindings; ++i) {
         const auto& f = r.findings[static_cast<std::size_t>(i)];
-        const auto finding = static_cast<decide::Finding>(i);
+        const auto finding = static_cast<decide::SettlementFinding>(i);
         if (f.queries > 0)
             rows.push_back({name_of(finding), explained(finding) ? "" : "UNEXPLAINED",
                             std::to_string(f.queries), seconds_text(f.work)});
@@ -231,7 +231,7 @@
     std::vector<std::vector<std::string>> rows;
     for (int i = 1; i < decide::kWastes; ++i)
         if (const Micros t = total.work[static_cast<std::size_t>(i)]; t > 0)
-            rows.push_back({name_of(static_cast<Waste>(i)), seconds_text(t)});
+            rows.push_back({name_of(static_cast<WastedWork>(i)), seconds_text(t)});
     return rows;
 }
 
@@ -243,7 +243,7 @@
     for (const auto& [front, g] : r.gaps)
         out.push_back(fmt::format(
             "gap: {}: {}, from {} to {}: {} requests, {} updates missing", front.empty() ? "a ledger" : front,
-            g.cause == decide::StoreTrouble::none ? "removed by age" : name_of(g.cause),
+            g.cause == decide::StoreError::none ? "removed by age" : name_of(g.cause),
             statement::utc_text(g.from), statement::utc_text(g.to), n(g.requests), n(g.updates)));
     for (const auto& [front, last] : r.unended)
         out.push_back(
--- a/src/report/report.cpp
+++ b/src/report/report.cpp
@@ -6,9 +6,9 @@
 namespace gatetiller::report {
 namespace {
 
-using decide::Finding;
 using decide::Line;
 using decide::LineKey;
+using decide::SettlementFinding;
 using Json = nlohmann::ordered_json;
 
 std::string exact_text(decide::Exact amount) {
@@ -33,7 +33,7 @@
     for (int i = 0; i < decide::kRequestStates; ++i)
         requests[name_of(static_cast<decide::RequestState>(i))] = l.requests[static_cast<std::size_t>(i)];
     for (int i = 0; i < decide::kWastes; ++i)
-        work[i == 0 ? "served" : name_of(static_cast<decide::Waste>(i))] =
+        work[i == 0 ? "served" : name_of(static_cast<decide::WastedWork>(i))] =
             l.work[static_cast<std::size_t>(i)];
     return {{"requests", std::move(requests)},
             {"errors", l.errors},
@@ -58,7 +58,7 @@
     Report report{
         std::move(calendar), settlement.currency, settlement.decimals, {}, {}, {}, {}, {}, {}, {}, {}, {}};
     store::Ledger& ledger = books.ledger();
-    std::map<std::string, decide::LifeRecord> records;
+    std::map<std::string, decide::IncarnationRecord> records;
     if (auto f = books.lives(records))
         return Error{f.text};
     for (auto& [name, record] : records)
@@ -91,7 +91,7 @@
     decide::Charges charges(prices);
     const auto kinds = kinds_of(ledger);
     const Calendar& days = report.calendar;
-    const auto odd = [&](const decide::Settled& s, const std::string& where, const std::string& engine,
+    const auto odd = [&](const decide::Settlement& s, const std::string& where, const std::string& engine,
                          const std::string& id, Micros at) {
         const bool asked = std::find(ask.list.begin(), ask.list.end(), s.finding) != ask.list.end();
         if ((asked || !explained(s.finding)) && report.oddities.size() < ask.most)
@@ -112,7 +112,7 @@
                 : "-",
             q.engine, q.id, q.created);
     };
-    std::vector<decide::Settled> settled;
+    std::vector<decide::Settlement> settled;
     const auto take = [&](const store::Entry& e) {
         if (!e.whole)
             return alone(e.logged[0][0]);
@@ -174,18 +174,18 @@
     }
     for (int i = 0; i < decide::kFindings; ++i) {
         const auto& f = r.findings[static_cast<std::size_t>(i)];
-        findings[name_of(static_cast<Finding>(i))] = {{"queries", f.queries},
-                                                      {"core_microseconds", f.work},
-                                                      {"explained", explained(static_cast<Finding>(i))}};
+        findings[name_of(static_cast<SettlementFinding>(i))] = {
+            {"queries", f.queries},
+            {"core_microseconds", f.work},
+            {"explained", explained(static_cast<SettlementFinding>(i))}};
     }
     for (const auto& [front, g] : r.gaps)
-        gaps.push_back(
-            {{"front", front},
-             {"cause", g.cause == decide::StoreTrouble::none ? "removed by age" : name_of(g.cause)},
-             {"from", statement::utc_text(g.from)},
-             {"to", statement::utc_text(g.to)},
-             {"requests", g.requests},
-             {"updates", g.updates}});
+        gaps.push_back({{"front", front},
+                        {"cause", g.cause == decide::StoreError::none ? "removed by age" : name_of(g.cause)},
+                        {"from", statement::utc_text(g.from)},
+                        {"to", statement::utc_text(g.to)},
+                        {"requests", g.requests},
+                        {"updates", g.updates}});
     for (const auto& [at, by] : r.clock_steps)
         steps.push_back({{"at", statement::utc_text(at)}, {"microseconds", by}});
     Json unended = Json::array();
@@ -213,7 +213,8 @@
 
 bool all_explained(const Report& r) {
     for (int i = 0; i < decide::kFindings; ++i)
-        if (!explained(static_cast<Finding>(i)) && r.findings[static_cast<std::size_t>(i)].queries > 0)
+        if (!explained(static_cast<SettlementFinding>(i)) &&
+            r.findings[static_cast<std::size_t>(i)].queries > 0)
             return false;
     return r.troubles.empty();
 }
--- a/src/report/report.hpp
+++ b/src/report/report.hpp
@@ -12,7 +12,7 @@
 namespace gatetiller::report {
 
 struct Oddity {  // a query with a finding that is asked for
-    decide::Finding finding;
+    decide::SettlementFinding finding;
     std::string where, engine, id;  // where: the front's life, request and attempt
     Micros at = 0, work = 0, seen = 0;
 };
@@ -24,7 +24,7 @@
     std::map<decide::LineKey, decide::Line> lines;
     std::array<decide::FindingTotal, decide::kFindings> findings{};
     std::vector<Oddity> oddities;  // bounded; findings has the whole count
-    std::vector<std::pair<std::string, decide::Gap>>
+    std::vector<std::pair<std::string, decide::LedgerGap>>
         gaps;  // with the front's name; those that touch the period
     std::vector<std::pair<Micros, Micros>> clock_steps;
     std::vector<std::string> troubles;
@@ -34,7 +34,8 @@
 };
 
 struct Ask {
-    std::vector<decide::Finding> list;  // findings whose queries go into oddities, with those unexplained
+    std::vector<decide::SettlementFinding>
+        list;  // findings whose queries go into oddities, with those unexplained
     std::size_t most = 1000;
 };
 Result<Report> make_report(store::Books& books, const Settlement& settlement, Calendar calendar,
--- a/src/roster/dns_source.cpp
+++ b/src/roster/dns_source.cpp
@@ -14,10 +14,10 @@
 constexpr std::size_t kPortsMost = 4;  // open at once
 
 // The list that an answer holds; an error where a service lacks its address.
-Result<std::vector<decide::ListedEngine>> list_of(const dns::Answer& answer) {
-    std::vector<decide::ListedEngine> list;
+Result<std::vector<decide::DiscoveredEndpoint>> list_of(const dns::Answer& answer) {
+    std::vector<decide::DiscoveredEndpoint> list;
     for (const auto& s : answer.services) {
-        decide::ListedEngine e;
+        decide::DiscoveredEndpoint e;
         const std::size_t dot = s.target.find('.'), second = s.target.find('.', dot + 1);
         if (dot == std::string::npos)
             return Error{"a target without a zone: " + s.target};
@@ -27,7 +27,7 @@
         if (address == answer.addresses.end())
             return Error{"no address of " + s.target};
         e.address = address->second + ":" + std::to_string(s.port);
-        e.state = s.priority == 0 ? EngineState::on : EngineState::fading;
+        e.state = s.priority == 0 ? EndpointState::ready : EndpointState::draining;
         e.share = s.weight / 10.0;
         if (const auto texts = answer.texts.find(s.target); texts != answer.texts.end())
             for (const std::string_view text : texts->second) {
@@ -40,7 +40,7 @@
                 else if (key == "cell")
                     e.cell = to_number<std::int64_t>(value).value_or(0);
                 else if (key == "started")
-                    e.started = to_number<std::int64_t>(value).value_or(0) * kMillisecond;
+                    e.started_at = to_number<std::int64_t>(value).value_or(0) * kMillisecond;
             }
         list.push_back(std::move(e));
     }
--- a/src/roster/dns_source.hpp
+++ b/src/roster/dns_source.hpp
@@ -39,7 +39,7 @@
     struct Heard {
         std::uint32_t number = 0;
         Micros asked = 0;
-        std::vector<decide::ListedEngine> engines;
+        std::vector<decide::DiscoveredEndpoint> engines;
     };
     struct Events {
         std::function<void(const Heard& heard)> list;
--- a/src/roster/last_list.cpp
+++ b/src/roster/last_list.cpp
@@ -14,9 +14,9 @@
                            {"kind", e.kind},
                            {"cell", e.cell},
                            {"share", e.share},
-                           {"state", e.state == EngineState::on       ? "on"
-                                     : e.state == EngineState::fading ? "fading"
-                                                                      : "off"}};
+                           {"state", e.state == EndpointState::ready      ? "on"
+                                     : e.state == EndpointState::draining ? "fading"
+                                                                          : "off"}};
     auto kept = replace_file(file, nlohmann::json{{"engines", std::move(engines)}}.dump(1) + "\n");
     if (!kept)
         return Error{"the last list cannot be kept: " + kept.error(), kept.failure().code};
--- a/src/statement/load_report.cpp
+++ b/src/statement/load_report.cpp
@@ -5,23 +5,23 @@
 namespace gatetiller::statement {
 namespace {
 
-constexpr std::pair<std::string_view, std::optional<double> Report::*> kReportParts[] = {
-    {"concurrent", &Report::concurrent},
-    {"depth", &Report::depth},
-    {"load_share", &Report::load_share},
-    {"mean_ms", &Report::mean_ms},
-    {"tps", &Report::tps},
-    {"err_ps", &Report::err_ps},
-    {"memory_granted", &Report::memory_granted},
-    {"disks_busy", &Report::disks_busy}};
+constexpr std::pair<std::string_view, std::optional<double> LoadReport::*> kReportParts[] = {
+    {"concurrent", &LoadReport::running_queries},
+    {"depth", &LoadReport::queue_depth},
+    {"load_share", &LoadReport::busy_cores_share},
+    {"mean_ms", &LoadReport::mean_ms},
+    {"tps", &LoadReport::tps},
+    {"err_ps", &LoadReport::err_ps},
+    {"memory_granted", &LoadReport::granted_memory_share},
+    {"disks_busy", &LoadReport::busy_disks_share}};
 
 }  // namespace
 
-std::optional<Report> read_report(const http::Headers& headers) {
+std::optional<LoadReport> read_report(const http::Headers& headers) {
     const auto text = headers.find(kLoadHeader);
     if (!text)
         return std::nullopt;
-    Report report;
+    LoadReport report;
     for (const auto part : split(*text, ','))
         for (const auto& [name, member] : kReportParts)
             if (part.starts_with(name) && part.size() > name.size() && part[name.size()] == '=')
@@ -29,7 +29,7 @@
     return report;
 }
 
-std::string write_report(const Report& report) {
+std::string write_report(const LoadReport& report) {
     std::string text;
     for (const auto& [name, member] : kReportParts)
         if (report.*member) {
--- a/src/statement/load_report.hpp
+++ b/src/statement/load_report.hpp
@@ -11,7 +11,7 @@
 namespace gatetiller::statement {
 
 constexpr std::string_view kLoadHeader = "X-Gatetiller-Load";
-std::optional<Report> read_report(const http::Headers& headers);
-std::string write_report(const Report& report);
+std::optional<LoadReport> read_report(const http::Headers& headers);
+std::string write_report(const LoadReport& report);
 
 }  // namespace gatetiller::statement
--- a/src/store/books.cpp
+++ b/src/store/books.cpp
@@ -154,7 +154,8 @@
         }
         for (const AttemptRow& a : w.attempts) {
             const bool known = attempt_state.bind(0, row).bind(1, a.number).step();
-            const auto old = known ? static_cast<AttemptState>(attempt_state.number(0)) : AttemptState::out;
+            const auto old =
+                known ? static_cast<AttemptState>(attempt_state.number(0)) : AttemptState::in_flight;
             attempt_state.reset();
             if (known && !decide::further(a.state, old))
                 continue;
@@ -177,7 +178,7 @@
     auto gaps = from.db().prepare("SELECT life,cause,since,until,requests,updates FROM gaps");
     while (gaps.step()) {
         const auto name = names.find(gaps.number(0));
-        if (gaps.number(1) == static_cast<int>(StoreTrouble::none)) {  // removed by age: the same gap, grown
+        if (gaps.number(1) == static_cast<int>(StoreError::none)) {  // removed by age: the same gap, grown
             old_gap.bind(0, gaps.number(2));
             if (auto f = old_gap.run())
                 return Error{f.text};
@@ -190,7 +191,7 @@
     }
     if (!c.troubles.empty())
         for (const Life& l : lives) {
-            put_gap.bind(0, rows[l.name]).bind(1, static_cast<int>(StoreTrouble::corrupt));
+            put_gap.bind(0, rows[l.name]).bind(1, static_cast<int>(StoreError::corrupt));
             put_gap.bind(2, l.began).bind(3, l.last).bind(4, -1).bind(5, -1);
             if (auto f = put_gap.run())
                 return Error{f.text};
@@ -208,7 +209,7 @@
 }
 
 Failure Books::put_event(Statement& put, const LoggedQuery& q, std::int64_t& fresh) {
-    const auto name = q.name.value_or(decide::AttemptName{});
+    const auto name = q.name.value_or(decide::AttemptTag{});
     put.bind(0, name.life).bind(1, name.request).bind(2, name.attempt).bind(3, q.engine).bind(4, q.id);
     put.bind(5, q.user).bind(6, q.source).bind(7, q.tags).bind(8, q.created).bind(9, q.ended);
     put.bind(10, q.work).bind(11, q.peak_bytes).bind(12, q.spilled_bytes).bind(13, q.row_bytes);
@@ -251,17 +252,17 @@
     return c;
 }
 
-Failure Books::lives(std::map<std::string, decide::LifeRecord>& to) {
+Failure Books::lives(std::map<std::string, decide::IncarnationRecord>& to) {
     std::vector<Life> all;
     if (auto f = ledger_.lives(all))
         return f;
-    std::map<std::int64_t, decide::LifeRecord*> by_row;
+    std::map<std::int64_t, decide::IncarnationRecord*> by_row;
     for (const Life& l : all)
         by_row[l.row] = &to[l.name];
     auto gaps = ledger_.db().prepare("SELECT life,cause,since,until,requests,updates FROM gaps");
     while (gaps.step()) {
-        const Gap g{static_cast<StoreTrouble>(gaps.number(1)), gaps.number(2), gaps.number(3), gaps.number(4),
-                    gaps.number(5)};
+        const LedgerGap g{static_cast<StoreError>(gaps.number(1)), gaps.number(2), gaps.number(3),
+                          gaps.number(4), gaps.number(5)};
         if (const auto life = by_row.find(gaps.number(0)); life != by_row.end())
             life->second->gaps.push_back(g);
         else
@@ -274,11 +275,11 @@
     // came after its last write is not here.
     for (const Life& l : all) {
         auto& gaps_of = by_row[l.row]->gaps;
-        const bool marked = std::any_of(gaps_of.begin(), gaps_of.end(), [](const Gap& g) {
-            return g.cause == StoreTrouble::killed;
+        const bool marked = std::any_of(gaps_of.begin(), gaps_of.end(), [](const LedgerGap& g) {
+            return g.cause == StoreError::killed;
         });
         if (l.ended == 0 && !marked)
-            gaps_of.push_back({StoreTrouble::killed, l.last, std::numeric_limits<Micros>::max() / 2, -1, -1});
+            gaps_of.push_back({StoreError::killed, l.last, std::numeric_limits<Micros>::max() / 2, -1, -1});
     }
     auto steps = ledger_.db().prepare("SELECT life,by FROM clock_steps");
     while (steps.step())
@@ -306,7 +307,7 @@
         alone();
     Entry e;
     const auto take = [&](const Whole& w) {
-        const auto before = [&](const decide::AttemptName& n) {
+        const auto before = [&](const decide::AttemptTag& n) {
             return std::tie(n.life, n.request) < std::tie(w.life->name, w.request.number);
         };
         while (queries.more() && before(*queries.now().name))
--- a/src/store/books.hpp
+++ b/src/store/books.hpp
@@ -37,7 +37,7 @@
     Failure each(const std::function<void(const Entry&)>& entry,
                  const std::function<void(std::string)>& damaged);
     // What each life's ledger says of its gaps, by the life's name.
-    Failure lives(std::map<std::string, decide::LifeRecord>& to);
+    Failure lives(std::map<std::string, decide::IncarnationRecord>& to);
     Ledger& ledger() {
         return ledger_;
     }
--- a/src/store/db.cpp
+++ b/src/store/db.cpp
@@ -7,28 +7,28 @@
 namespace gatetiller::store {
 namespace {
 
-StoreTrouble trouble_of(int code) {
+StoreError trouble_of(int code) {
     switch (code & 0xff) {
         case SQLITE_OK:
         case SQLITE_ROW:
         case SQLITE_DONE:
-            return StoreTrouble::none;
+            return StoreError::none;
         case SQLITE_FULL:
-            return StoreTrouble::full;
+            return StoreError::full;
         case SQLITE_READONLY:
         case SQLITE_PERM:
-            return StoreTrouble::read_only;
+            return StoreError::read_only;
         case SQLITE_CORRUPT:
-            return StoreTrouble::corrupt;
+            return StoreError::corrupt;
         case SQLITE_NOTADB:
-            return StoreTrouble::foreign;
+            return StoreError::foreign;
         case SQLITE_BUSY:
         case SQLITE_LOCKED:
-            return StoreTrouble::locked;
+            return StoreError::locked;
         case SQLITE_CANTOPEN:
-            return StoreTrouble::no_access;
+            return StoreError::no_access;
         default:
-            return StoreTrouble::io;
+            return StoreError::io;
     }
 }
 
@@ -124,7 +124,7 @@
 }
 
 Failure Db::failure_of(int code) const {
-    if (trouble_of(code) == StoreTrouble::none)
+    if (trouble_of(code) == StoreError::none)
         return {};
     const int whole = held_ ? sqlite3_extended_errcode(held_) : code;
     std::string text = file_ + ": " + (held_ ? sqlite3_errmsg(held_) : sqlite3_errstr(code)) + " (" +
@@ -134,7 +134,7 @@
 
 Failure Db::exec(const std::string& sql) {
     if (!held_)
-        return {StoreTrouble::no_access, file_ + ": not open"};
+        return {StoreError::no_access, file_ + ": not open"};
     return failure_of(sqlite3_exec(held_, sql.c_str(), nullptr, nullptr, nullptr));
 }
 
@@ -142,7 +142,7 @@
     Statement s;
     s.db_ = this;
     if (!held_)
-        s.failure_ = {StoreTrouble::no_access, file_ + ": not open"};
+        s.failure_ = {StoreError::no_access, file_ + ": not open"};
     else
         s.failure_ = failure_of(sqlite3_prepare_v2(held_, sql.c_str(), -1, &s.held_, nullptr));
     return s;
--- a/src/store/db.hpp
+++ b/src/store/db.hpp
@@ -16,13 +16,13 @@
 
 namespace gatetiller::store {
 
-using decide::StoreTrouble;
+using decide::StoreError;
 
 struct Failure {
-    StoreTrouble trouble = StoreTrouble::none;
+    StoreError trouble = StoreError::none;
     std::string text;  // what SQLite says, and of which file
     explicit operator bool() const {
-        return trouble != StoreTrouble::none;
+        return trouble != StoreError::none;
     }
 };
 
--- a/src/store/ledger.cpp
+++ b/src/store/ledger.cpp
@@ -15,8 +15,8 @@
 namespace {
 
 using decide::AttemptState;
+using decide::Requester;
 using decide::RequestState;
-using decide::Who;
 
 constexpr std::int64_t kApplication = 0x67744c31;  // in the file's head: this is a ledger
 // A flush, a commit, and the steps of a clock that are too small to be noticed.
@@ -73,7 +73,7 @@
                   {a.engine_id});
 }
 
-std::string name_key(const Who& w) {
+std::string name_key(const Requester& w) {
     std::string key;
     for (const std::string* part : {&w.user, &w.source, &w.tags, &w.cls, &w.tenant})
         (key += *part) += '\0';
@@ -126,9 +126,9 @@
                tables = db_.number("SELECT count(*) FROM sqlite_master");
     for (const auto* n : {&application, &version, &tables})
         if (!*n)
-            return {StoreTrouble::corrupt, n->error()};
+            return {StoreError::corrupt, n->error()};
     const auto foreign = [&](const std::string& what) {
-        return Failure{StoreTrouble::foreign, db_.file() + ": " + what};
+        return Failure{StoreError::foreign, db_.file() + ": " + what};
     };
     if (*tables > 0 && *application != kApplication)
         return foreign("is a database of another program; name another file for the ledger");
@@ -261,8 +261,8 @@
             return f;
         if (!before.empty() && before.back().ended == 0) {
             const Life& last = before.back();
-            taken.killed = decide::killed_gap(last.last, wall, kTail);
-            put_gap_.bind(0, last.row).bind(1, static_cast<int>(StoreTrouble::killed));
+            taken.killed = decide::gap_after_kill(last.last, wall, kTail);
+            put_gap_.bind(0, last.row).bind(1, static_cast<int>(StoreError::killed));
             put_gap_.bind(2, taken.killed->from).bind(3, taken.killed->to).bind(4, -1).bind(5, -1);
             if (auto f = put_gap_.run())
                 return f;
@@ -295,7 +295,7 @@
                 },
                 row))
             return failed(f);
-    for (const Gap& g : b.gaps) {
+    for (const LedgerGap& g : b.gaps) {
         put_gap_.bind(0, life_).bind(1, static_cast<int>(g.cause)).bind(2, g.from).bind(3, g.to);
         put_gap_.bind(4, g.requests).bind(5, g.updates);
         if (auto f = put_gap_.run())
@@ -323,7 +323,7 @@
     auto old = db_.prepare("SELECT row, taken, state FROM requests ORDER BY row LIMIT ?");
     old.bind(0, most);
     std::int64_t upto = 0;
-    Gap gap{StoreTrouble::none, wall, 0, 0, 0};
+    LedgerGap gap{StoreError::none, wall, 0, 0, 0};
     while (old.step()) {
         if (old.number(1) >= wall || old.number(2) == 0)
             break;
@@ -377,7 +377,7 @@
 
 // ---- Rows
 
-std::int64_t Ledger::who_row(const Who& w, Failure& failure) {
+std::int64_t Ledger::who_row(const Requester& w, Failure& failure) {
     if (who_rows_.size() > kNamesHeld)
         who_rows_.clear();
     const auto [held, fresh] = who_rows_.try_emplace(name_key(w), 0);
@@ -434,7 +434,7 @@
     return put_attempt_.run();
 }
 
-std::shared_ptr<const Who> Ledger::who_of(std::int64_t row) {
+std::shared_ptr<const Requester> Ledger::who_of(std::int64_t row) {
     if (whos_.size() > kNamesHeld)
         whos_.clear();
     auto& held = whos_[row];
@@ -442,10 +442,10 @@
         return held;
     auto s = db_.prepare("SELECT user,source,tags,class,tenant FROM who WHERE row=?");
     s.bind(0, row);
-    Who w;
+    Requester w;
     if (s.step())
         w = {s.text(0), s.text(1), s.text(2), s.text(3), s.text(4)};
-    return held = std::make_shared<const Who>(std::move(w));
+    return held = std::make_shared<const Requester>(std::move(w));
 }
 
 const std::pair<std::string, std::string>& Ledger::engine_of(std::int64_t row) {
@@ -494,13 +494,13 @@
     return s.failure();
 }
 
-Failure Ledger::gaps(std::vector<std::pair<std::string, Gap>>& to) {
+Failure Ledger::gaps(std::vector<std::pair<std::string, LedgerGap>>& to) {
     auto s = db_.prepare(
         "SELECT coalesce(front,''),cause,since,until,requests,updates FROM gaps "
         "LEFT JOIN lives ON lives.row=life ORDER BY since, until, cause, 1");
     while (s.step())
         to.push_back({s.text(0),
-                      {state_from<StoreTrouble>(s.number(1), static_cast<int>(StoreTrouble::foreign) + 1),
+                      {state_from<StoreError>(s.number(1), static_cast<int>(StoreError::foreign) + 1),
                        s.number(2), s.number(3), s.number(4), s.number(5)}});
     return s.failure();
 }
@@ -644,7 +644,7 @@
             read_request(s, r) && life != by_row.end())
             row(*life->second, r);
     // A damaged page is told by each(), which gets past it.
-    return s.failure().trouble == StoreTrouble::corrupt ? Failure{} : s.failure();
+    return s.failure().trouble == StoreError::corrupt ? Failure{} : s.failure();
 }
 
 // ---- The lock
@@ -654,12 +654,12 @@
     const std::string name = file + ".lock";
     held_ = ::open(name.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644);
     if (held_ < 0)
-        return {errno == EROFS ? StoreTrouble::read_only : StoreTrouble::no_access,
+        return {errno == EROFS ? StoreError::read_only : StoreError::no_access,
                 name + ": " + std::strerror(errno)};
     if (::flock(held_, LOCK_EX | LOCK_NB) == 0)
         return {};
     release();
-    return {StoreTrouble::locked,
+    return {StoreError::locked,
             file + ": another process keeps this ledger; give each front a file of its own"};
 }
 
--- a/src/store/ledger.hpp
+++ b/src/store/ledger.hpp
@@ -19,14 +19,14 @@
 namespace gatetiller::store {
 
 using decide::AttemptRow;
-using decide::Gap;
+using decide::LedgerGap;
 using decide::RequestRow;
 
 constexpr int kSchemaVersion = 2;
 
 struct Batch {
     std::vector<std::variant<RequestRow, AttemptRow>> rows;  // of the same key the last one counts
-    std::vector<Gap> gaps;
+    std::vector<LedgerGap> gaps;
     std::vector<std::pair<Micros, Micros>> clock_steps;  // at (after the step), by how much
     Micros wall = 0;                                     // all until here is in this batch or before
 };
@@ -39,7 +39,8 @@
 
 struct Taken {  // what a new life found
     std::int64_t requests_interrupted = 0, attempts_interrupted = 0;
-    std::optional<Gap> killed;  // the stretch at the end of the life before in which requests may be missing
+    std::optional<LedgerGap>
+        killed;  // the stretch at the end of the life before in which requests may be missing
 };
 
 // Rows of one request, wherever they come from.
@@ -72,7 +73,7 @@
     Failure expire(Micros wall, int most, std::int64_t& removed);
     // Work of requests taken since `wall`, in all, by requester and by `step` of time.
     struct Past {
-        std::shared_ptr<const decide::Who> who;
+        std::shared_ptr<const decide::Requester> who;
         Micros taken = 0, work = 0;
     };
     Failure work_since(Micros wall, Micros step, std::vector<Past>& to);
@@ -86,7 +87,7 @@
     // Requests with a key and a window alone, without their attempts.
     Failure each_keyed(const std::function<void(const Life&, const RequestRow&)>& row);
     Failure lives(std::vector<Life>& to);
-    Failure gaps(std::vector<std::pair<std::string, Gap>>& to);  // with the front's name
+    Failure gaps(std::vector<std::pair<std::string, LedgerGap>>& to);  // with the front's name
     Failure clock_steps(std::vector<std::pair<Micros, Micros>>& to);
     // Puts rows of another ledger's life in, by what is known: a row that says more replaces one that says
     // less, so that taking the same rows twice, or those of a copy, changes nothing.
@@ -100,9 +101,9 @@
 private:
     Failure migrate(bool read_only);
     Failure prepare();
-    std::int64_t who_row(const decide::Who& who, Failure& failure);
+    std::int64_t who_row(const decide::Requester& who, Failure& failure);
     std::int64_t engine_row(const std::string& name, const std::string& kind, Failure& failure);
-    std::shared_ptr<const decide::Who> who_of(std::int64_t row);
+    std::shared_ptr<const decide::Requester> who_of(std::int64_t row);
     const std::pair<std::string, std::string>& engine_of(std::int64_t row);
     bool read_request(Statement& s, RequestRow& to);
     bool read_attempt(Statement& s, AttemptRow& to);
@@ -114,7 +115,7 @@
         add_engine_;
     // Bounded: names are looked up again once too many are held.
     std::unordered_map<std::string, std::int64_t> who_rows_, engine_rows_;
-    std::unordered_map<std::int64_t, std::shared_ptr<const decide::Who>> whos_;
+    std::unordered_map<std::int64_t, std::shared_ptr<const decide::Requester>> whos_;
     std::map<std::int64_t, std::pair<std::string, std::string>> engines_;
 };
 
--- a/src/store/writer.cpp
+++ b/src/store/writer.cpp
@@ -79,12 +79,12 @@
         queue_.clear();
         queue_.reserve(next.rows.size());
         ++flush_;
-        if (const auto step = clock_.look(now, wall)) {
+        if (const auto step = clock_.detect(now, wall)) {
             next.clock_steps.emplace_back(wall, *step);
             words_.push_back("ledger: the wall clock stepped by " + std::to_string(*step / kMillisecond) +
                              " ms; times before and after stand as they were read");
         }
-        if (trouble_ == decide::StoreTrouble::none)
+        if (trouble_ == decide::StoreError::none)
             if (const auto gap = intake_.take_gap(in_hand_, last_trouble_)) {
                 next.gaps.push_back(*gap);
                 words_.push_back("ledger: a gap: " + std::to_string(gap->requests) +
@@ -142,7 +142,7 @@
     if (thread_.joinable())
         thread_.join();
     // Here alone now. A store in trouble gets one more try.
-    turn(std::max(now, keeper_.again_at()));
+    turn(std::max(now, keeper_.retry_at()));
     if (pending_.rows.empty() && ledger_.is_open()) {
         if (const auto f = ledger_.end_life(wall))
             say("ledger: " + f.text);
@@ -187,31 +187,31 @@
         if (shared_.wall > 0)
             append(pending_, shared_);
     }
-    using Do = decide::Keeper::Do;
+    using Do = decide::LedgerState::Step;
     for (;;) {
         switch (keeper_.next(now)) {
             case Do::wait:
                 return;
-            case Do::set_aside:
+            case Do::quarantine:
                 set_aside(now);
                 continue;
             case Do::open:
                 if (const auto f = open())
                     return failed(f, now);
-                keeper_.opened();
+                keeper_.on_opened();
                 continue;
             case Do::write:
                 break;
         }
         break;
     }
-    const bool was_well = keeper_.well();
+    const bool was_well = keeper_.healthy();
     if (pending_.rows.empty() && pending_.gaps.empty() && pending_.clock_steps.empty() && was_well &&
         now - touched_ < kTouchEvery)
         return;
     if (const auto f = ledger_.write(pending_))
         return failed(f, now);
-    keeper_.written();
+    keeper_.on_written();
     touched_ = now;
     if (!was_well)
         say("ledger: written again");
@@ -221,7 +221,7 @@
         batches_ += 1;
         written_until_ = pending_.wall;
         in_hand_ -= pending_.rows.size();
-        trouble_ = decide::StoreTrouble::none;
+        trouble_ = decide::StoreError::none;
     }
     std::int64_t removed = 0;
     if (settings_.keep > 0)
@@ -261,9 +261,9 @@
 void LedgerWriter::failed(const Failure& f, Micros now) {
     Failure what = f;
     // Only a ledger is moved out of the way; with any other file the operator has a say.
-    if (what.trouble == StoreTrouble::corrupt && !looks_like_ledger(settings_.file))
-        what.trouble = StoreTrouble::foreign;
-    if (keeper_.failed(what.trouble, now))
+    if (what.trouble == StoreError::corrupt && !looks_like_ledger(settings_.file))
+        what.trouble = StoreError::foreign;
+    if (keeper_.on_failed(what.trouble, now))
         say(std::string("ledger NOT WRITTEN (") + name_of(what.trouble) + "): " + what.text +
             "; statements go on, " + std::to_string(pending_.rows.size()) + " rows wait");
     const std::lock_guard guard(mutex_);
@@ -281,9 +281,9 @@
         if (std::filesystem::exists(settings_.file + part, error))
             std::filesystem::rename(settings_.file + part, to + part, error);
     if (error)
-        return failed({StoreTrouble::io, settings_.file + ": " + error.message()}, now);
+        return failed({StoreError::io, settings_.file + ": " + error.message()}, now);
     say("ledger: the damaged file is set aside as " + to + ", a new one begins; give both to the report");
-    keeper_.was_set_aside();
+    keeper_.on_quarantined();
 }
 
 }  // namespace gatetiller::store
--- a/src/store/writer.hpp
+++ b/src/store/writer.hpp
@@ -22,13 +22,13 @@
     std::string life;  // 16 hex digits that nobody has had before
     Micros flush_every = 100 * kMillisecond;
     Micros keep = 0;  // closed requests are removed after so long; 0: never
-    decide::KeeperLimits limits{};
+    decide::LedgerLimits limits{};
     std::string vfs{};
     Micros past = 0;  // so much of earlier lives' work is read back at the start; 0: none
 };
 
 struct WriterStatus {
-    decide::StoreTrouble trouble = decide::StoreTrouble::none;
+    decide::StoreError trouble = decide::StoreError::none;
     std::size_t waiting = 0;
     std::int64_t lost = 0, committed = 0, batches = 0;
     Micros written_until = 0;  // wall clock
@@ -96,8 +96,8 @@
 
     WriterSettings settings_;
     // The loop's side alone
-    decide::Intake intake_;
-    decide::ClockWatch clock_;
+    decide::LedgerIntake intake_;
+    decide::ClockStepDetector clock_;
     std::vector<std::variant<RequestRow, AttemptRow>> queue_;
     std::uint32_t last_number_ = 0;
     std::uint64_t flush_ = 1;
@@ -110,13 +110,13 @@
     std::vector<Ledger::Past> past_;
     Before before_;
     bool work_ = false, stop_ = false;
-    decide::StoreTrouble trouble_ = decide::StoreTrouble::none, last_trouble_ = decide::StoreTrouble::none;
+    decide::StoreError trouble_ = decide::StoreError::none, last_trouble_ = decide::StoreError::none;
     std::int64_t committed_ = 0, batches_ = 0;
     Micros written_until_ = 0;
     std::atomic<std::size_t> in_hand_ = 0;  // rows that the store's side holds, with those in shared_
 
     // The store's side alone
-    decide::Keeper keeper_;
+    decide::LedgerState keeper_;
     FileLock lock_;
     Ledger ledger_;
     Batch pending_;
--- a/tests/bench/wire_test.cpp
+++ b/tests/bench/wire_test.cpp
@@ -42,12 +42,12 @@
 }
 
 TEST(Wire, ReadsSettings) {
-    const Settings s = *platform::parse_settings(kSettings);
+    const PolicySettings s = *platform::parse_settings(kSettings);
     ASSERT_EQ(s.classes.size(), 1u);
     EXPECT_EQ(s.classes[0].threads, 2);
     EXPECT_EQ(s.kinds[0].cores, 8);
-    EXPECT_FALSE(s.extra_free.has_value());
-    EXPECT_FALSE(s.classes[0].served_on.has_value());
+    EXPECT_FALSE(s.retry_budget_base.has_value());
+    EXPECT_FALSE(s.classes[0].allowed_kinds.has_value());
 }
 
 TEST(Wire, EmptyBatchAndEndOfInput) {
--- a/tests/cli/node_day_test.cpp
+++ b/tests/cli/node_day_test.cpp
@@ -228,10 +228,10 @@
     for (const auto& e : engines)
         EXPECT_TRUE(e->unusable().empty()) << e->name() << ": " << e->unusable()[0];
     ClassSettings lookup, load;
-    lookup.name = "lookup", lookup.effect = Effect::repeatable, lookup.deadline = 2 * kSecondMicros,
-    lookup.value = 1;
-    load.name = "load", load.effect = Effect::by_key, load.key_scope = Scope::all,
-    load.window = 25 * kSecondMicros, load.deadline = 4 * kSecondMicros, load.value = 5;
+    lookup.name = "lookup", lookup.idempotency = Idempotency::idempotent, lookup.deadline = 2 * kSecondMicros,
+    lookup.priority_weight = 1;
+    load.name = "load", load.idempotency = Idempotency::keyed, load.key_scope = KeyScope::all,
+    load.key_window = 25 * kSecondMicros, load.deadline = 4 * kSecondMicros, load.priority_weight = 5;
     records.facts.classes = {lookup, load};
     records.facts.drain_grace = 2'050 * kMillisecond;
     records.sort();
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -45,12 +45,12 @@
     const auto& f = loaded->front;
     ASSERT_EQ(f.module.classes.size(), 2u);
     EXPECT_EQ(f.module.classes[0].name, "keyed");
-    EXPECT_EQ(f.module.classes[0].effect, Effect::by_key);
-    EXPECT_EQ(f.module.classes[0].window, 20 * kSecondMicros);
+    EXPECT_EQ(f.module.classes[0].idempotency, Idempotency::keyed);
+    EXPECT_EQ(f.module.classes[0].key_window, 20 * kSecondMicros);
     EXPECT_EQ(f.module.kinds.at(0).memory_mb, 16384);
     EXPECT_EQ(f.engines.at(0).address.port, 9001);
-    EXPECT_EQ(f.module.attempts_cap, 4);
-    EXPECT_TRUE(f.module.may_cancel);
+    EXPECT_EQ(f.module.max_attempts, 4);
+    EXPECT_TRUE(f.module.can_cancel);
 }
 
 TEST(Config, EveryMistakeIsToldWithItsLineAndWhatIsAllowed) {
@@ -98,7 +98,7 @@
     EXPECT_EQ(read_engine_list(R"({"engines": {"a": {"address": "127.0.0.1:1", "state": "fading"}}})", "list")
                   ->at(0)
                   .state,
-              EngineState::fading);
+              EndpointState::draining);
     for (const char* bad :
          {"{", "[]", "{}", R"({"engines": {"a": {}}})", R"({"engines": {"a": {"address": "x"}}})",
           R"({"engines": {"a": {"address": "127.0.0.1:1", "state": "up"}}})"})
--- a/tests/decide/quota_test.cpp
+++ b/tests/decide/quota_test.cpp
@@ -16,20 +16,21 @@
 TEST(Quota, StatesRiseAtOnceAndFallAfterAWhileBelowTheirBudget) {
     Quota q({60 * kMinute, 1, 0.9, 5 * kMinute}, {{"a", 100 * kSecondMicros, 200 * kSecondMicros}});
     Micros now = 1000 * kMinute;
-    EXPECT_EQ(q.state("a", now), QuotaState::within);
-    EXPECT_EQ(q.state("nobody", now), QuotaState::within);
-    q.used("a", now, 100 * kSecondMicros);
-    EXPECT_EQ(q.state("a", now), QuotaState::soft);
+    EXPECT_EQ(q.state("a", now), QuotaState::within_budget);
+    EXPECT_EQ(q.state("nobody", now), QuotaState::within_budget);
+    q.record_use("a", now, 100 * kSecondMicros);
+    EXPECT_EQ(q.state("a", now), QuotaState::over_soft_limit);
     now += 30 * kMinute;
-    q.used("a", now, 105 * kSecondMicros);
-    EXPECT_EQ(q.state("a", now), QuotaState::hard);
+    q.record_use("a", now, 105 * kSecondMicros);
+    EXPECT_EQ(q.state("a", now), QuotaState::over_hard_limit);
     // The first hundred leave the window half an hour on: not a moment later than said.
-    const Micros back = q.come_back("a", now);
+    const Micros back = q.retry_after("a", now);
     EXPECT_GT(back, 28 * kMinute);
     EXPECT_LE(back, 32 * kMinute);
-    EXPECT_EQ(q.state("a", now + back - 2 * kMinute), QuotaState::hard);
-    EXPECT_EQ(q.state("a", now + back), QuotaState::soft);  // 105 left: above nine tenths of the soft one
-    EXPECT_EQ(q.state("a", now + 70 * kMinute), QuotaState::within);
+    EXPECT_EQ(q.state("a", now + back - 2 * kMinute), QuotaState::over_hard_limit);
+    EXPECT_EQ(q.state("a", now + back),
+              QuotaState::over_soft_limit);  // 105 left: above nine tenths of the soft one
+    EXPECT_EQ(q.state("a", now + 70 * kMinute), QuotaState::within_budget);
     EXPECT_EQ(q.use("a", now + 70 * kMinute), 0);
 }
 
@@ -39,10 +40,10 @@
         Random random(seed);
         Quota q({10 * kMinute, 1, 0.9, kMinute}, {{"a", 60 * kSecondMicros, 90 * kSecondMicros}});
         Micros now = 0, changed = 0;
-        QuotaState state = QuotaState::within;
+        QuotaState state = QuotaState::within_budget;
         for (int i = 0; i < 3000; ++i) {
             now += static_cast<Micros>(random.below(4 * kSecondMicros));
-            q.used("a", now, static_cast<Micros>(random.below(500'000)));
+            q.record_use("a", now, static_cast<Micros>(random.below(500'000)));
             const QuotaState next = q.state("a", now);
             if (next < state) {
                 EXPECT_GE(now - changed, kMinute) << "seed " << seed;
@@ -68,9 +69,9 @@
             const auto to = even ? static_cast<std::size_t>(i % fronts)
                                  : static_cast<std::size_t>(
                                        random.below(random.below(static_cast<std::uint64_t>(fronts)) + 1));
-            if (all[to].state("a", kMinute) == QuotaState::hard)
+            if (all[to].state("a", kMinute) == QuotaState::over_hard_limit)
                 continue;
-            all[to].used("a", kMinute, one);
+            all[to].record_use("a", kMinute, one);
             used += one;
         }
         EXPECT_LE(used, hard + fronts * one) << "seed " << seed;
@@ -92,7 +93,7 @@
         for (int i = 0; i < 300; ++i) {
             now += static_cast<Micros>(random.below(kMinute));
             const auto work = static_cast<Micros>(random.below(4 * kSecondMicros));
-            before.used("a", now, work);
+            before.record_use("a", now, work);
             ledger.emplace_back(now, work);
         }
         const Micros began = 7 * kSecondMicros;  // the new front's clock is young
@@ -162,7 +163,7 @@
         const auto wall = [&](Micros after) {
             return last + after + (after >= step_at ? step : 0);
         };
-        const Gap g = killed_gap(last, wall(down), tail);
+        const LedgerGap g = gap_after_kill(last, wall(down), tail);
         // An engine's clock goes on as it did; one that steps along with the front's is covered too, but
         // where the step came within the tail and the front was down for longer than it: nothing tells of it
         // then.
@@ -181,7 +182,7 @@
     const auto row = [](std::uint32_t number, Micros taken, const char* key, const char* tenant = "t") {
         RequestRow r;
         r.number = number, r.taken = taken, r.key = key, r.key_window = 10;
-        r.who = std::make_shared<const Who>(Who{"u", "s", "", "c", tenant});
+        r.who = std::make_shared<const Requester>(Requester{"u", "s", "", "c", tenant});
         return r;
     };
     Repeats repeats;
--- a/tests/engine/model_test.cpp
+++ b/tests/engine/model_test.cpp
@@ -48,7 +48,8 @@
         Random random(seed);
         MachineSettings s;
         s.cores = random.uniform(1, 8), s.memory_mb = 1000;
-        s.when_short = std::array{WhenShort::queue, WhenShort::trim, WhenShort::swap}[random.below(3)];
+        s.when_short = std::array{MemoryShortagePolicy::queue, MemoryShortagePolicy::trim,
+                                  MemoryShortagePolicy::swap}[random.below(3)];
         s.priorities = random.chance(0.5), s.bad_plans = 0.1,
         s.warm_up = random.chance(0.5) ? kSecondMicros : 0;
         Machine m(0, s, seed);
@@ -74,10 +75,11 @@
             }
             ended += m.take_ended().size();
             const auto r = m.report();
-            if (s.when_short != WhenShort::swap) {
-                EXPECT_LE(*r.memory_granted, 1.0001) << "seed " << seed;
+            if (s.when_short != MemoryShortagePolicy::swap) {
+                EXPECT_LE(*r.granted_memory_share, 1.0001) << "seed " << seed;
             }
-            EXPECT_EQ(static_cast<std::size_t>(*r.concurrent), taken - ended - cancelled) << "seed " << seed;
+            EXPECT_EQ(static_cast<std::size_t>(*r.running_queries), taken - ended - cancelled)
+                << "seed " << seed;
             // No faster than its cores and its disks.
             EXPECT_LE(m.work_done(), static_cast<double>(now) * s.cores * (1 + s.disks) * 1.0001 + 1)
                 << "seed " << seed;
@@ -92,17 +94,17 @@
     MachineSettings s;
     s.cores = 8, s.memory_mb = 100, s.largest_share = 1, s.spill_cost = 3, s.knee = 10;
     Machine::JobId a = 0, b = 0;
-    s.when_short = WhenShort::queue;
+    s.when_short = MemoryShortagePolicy::queue;
     Machine queue(0, s, 1);
     (void)queue.submit(0, job(100, 1, 80), a), (void)queue.submit(0, job(100, 1, 80), b);
     EXPECT_EQ(queue.view(b)->phase, Phase::for_memory);
     EXPECT_NEAR(static_cast<double>(drain(queue, 0).at(b)), 200'000, 3);
-    s.when_short = WhenShort::trim;
+    s.when_short = MemoryShortagePolicy::trim;
     Machine trim(0, s, 1);
     (void)trim.submit(0, job(100, 1, 80), a), (void)trim.submit(0, job(100, 1, 80), b);
     EXPECT_EQ(trim.view(b)->spilled_mb, 60);
     EXPECT_NEAR(static_cast<double>(drain(trim, 0).at(b)), 250'000, 3);  // 1 + 2 x 60/80 times its work
-    s.when_short = WhenShort::swap;
+    s.when_short = MemoryShortagePolicy::swap;
     Machine swap(0, s, 1);
     (void)swap.submit(0, job(100, 4, 80), a), (void)swap.submit(0, job(100, 4, 80), b);
     EXPECT_GT(drain(swap, 0).at(b), 50'000);  // 25 ms each if they had the memory
--- a/tests/faults/durable_test.cpp
+++ b/tests/faults/durable_test.cpp
@@ -87,8 +87,8 @@
     std::string log;
     int lists = 0;
     front::Engines engines(loop, settings,
-                           {[&](ListChange c) {
-                                lists += c.form == ListForm::total;
+                           {[&](EndpointUpdate c) {
+                                lists += c.kind == EndpointUpdateKind::full;
                             },
                             [&](const std::string& text) {
                                 log += text + "\n";
--- a/tests/faults/node_faults_test.cpp
+++ b/tests/faults/node_faults_test.cpp
@@ -95,7 +95,7 @@
 
 // Its client goes while it goes out, and the settings let nothing be called off: it would begin for nobody.
 TEST_F(NodeFaults, ARequestGivenUpInTheMiddleOfItsSendingNeverBegins) {
-    settings.module.may_cancel = false;
+    settings.module.can_cancel = false;
     engine("s-1");
     start();
     auto& c = client();
--- a/tests/faults/node_process.hpp
+++ b/tests/faults/node_process.hpp
@@ -127,8 +127,8 @@
             return clients.front()->open() == 0;
         }));
         ClassSettings lookup;
-        lookup.name = "lookup", lookup.effect = Effect::repeatable, lookup.deadline = kDeadline,
-        lookup.late_share = 0.5;
+        lookup.name = "lookup", lookup.idempotency = Idempotency::idempotent, lookup.deadline = kDeadline,
+        lookup.late_value_share = 0.5;
         records.facts.classes = {lookup};
         records.facts.answer_grace = 20 * kMillisecond,
         records.facts.drain_grace = kGrace + 50 * kMillisecond;
--- a/tests/front/hard_cases_test.cpp
+++ b/tests/front/hard_cases_test.cpp
@@ -199,7 +199,7 @@
     // Told within a period of watching; the rule's grace is two seconds.
     ASSERT_TRUE(w.until([&] {
         for (const auto& [id, e] : w.front().engines().all())
-            if (e->settings.name == "e0" && e->watch.entry().state == EngineState::fading)
+            if (e->settings.name == "e0" && e->watch.endpoint().state == EndpointState::draining)
                 return true;
         return false;
     }));
@@ -238,8 +238,8 @@
     Whole w(1, "roster+: { watch_every: '60s' }");
     int held = 0;
     w.drop_event = [&](const Event& e) {
-        const auto* change = std::get_if<ListChange>(&e);
-        held += change && !change->engines.empty() && change->engines[0].state == EngineState::fading;
+        const auto* change = std::get_if<EndpointUpdate>(&e);
+        held += change && !change->endpoints.empty() && change->endpoints[0].state == EndpointState::draining;
         return false;
     };
     w.restart();
@@ -274,10 +274,10 @@
 // look.
 TEST(HardCases, AnEngineThatReturnsToTheListIsAskedBeforeItGetsMore) {
     Whole w(2, "roster+: { watch_every: '60s' }");
-    std::vector<EngineState> told;  // of the second engine
+    std::vector<EndpointState> told;  // of the second engine
     w.drop_event = [&](const Event& e) {
-        if (const auto* change = std::get_if<ListChange>(&e))
-            for (const EngineEntry& entry : change->engines)
+        if (const auto* change = std::get_if<EndpointUpdate>(&e))
+            for (const Endpoint& entry : change->endpoints)
                 if (entry.id == 2)
                     told.push_back(entry.state);
         return false;
@@ -292,10 +292,10 @@
     told.clear();
     w.front().reload(w.settings);
     ASSERT_TRUE(w.until([&] {
-        return !told.empty() && told.back() == EngineState::on;
+        return !told.empty() && told.back() == EndpointState::ready;
     }));
-    EXPECT_EQ(told.front(), EngineState::fading);
-    EXPECT_GT(w.front().engines().all().at(2)->watch.entry().came_up, 0) << "its uptime is not known";
+    EXPECT_EQ(told.front(), EndpointState::draining);
+    EXPECT_GT(w.front().engines().all().at(2)->watch.endpoint().started_at, 0) << "its uptime is not known";
 }
 
 TEST(HardCases, ALargeResultToASlowReaderIsHeldInBoundedPieces) {
--- a/tests/front/ledger_test.cpp
+++ b/tests/front/ledger_test.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 using decide::AttemptState;
-using decide::Finding;
 using decide::RequestState;
-using decide::Waste;
+using decide::SettlementFinding;
+using decide::WastedWork;
 
 class LedgerTest : public ::testing::Test {
 protected:
@@ -34,8 +34,8 @@
         w.ledger = writer.get();
     }
     struct Settlement {
-        std::map<Finding, int> findings;
-        std::map<Waste, Micros> work;
+        std::map<SettlementFinding, int> findings;
+        std::map<WastedWork, Micros> work;
         Micros charged = 0, logged = 0, after_leaving = 0;
         std::map<std::string, store::Whole> by_id;
         std::vector<std::string> troubles;
@@ -55,10 +55,10 @@
         if (!journal)
             ADD_FAILURE() << journal.error();
         s.ledger = *ledger, s.journal = *journal;
-        std::map<std::string, decide::LifeRecord> lives;
+        std::map<std::string, decide::IncarnationRecord> lives;
         if (auto f = books.lives(lives))
             ADD_FAILURE() << f.text;
-        const auto count = [&](const decide::Settled& done) {
+        const auto count = [&](const decide::Settlement& done) {
             ++s.findings[done.finding];
             s.work[done.waste] += done.work;
             (done.logged ? s.logged : s.charged) += done.work;
@@ -154,8 +154,8 @@
         EXPECT_TRUE(decide::explained(finding)) << name_of(finding) << ": " << n;
         attempts += n;
     }
-    EXPECT_GT(s.findings.at(Finding::agreed), 30);
-    EXPECT_GT(s.findings.at(Finding::unseen_end), 2);
+    EXPECT_GT(s.findings.at(SettlementFinding::agreed), 30);
+    EXPECT_GT(s.findings.at(SettlementFinding::unseen_end), 2);
     EXPECT_GT(attempts, 60);
     EXPECT_EQ(s.logged, logged(w.events));
     // The same again, and the same ledger twice: nothing changes.
@@ -168,7 +168,7 @@
 
 TEST_F(LedgerTest, WorkAfterLeavingAndSpillAreToldApart) {
     engine::MachineSettings machine;
-    machine.cores = 2, machine.memory_mb = 100, machine.when_short = WhenShort::trim;
+    machine.cores = 2, machine.memory_mb = 100, machine.when_short = MemoryShortagePolicy::trim;
     machine.cancel_stops = false;  // an engine that doesn't heed
     Whole w(1, "", machine);
     keep(w, 1);
@@ -188,8 +188,9 @@
     const auto s = settle(w.events);
     ASSERT_EQ(s.by_id.size(), 1u);
     EXPECT_EQ(s.by_id.begin()->second.request.state, RequestState::cancelled);
-    EXPECT_EQ(s.findings.at(Finding::unseen_end), 1);
-    EXPECT_GE(s.work.at(Waste::left), 600 * kMillisecond);  // all of it, as the engine ran on to the end
+    EXPECT_EQ(s.findings.at(SettlementFinding::unseen_end), 1);
+    EXPECT_GE(s.work.at(WastedWork::client_disconnected),
+              600 * kMillisecond);  // all of it, as the engine ran on to the end
     EXPECT_GT(s.after_leaving, 100 * kMillisecond);
     EXPECT_NE(w.events.find("\"spilledBytes\""), std::string::npos);
     EXPECT_GT(statement::read_completed(w.events.substr(0, w.events.find('\n')))->spilled_bytes, 0);
@@ -207,7 +208,7 @@
     }));
     writer->finish(w.loop.now(), w.loop.wall());
     const auto s = settle(w.events);
-    EXPECT_EQ(s.findings, (std::map<Finding, int>{{Finding::agreed, 1}}));
+    EXPECT_EQ(s.findings, (std::map<SettlementFinding, int>{{SettlementFinding::agreed, 1}}));
     EXPECT_EQ(s.by_id.begin()->second.request.who->tags, "x=y");
     EXPECT_EQ(w.events.find("0000000000000099"), std::string::npos);
 }
--- a/tests/front/whole.hpp
+++ b/tests/front/whole.hpp
@@ -165,7 +165,7 @@
         lab::ClientRecord& r = records.clients.back();
         for (const auto& c : truth_.classes)
             if (source.starts_with(c.name))
-                r.cls = c.name, r.patience = c.deadline, r.aim = c.aim;
+                r.cls = c.name, r.patience = c.deadline, r.aim = c.latency_objective;
         if (r.cls.empty())
             r.cls = "short", r.patience = truth_.classes.back().deadline;
         if (tag.starts_with("key="))
@@ -195,10 +195,10 @@
         for (std::size_t i = 0; i < engines_.size(); ++i)
             f.engines.push_back({"e" + std::to_string(i), addresses_[i].text(), settings.engines[i].zone,
                                  settings.engines[i].kind, settings.engines[i].cell});
-        f.answer_grace = truth_.grace_to_answer, f.drain_grace = truth_.drain_grace,
-        f.turn_gap = truth_.turn_gap;
-        f.ratio_span = truth_.ratio_span, f.extra_free = truth_.extra_free,
-        f.extra_per_request = truth_.extra_per_request;
+        f.answer_grace = truth_.response_grace, f.drain_grace = truth_.drain_grace,
+        f.turn_gap = truth_.key_order_gap;
+        f.ratio_span = truth_.retry_budget_window, f.extra_free = truth_.retry_budget_base,
+        f.extra_per_request = truth_.retry_budget_ratio;
         records.sort();
         return lab::judge(records);
     }
@@ -239,7 +239,7 @@
     bool all_engines_on() const {
         const auto& all = front_->engines().all();
         return std::all_of(all.begin(), all.end(), [](const auto& e) {
-            return e.second->watch.entry().state == EngineState::on;
+            return e.second->watch.endpoint().state == EndpointState::ready;
         });
     }
     int count(const std::string& event, const std::string& trace = "") const {
@@ -274,7 +274,7 @@
     net::TapLoop tap_{clock, [this](const net::TapEvent& e) {
                           records.sockets.push_back(lab::record_of("tested", e));
                       }};
-    Settings truth_;
+    PolicySettings truth_;
     Random random_{42};
     std::vector<net::Address> addresses_;
     std::vector<std::unique_ptr<engine::Service>> engines_;
--- a/tests/lab/broken_front_test.cpp
+++ b/tests/lab/broken_front_test.cpp
@@ -41,7 +41,7 @@
         1, 1, "", {},
         [](auto& s) {
             for (auto& c : s.module.classes)
-                c.deadline = 20 * kSecondMicros, c.late_share = 1;
+                c.deadline = 20 * kSecondMicros, c.late_value_share = 1;
             s.calls.answer_time_out = 20 * kSecondMicros;
         },
         [](Whole& w) {
@@ -63,7 +63,7 @@
         2, 2, "", {},
         [](auto& s) {
             for (auto& c : s.module.classes)
-                c.effect = Effect::repeatable;
+                c.idempotency = Idempotency::idempotent;
         },
         [](Whole& w) {
             for (std::size_t i = 0; i < 2; ++i)
@@ -81,9 +81,9 @@
         Whole w(2, "rules+: { drain_grace: '200ms' }");
         // Deaf to drains from then on: it still asks for the state, as the sockets show.
         w.drop_event = [&](const Event& e) {
-            const auto* change = std::get_if<ListChange>(&e);
-            return deaf && change && !change->engines.empty() &&
-                   change->engines[0].state == EngineState::fading;
+            const auto* change = std::get_if<EndpointUpdate>(&e);
+            return deaf && change && !change->endpoints.empty() &&
+                   change->endpoints[0].state == EndpointState::draining;
         };
         w.restart();
         ASSERT_TRUE(w.until([&] {
@@ -112,12 +112,12 @@
     caught(
         4, 1, "rules+: { warm_up: '20s', overload_for: '1s' }, kinds+: { std: g.kind(2, '16GiB') }", m,
         [](auto& s) {
-            s.module.warm_up = 0, s.module.kinds[0].cores = 100;
+            s.module.slow_start_window = 0, s.module.kinds[0].cores = 100;
         },
         [](Whole& w) {
             // The engine's uptime is known before the first statement comes.
             ASSERT_TRUE(w.until([&] {
-                return w.front().engines().all().begin()->second->watch.entry().came_up > 0;
+                return w.front().engines().all().begin()->second->watch.endpoint().started_at > 0;
             }));
             for (int i = 0; i < 40; ++i)
                 w.ask("SELECT 1 /* gt: work_ms=100 */");
@@ -132,7 +132,7 @@
         5, 2, "classes+: { short+: { in_turn: true } }", {},
         [](auto& s) {
             for (auto& c : s.module.classes)
-                c.in_turn = false;
+                c.ordered_by_key = false;
         },
         [](Whole& w) {
             for (int i = 0; i < 4; ++i) {
@@ -155,7 +155,7 @@
         {},
         [](auto& s) {
             for (auto& c : s.module.classes)
-                c.served_on.reset();
+                c.allowed_kinds.reset();
         },
         [](Whole& w) {
             for (int i = 0; i < 12; ++i)
@@ -170,7 +170,7 @@
     caught(
         7, 2, "rules+: { warm_up: '0s', further_attempts: { free: 2, per_request: 0.1, span: '10s' } }", {},
         [](auto& s) {
-            s.module.extra_free.reset(), s.module.extra_per_request.reset();
+            s.module.retry_budget_base.reset(), s.module.retry_budget_ratio.reset();
         },
         [](Whole& w) {
             for (std::size_t i = 0; i < 2; ++i)
--- a/tests/lab/checker_test.cpp
+++ b/tests/lab/checker_test.cpp
@@ -24,14 +24,14 @@
 class Tape {
 public:
     Tape() {
-        for (const auto& [name, effect] : {std::pair("short", Effect::repeatable),
-                                           {"unsafe", Effect::once},
-                                           {"keyed", Effect::by_key},
-                                           {"turn", Effect::repeatable}}) {
+        for (const auto& [name, effect] : {std::pair("short", Idempotency::idempotent),
+                                           {"unsafe", Idempotency::non_idempotent},
+                                           {"keyed", Idempotency::keyed},
+                                           {"turn", Idempotency::idempotent}}) {
             ClassSettings c;
-            c.name = name, c.effect = effect, c.aim = 1000 * ms, c.deadline = 5000 * ms, c.window = 2000 * ms,
-            c.key_scope = Scope::zone;
-            c.in_turn = c.name == "turn";
+            c.name = name, c.idempotency = effect, c.latency_objective = 1000 * ms, c.deadline = 5000 * ms,
+            c.key_window = 2000 * ms, c.key_scope = KeyScope::zone;
+            c.ordered_by_key = c.name == "turn";
             r.facts.classes.push_back(c);
         }
         r.facts.engines = {{"e1", "127.0.0.1:1", "z1", "std", 0}, {"e2", "127.0.0.1:2", "z2", "std", 0}};
@@ -229,7 +229,7 @@
     Tape t;
     t.taken(10 * ms, "a.0", "short"), t.attempt(11 * ms, "a.0", 2, 20 * ms), t.final(30 * ms, "a.0");
     EXPECT_EQ(t.broken(), Rules{});
-    t.r.facts.classes[0].azs_open = {"z1"};
+    t.r.facts.classes[0].allowed_zones = {"z1"};
     EXPECT_EQ(t.broken(), Rules{6});
 }
 
@@ -290,7 +290,7 @@
 TEST(Records, AreReadBackAsWrittenAndALineCutShortIsPassedOver) {
     Tape t;
     t.taken(10 * ms, "a.0", "turn", "k"), t.attempt(11 * ms, "a.0", 1, 20 * ms), t.final(30 * ms, "a.0");
-    t.r.facts.classes[0].served_on = {"std"};
+    t.r.facts.classes[0].allowed_kinds = {"std"};
     t.r.facts.extra_free = 3, t.r.facts.extra_per_request = 0.5;
     std::string text = line_of(t.r.facts);
     for (const auto& s : t.r.sockets)
@@ -304,7 +304,7 @@
     EXPECT_EQ(back.sockets.size(), t.r.sockets.size());
     EXPECT_EQ(back.sockets.at(1).bytes, t.r.sockets.at(1).bytes);
     EXPECT_EQ(back.engines.at(0).entry.peak_mb, 2);
-    EXPECT_EQ(back.facts.classes.at(0).served_on, t.r.facts.classes[0].served_on);
+    EXPECT_EQ(back.facts.classes.at(0).allowed_kinds, t.r.facts.classes[0].allowed_kinds);
     EXPECT_TRUE(judge(back).violations.empty());
     const auto bad = read_records("r", "{\"of\":\"lab\"}\n", back);
     ASSERT_FALSE(bad);
@@ -317,10 +317,10 @@
     Records r;
     Peers() {
         ClassSettings safe, load, once;
-        safe.name = "safe", safe.effect = Effect::repeatable, safe.deadline = 4 * kSecondMicros;
-        load.name = "load", load.effect = Effect::by_key, load.key_scope = Scope::all,
-        load.window = kSecondMicros;
-        once.name = "once", once.effect = Effect::once;
+        safe.name = "safe", safe.idempotency = Idempotency::idempotent, safe.deadline = 4 * kSecondMicros;
+        load.name = "load", load.idempotency = Idempotency::keyed, load.key_scope = KeyScope::all,
+        load.key_window = kSecondMicros;
+        once.name = "once", once.idempotency = Idempotency::non_idempotent;
         r.facts.classes = {safe, load, once};
         for (const char* name : {"e1", "e2"}) {
             EngineFacts e;
--- a/tests/lab/script_test.cpp
+++ b/tests/lab/script_test.cpp
@@ -80,8 +80,8 @@
     front["engines"] = {{"e", {{"address", "127.0.0.1:1"}, {"kind", "k"}, {"zone", "z1"}}}};
     const auto loaded = config::load_front_text("front", front.dump());
     ASSERT_TRUE(loaded) << loaded.error();
-    EXPECT_EQ(loaded->front.module.classes.at(1).effect, Effect::by_key);
-    EXPECT_EQ(loaded->front.module.classes.at(1).key_scope, Scope::zone);
+    EXPECT_EQ(loaded->front.module.classes.at(1).idempotency, Idempotency::keyed);
+    EXPECT_EQ(loaded->front.module.classes.at(1).key_scope, KeyScope::zone);
     EXPECT_EQ(loaded->front.module.tenants.at(0).quota_per_s, 32);
     auto torn = day();
     torn.erase("fam");
--- a/tests/node/config_test.cpp
+++ b/tests/node/config_test.cpp
@@ -29,7 +29,7 @@
     EXPECT_EQ(s->known_number, 3u);
     ASSERT_EQ(s->known.size(), 1u);
     EXPECT_EQ(s->known[0].name, "s-1");
-    EXPECT_EQ(s->known[0].state, EngineState::fading);
+    EXPECT_EQ(s->known[0].state, EndpointState::draining);
     EXPECT_EQ(s->dns.text(), "127.2.0.1:1053");
     EXPECT_EQ(s->idle_close, 30 * kSecondMicros);
     EXPECT_EQ(s->module.classes.size(), 1u);
