--- a/tests/node/crossing_test.cpp
+++ b/tests/node/crossing_test.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 using Fields = thrift::Fields;
-using How = decide::ExchangeEnd::How;
+using How = decide::ExchangeResult::Status;
 
 // A socket of the test's own, non-blocking, for what no stand-in does.
 class RawSocket {
@@ -136,7 +136,8 @@
         settings.sockets = 16;
         engine("s-1");
         start();
-        const std::size_t table = decide::bounds_of(settings.sockets, settings.memory_mb).clients;
+        const std::size_t table =
+            decide::derive_limits(settings.sockets, settings.memory_mb).client_connections;
         std::vector<lab::PlatformClient*> busy;
         for (std::size_t i = 0; i < table + 3; ++i) {
             busy.push_back(&client());
@@ -171,7 +172,7 @@
 
 TEST_F(Crossing, ARequestWhoseClientLeavesWhileItsConnectionComesUpIsNeverSent) {
     for (const bool may_cancel : {true, false}) {
-        settings.module.may_cancel = may_cancel;
+        settings.module.can_cancel = may_cancel;
         node.reset(), clients.clear(), settings.known.clear();
         settings.listen = at("");
         HeldEngine held;
@@ -280,9 +281,9 @@
 // ---- What an end proves
 
 struct Ends final : node::Exchange::Events {
-    void on_note(NoteTopic, double) override {}
-    void on_end(decide::ExchangeEnd e) override {
-        how = e.how, why = e.why;
+    void on_note(ProgressKind, double) override {}
+    void on_end(decide::ExchangeResult e) override {
+        how = e.status, why = e.detail;
     }
     std::string why;
     std::optional<Request> request() override {
@@ -298,13 +299,13 @@
 
 // What the guard says of a first attempt at an engine that is listed.
 decide::AttemptPermit permit() {
-    static const Settings settings = [] {
-        Settings s;
-        s.attempts_cap = 1;
+    static const PolicySettings settings = [] {
+        PolicySettings s;
+        s.max_attempts = 1;
         return s;
     }();
-    decide::AttemptFactsNow facts;
-    facts.left = kSecondMicros, facts.target.listed = true;
+    decide::AttemptContext facts;
+    facts.time_left = kSecondMicros, facts.target.listed = true;
     return *decide::AttemptGuard(settings).permit(facts, ClassSettings{}, std::nullopt);
 }
 
@@ -315,7 +316,7 @@
     void SetUp() override {
         raw.receive_little();
         const auto address = raw.listen(16);
-        decide::LinkLimits limits{.connections = 1, .streams = 10'000};
+        decide::ConnectionLimits limits{.max_connections = 1, .max_streams = 10'000};
         pool.most = 1;
         link = std::make_unique<node::EngineLink>(loop, address, limits, pool);
         for (int i = 0; i < 300; ++i) {
@@ -400,7 +401,7 @@
     net::PollLoop loop;
     RawSocket raw;
     node::LinkPool pool;
-    node::EngineLink link(loop, raw.listen(16), {.connections = 1, .streams = 10}, pool);
+    node::EngineLink link(loop, raw.listen(16), {.max_connections = 1, .max_streams = 10}, pool);
     Ends first, second;
     const auto a = link.ask(permit(), "id-a.", first), b = link.ask(permit(), "id-b.", second);
     first.allowed = false;
@@ -412,7 +413,7 @@
         peer->read();
         return first.how && peer->got.find("id-b.") != std::string::npos;
     }));
-    EXPECT_EQ(first.how, How::unsent);
+    EXPECT_EQ(first.how, How::not_sent);
     EXPECT_EQ(peer->got.find("id-a."), std::string::npos);
 }
 
@@ -421,7 +422,7 @@
 class UnacknowledgedRequest : public Crossing {
 protected:
     UnacknowledgedRequest() {
-        settings.module.may_cancel = false;
+        settings.module.can_cancel = false;
         settings.module.drain_grace = 300 * kMillisecond;
         raw.receive_little();
         address = raw.listen(16);
@@ -503,7 +504,7 @@
         // This machine took longer over one request than a part of it may be out: it is cut off, and the last
         // never goes out.
         EXPECT_EQ(ends.back()->why, "its first part had gone out too long ago");
-        EXPECT_EQ(ends.back()->how, How::unsent);
+        EXPECT_EQ(ends.back()->how, How::not_sent);
         EXPECT_GT(loop.now() - since, 120 * kMillisecond);
         EXPECT_EQ(peer->got.find("id-299."), std::string::npos);
         return;
@@ -529,14 +530,14 @@
             return e->how.has_value();
         });
     }));
-    EXPECT_EQ(ends.front()->how, How::lost);
-    EXPECT_EQ(ends.back()->how, How::unsent);
+    EXPECT_EQ(ends.front()->how, How::connection_lost);
+    EXPECT_EQ(ends.back()->how, How::not_sent);
     // In the order of sending: all that may have run before all that can't have.
     const auto first_unsent = std::find_if(ends.begin(), ends.end(), [](const auto& e) {
-        return e->how == How::unsent;
+        return e->how == How::not_sent;
     });
     for (auto e = ends.begin(); e != ends.end(); ++e)
-        EXPECT_EQ((*e)->how, e < first_unsent ? How::lost : How::unsent);
+        EXPECT_EQ((*e)->how, e < first_unsent ? How::connection_lost : How::not_sent);
 }
 
 TEST_F(DeafEngine, AnAnswerThatCantBeReadLosesNothingThatWasNeverSent) {
@@ -544,13 +545,13 @@
     ASSERT_TRUE(await(loop, [&] {
         return ends.back()->how.has_value();
     }));
-    EXPECT_EQ(ends.front()->how, How::lost);
-    EXPECT_EQ(ends.back()->how, How::unsent);
+    EXPECT_EQ(ends.front()->how, How::connection_lost);
+    EXPECT_EQ(ends.back()->how, How::not_sent);
 }
 
 // A class that may not be repeated is tried again where its first connection ended before it was written.
 TEST_F(Crossing, OnceIsTriedAgainOnlyWhereItWasProvablyNeverSent) {
-    settings.module.classes[1].effect = Effect::once;
+    settings.module.classes[1].idempotency = Idempotency::non_idempotent;
     HeldEngine held;
     ASSERT_TRUE(until([&] {
         return held.full();
@@ -572,7 +573,7 @@
 
 // A repeat must arrive while the engines still know its key: not when its connection at last comes up.
 TEST_F(Crossing, ARepeatThatWaitsPastItsWindowIsTakenBack) {
-    settings.module.classes[1].window = 1'500 * kMillisecond;
+    settings.module.classes[1].key_window = 1'500 * kMillisecond;
     HeldEngine held;
     ASSERT_TRUE(until([&] {
         return held.full();
@@ -639,7 +640,7 @@
 TEST_F(Crossing, RestingClientsThatFillTheTableKeepNobodyOutside) {
     engine("s-1");
     start();
-    const std::size_t table = decide::bounds_of(settings.sockets, settings.memory_mb).clients;
+    const std::size_t table = decide::derive_limits(settings.sockets, settings.memory_mb).client_connections;
     const auto comes = [&] {
         auto& c = client();
         c.ask(ask("lookup", 1));
@@ -656,7 +657,7 @@
         comes();
     const Micros full = loop.now();
     ASSERT_TRUE(until([&] {
-        return loop.now() > full + decide::ClientTimes{}.to_ask_again;
+        return loop.now() > full + decide::ClientTimeouts{}.next_request_grace;
     }));
     // All have asked once and stay. A silent one ahead of each newcomer must not make it wait.
     for (std::size_t i = 0; i < table / 4; ++i) {
@@ -673,7 +674,7 @@
     settings.sockets = 64;
     engine("s-1");
     start();
-    const std::size_t table = decide::bounds_of(settings.sockets, settings.memory_mb).clients;
+    const std::size_t table = decide::derive_limits(settings.sockets, settings.memory_mb).client_connections;
     RawSocket rests;
     rests.connect(settings.listen);
     ASSERT_TRUE(until([&] {
@@ -685,7 +686,7 @@
     }));
     const Micros full = loop.now();
     ASSERT_TRUE(until([&] {
-        return loop.now() > full + decide::ClientTimes{}.to_ask_again;
+        return loop.now() > full + decide::ClientTimeouts{}.next_request_grace;
     }));
     // As many as fill the table stand in the listen backlog when it speaks: they are taken in in one turn,
     // ahead of it or behind it.
@@ -739,7 +740,7 @@
     for (int i = 2; i <= 40; ++i)
         rest += thrift::give_up_call(i, 1);
     rest += call(ask("lookup", 1), 41);
-    const Micros limit = decide::ClientTimes{}.half_request;
+    const Micros limit = decide::ClientTimeouts{}.partial_request_timeout;
     ASSERT_TRUE(until([&] {
         return loop.now() - half > limit - 50 * kMillisecond;
     }));
@@ -787,9 +788,9 @@
     node->drain([&] {
         over = true;
     });
-    const auto times = decide::restart_times(settings.module);
+    const auto times = decide::derive_shutdown_schedule(settings.module);
     ASSERT_TRUE(until([&] {
-        return loop.now() - since > times.stays + 100 * kMillisecond;
+        return loop.now() - since > times.listen_until + 100 * kMillisecond;
     }));
     EXPECT_FALSE(over) << "answers stood unsent";
     ASSERT_TRUE(until([&] {
@@ -805,7 +806,7 @@
     ASSERT_TRUE(until([&] {
         return over;
     }));
-    EXPECT_LT(loop.now() - since, times.leaves);
+    EXPECT_LT(loop.now() - since, times.exit_at);
 }
 
 TEST_F(Crossing, ARequestThatCrossesTheShutdownOfARestingConnectionIsNotServed) {
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -93,7 +93,7 @@
 }
 
 TEST_F(NodeRig, ARefusalNeverHidesAnAttemptThatMayHaveRun) {
-    settings.module.classes[1].effect = Effect::once;
+    settings.module.classes[1].idempotency = Idempotency::non_idempotent;
     for (int i = 1; i <= 3; ++i)
         engine("s-" + std::to_string(i))
             .set({.shed = 0.2, .fault = 0.2, .spoilt = 0.1, .reset = 0.2, .silent = 0.1});
@@ -196,7 +196,7 @@
     moved.known_number = names.number();
     for (auto& e : moved.known)
         if (e.name == "s-1")
-            e.state = EngineState::fading;
+            e.state = EndpointState::draining;
     node->reload(moved);
     EXPECT_NE(log.find("engine s-1 drains"), std::string::npos) << log;
     // An older one changes nothing.
@@ -363,7 +363,7 @@
     }));
     // Each pause lets one more in: without closing as many as are over, the table grew by one a pause.
     const auto at = node->status().find("clients=") + 8;
-    EXPECT_LE(std::stoul(node->status().substr(at)), decide::bounds_of(256, 32).clients + 1)
+    EXPECT_LE(std::stoul(node->status().substr(at)), decide::derive_limits(256, 32).client_connections + 1)
         << node->status();
     for (const auto* c : usual)
         EXPECT_TRUE(c->got().contains(1) && c->got().at(1).how == "served");
@@ -437,7 +437,7 @@
 }
 
 TEST_F(NodeRig, WhatMayHaveRunOnceIsNotRefusedAtARestart) {
-    settings.module.classes[1].effect = Effect::once;
+    settings.module.classes[1].idempotency = Idempotency::non_idempotent;
     auto& e = engine("s-1");
     start();
     auto& c = client();
--- a/tests/node/rig.hpp
+++ b/tests/node/rig.hpp
@@ -34,25 +34,27 @@
         settings.sockets = 256, settings.memory_mb = 32, settings.cores = 0.5;
         settings.idle_close = 30 * kSecondMicros, settings.streams = 100;
         settings.connect_time_out = 250 * kMillisecond;
-        Settings& m = settings.module;
+        PolicySettings& m = settings.module;
         ClassSettings lookup, load;
-        lookup.name = "lookup", lookup.effect = Effect::repeatable, lookup.aim = kSecondMicros,
-        lookup.deadline = 4 * kSecondMicros, lookup.late_share = 0.5;
-        load.name = "load", load.effect = Effect::by_key, load.key_scope = Scope::all,
-        load.window = 25 * kSecondMicros, load.aim = 3 * kSecondMicros, load.deadline = 9 * kSecondMicros,
-        load.late_share = 0.5;
+        lookup.name = "lookup", lookup.idempotency = Idempotency::idempotent,
+        lookup.latency_objective = kSecondMicros, lookup.deadline = 4 * kSecondMicros,
+        lookup.late_value_share = 0.5;
+        load.name = "load", load.idempotency = Idempotency::keyed, load.key_scope = KeyScope::all,
+        load.key_window = 25 * kSecondMicros, load.latency_objective = 3 * kSecondMicros,
+        load.deadline = 9 * kSecondMicros, load.late_value_share = 0.5;
         m.classes = {lookup, load};
         m.tenants = {{"acme", 0, 1}};
         m.kinds = {{"std", 8, 16'384}};
         m.zone = "z";
-        m.priorities = m.grants = m.cost_in_answers = m.may_cancel = m.retry_hints = true;
-        m.reports = ReportSource::answers;
-        m.note_period = 100 * kMillisecond;
+        m.supports_priorities = m.supports_memory_grants = m.cost_in_responses = m.can_cancel =
+            m.sends_retry_after = true;
+        m.load_report_source = LoadReportSource::responses;
+        m.progress_period = 100 * kMillisecond;
         m.max_retry_after = 2 * kSecondMicros;
-        m.attempts_cap = 6;
-        m.grace_to_answer = 20 * kMillisecond, m.drain_grace = 2 * kSecondMicros;
-        m.cold_share = 0.3, m.warm_up = 10 * kSecondMicros, m.overload_factor = 3,
-        m.overload_for = 1'500 * kMillisecond;
+        m.max_attempts = 6;
+        m.response_grace = 20 * kMillisecond, m.drain_grace = 2 * kSecondMicros;
+        m.slow_start_capacity_share = 0.3, m.slow_start_window = 10 * kSecondMicros, m.overload_factor = 3,
+        m.overload_window = 1'500 * kMillisecond;
     }
     ~RigOn() override {
         node.reset();
@@ -79,7 +81,7 @@
         names.put({name, "z", "std", {{"n0", place}}, draining});
         if (node)
             return;
-        decide::ListedEngine e;
+        decide::DiscoveredEndpoint e;
         e.name = name, e.address = place.text(), e.zone = "z", e.kind = "std";
         settings.known.push_back(std::move(e));
     }
@@ -141,7 +143,7 @@
     }
     lab::Judgement judged() {
         records.facts.classes = settings.module.classes;
-        records.facts.answer_grace = settings.module.grace_to_answer;
+        records.facts.answer_grace = settings.module.response_grace;
         records.facts.drain_grace = settings.module.drain_grace + 50 * kMillisecond;
         records.sort();
         return lab::judge(records);
--- a/tests/policy/fleet_test.cpp
+++ b/tests/policy/fleet_test.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-Settings one_of(int fronts) {
-    Settings s = plain();
-    s.siblings = fronts;
+PolicySettings one_of(int fronts) {
+    PolicySettings s = plain();
+    s.instance_count = fronts;
     return s;
 }
-std::vector<EngineEntry> fleet(EngineId count) {
-    std::vector<EngineEntry> all;
+std::vector<Endpoint> fleet(EngineId count) {
+    std::vector<Endpoint> all;
     for (EngineId id = 1; id <= count; ++id)
         all.push_back(engine(id));
     return all;
@@ -24,17 +24,17 @@
     rig.demand(id, "short");
     ASSERT_FALSE(rig.sends.empty());
     ASSERT_EQ(rig.sends.back().id, id);
-    Completed c;
-    c.id = id, c.engine = rig.sends.back().engine, c.taken = 100'000, c.finished = true;
-    c.report = Report{};
-    c.report->concurrent = concurrent;
+    AttemptCompleted c;
+    c.id = id, c.engine = rig.sends.back().engine, c.duration = 100'000, c.request_finished = true;
+    c.load_report = LoadReport{};
+    c.load_report->running_queries = concurrent;
     rig.feed(c);
 }
 // A front of so many that knows one engine, just started.
-Rig beside_cold(const Settings& s, std::uint64_t seed) {
+Rig beside_cold(const PolicySettings& s, std::uint64_t seed) {
     Rig rig(s, seed);
-    EngineEntry cold = engine(1);
-    cold.came_up = 1;
+    Endpoint cold = engine(1);
+    cold.started_at = 1;
     rig.at(1);
     rig.list({cold});
     return rig;
@@ -62,8 +62,8 @@
             rig.demand(nth("l", n++), "long");
         rig.run_until(second * 1'000'000);
         most = std::max(most, rig.sends.size());
-        for (const Send& send : std::exchange(rig.sends, {}))
-            rig.outcome(send.id, 0, send.engine, Outcome::done, true, taken);
+        for (const DispatchAttempt& send : std::exchange(rig.sends, {}))
+            rig.outcome(send.id, 0, send.engine, AttemptOutcome::succeeded, true, taken);
     }
     return static_cast<int>(most);
 }
@@ -100,8 +100,8 @@
 }
 
 TEST(Fleet, AStuckAttemptDoesNotKeepThePart) {
-    Settings s = one_of(170);
-    s.may_cancel = false;
+    PolicySettings s = one_of(170);
+    s.can_cancel = false;
     Rig rig(s);
     rig.list(fleet(30));
     rig.demand("s0", "short");
@@ -120,7 +120,7 @@
         for (int i = 0; i < 30; ++i)
             hear(rig, nth("w", i), 2);  // and what a query costs
         rig.demand("l", "long");
-        rig.outcome("l", 0, 1, Outcome::done, true, 1'000'000);
+        rig.outcome("l", 0, 1, AttemptOutcome::succeeded, true, 1'000'000);
         hear(rig, "h", held);
         rig.run_until(3'200'000, false);
         const auto before = rig.sends.size();
@@ -130,7 +130,7 @@
 }
 
 TEST(Fleet, MemoryReckonedForOthersBarsNothingWhereNoReportTells) {
-    Settings s = one_of(4);
+    PolicySettings s = one_of(4);
     s.kinds = {{"std", 8, 100}};  // four queries fill an engine
     Rig rig(s);
     rig.list(fleet(2));
@@ -140,8 +140,9 @@
 
 TEST(Fleet, ColdEngineStaysInBudgetOverAllFrontsAndIsUsed) {
     constexpr int kFronts = 150;
-    const Settings s = one_of(kFronts);
-    const double budget = s.overload_factor * s.cold_share * 0.85 * 8 * 2;  // core-seconds a window
+    const PolicySettings s = one_of(kFronts);
+    const double budget =
+        s.overload_factor * s.slow_start_capacity_share * 0.85 * 8 * 2;  // core-seconds a window
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         std::vector<double> window(8, 0);
         double all = 0;
@@ -149,9 +150,9 @@
             Rig rig = beside_cold(s, seed * 1000 + static_cast<std::uint64_t>(me));
             const auto take = [&] {
                 while (!rig.sends.empty())  // an answer may free the next
-                    for (const Send& send : std::exchange(rig.sends, {})) {
+                    for (const DispatchAttempt& send : std::exchange(rig.sends, {})) {
                         window[static_cast<std::size_t>(rig.now / 2'000'000)] += 0.1, all += 0.1;
-                        rig.outcome(send.id, 0, 1, Outcome::done, true);
+                        rig.outcome(send.id, 0, 1, AttemptOutcome::succeeded, true);
                     }
             };
             for (int step = 0; step < 7; ++step) {  // far more is asked for than the engine may get
@@ -178,9 +179,9 @@
 }
 
 TEST(Fleet, ProbesStayWithinAShareOfTheRequests) {
-    Settings s = one_of(170);
-    s.may_probe = true;
-    s.reports = ReportSource::probe;
+    PolicySettings s = one_of(170);
+    s.can_health_check = true;
+    s.load_report_source = LoadReportSource::health_checks;
     Rig rig(s);
     rig.list(fleet(30));
     for (int i = 0; i < 50; ++i) {
@@ -190,7 +191,7 @@
     int probes = 0;
     std::set<EngineId> asked;
     for (const Action& action : rig.others)
-        if (const auto* p = std::get_if<Probe>(&action))
+        if (const auto* p = std::get_if<CheckHealth>(&action))
             ++probes, asked.insert(p->engine);
     EXPECT_LE(probes, 21);
     EXPECT_GE(probes, 15);
@@ -200,15 +201,15 @@
 TEST(Fleet, OddListsAndSizesGiveEveryRequestItsAnswer) {
     for (const int fronts : {1, 270})
         for (const EngineId engines : {0u, 1u, 40u}) {
-            Settings s = one_of(fronts);
+            PolicySettings s = one_of(fronts);
             s.kinds = {{"std", 0, 0}};  // nothing told of cores or memory
             Rig rig(s);
             rig.list(fleet(engines));
             rig.demands(8, "s", "short");
             rig.demands(8, "l", "long");
             rig.list({});  // the list shrinks while work is out
-            for (const Send& send : std::exchange(rig.sends, {}))
-                rig.outcome(send.id, 0, send.engine, Outcome::econnreset);
+            for (const DispatchAttempt& send : std::exchange(rig.sends, {}))
+                rig.outcome(send.id, 0, send.engine, AttemptOutcome::connection_reset);
             rig.run_until(25'000'000, false);
             EXPECT_EQ(rig.refusals.size() + rig.failures.size(), 16u);
         }
@@ -218,11 +219,11 @@
 // jumps.
 TEST(Fleet, WithEverythingAbsentAndTimeJumpingEveryRequestGetsItsAnswer) {
     for (const int fronts : {1, 300}) {
-        Settings s = one_of(fronts);
+        PolicySettings s = one_of(fronts);
         s.kinds.clear();
-        s.grants = s.priorities = s.may_cancel = s.retry_hints = false;
-        s.warm_up = s.overload_for = s.drain_grace = 0;
-        s.cold_share = s.overload_factor = 0;
+        s.supports_memory_grants = s.supports_priorities = s.can_cancel = s.sends_retry_after = false;
+        s.slow_start_window = s.overload_window = s.drain_grace = 0;
+        s.slow_start_capacity_share = s.overload_factor = 0;
         Rig rig(s);
         rig.list(fleet(5));
         std::size_t answered = 0;
@@ -231,17 +232,18 @@
             for (int i = 0; i < 6; ++i) {
                 rig.feed(unestimated(nth("q", n++), i % 2 ? "short" : "long", 4'000'000));
             }
-            for (const Send& send : std::exchange(rig.sends, {})) {
-                rig.outcome(send.id, 0, send.engine, Outcome::done, true, 50'000);
-                rig.outcome(send.id, 0, send.engine, Outcome::done, true, 50'000);  // an ended one again
+            for (const DispatchAttempt& send : std::exchange(rig.sends, {})) {
+                rig.outcome(send.id, 0, send.engine, AttemptOutcome::succeeded, true, 50'000);
+                rig.outcome(send.id, 0, send.engine, AttemptOutcome::succeeded, true,
+                            50'000);  // an ended one again
                 ++answered;
             }
             rig.at(rig.now + 3'000'000);
-            rig.feed(Bell{0});
+            rig.feed(TimerFired{0});
         }
         rig.run_until(rig.now + 5'000'000, false);
-        for (const Send& send : rig.sends) {
-            rig.outcome(send.id, 0, send.engine, Outcome::done, true);
+        for (const DispatchAttempt& send : rig.sends) {
+            rig.outcome(send.id, 0, send.engine, AttemptOutcome::succeeded, true);
             ++answered;
         }
         EXPECT_GT(answered, 0u);
--- a/tests/policy/front_test.cpp
+++ b/tests/policy/front_test.cpp
@@ -34,7 +34,7 @@
     const auto held_from = rig.sends.size();
     EXPECT_LE(held_from, 16u);  // two threads a core
     ASSERT_LT(held_from, 60u);
-    rig.outcome("a0", 0, 1, Outcome::done, true);
+    rig.outcome("a0", 0, 1, AttemptOutcome::succeeded, true);
     ASSERT_EQ(rig.sends.size(), held_from + 1);
     EXPECT_EQ(rig.sends.back().id, nth("a", static_cast<int>(held_from)));
 }
@@ -47,7 +47,7 @@
 }
 
 TEST(Design, TenantsTakeTurnsByShare) {
-    Settings s = plain();
+    PolicySettings s = plain();
     s.tenants = {{"one", 1000, 0.5}, {"two", 1000, 0.5}};
     Rig rig(s);
     rig.list({engine(1)});
@@ -55,20 +55,20 @@
     rig.demands(30, "c", "long", "two");
     const auto first = rig.sends.size();
     for (std::size_t i = 0; i < 10; ++i)
-        rig.outcome(rig.sends[i].id, 0, 1, Outcome::done, true, 1'000'000);
+        rig.outcome(rig.sends[i].id, 0, 1, AttemptOutcome::succeeded, true, 1'000'000);
     EXPECT_GE(rig.sends_of('c', first),
               5);  // the tenant that came second is not behind the whole line of the first
 }
 
 TEST(Shares, WhatIsOverTheShareGivesWay) {
-    Settings s = plain();
+    PolicySettings s = plain();
     s.tenants = {{"small", 5, 0.5}, {"large", 1000, 0.5}};
     Rig rig(s);
     rig.list({engine(1)});
     rig.demands(40, "o", "short", "small");
     const auto first = rig.sends.size();
     rig.demand("in", "short", "", "large");
-    rig.outcome(rig.sends[0].id, 0, 1, Outcome::done, true);
+    rig.outcome(rig.sends[0].id, 0, 1, AttemptOutcome::succeeded, true);
     ASSERT_EQ(rig.sends.size(), first + 1);
     EXPECT_EQ(rig.sends.back().id, "in");
 }
@@ -81,12 +81,12 @@
         const auto n = rig.sends.size();
         rig.demand(nth("a", i), "short");
         for (std::size_t k = n; k < rig.sends.size(); ++k) {
-            const Send sent = rig.sends[k];
+            const DispatchAttempt sent = rig.sends[k];
             const int attempt = static_cast<int>(k - n);
             if (sent.engine == 2)
-                rig.outcome(sent.id, attempt, 2, Outcome::err, false, 1'000);
+                rig.outcome(sent.id, attempt, 2, AttemptOutcome::failed, false, 1'000);
             else
-                rig.outcome(sent.id, attempt, sent.engine, Outcome::done, true, 100'000);
+                rig.outcome(sent.id, attempt, sent.engine, AttemptOutcome::succeeded, true, 100'000);
         }
     }
     EXPECT_LT(tally(rig, 0)[2], 12);
@@ -97,7 +97,7 @@
     rig.list({engine(1), engine(2)});
     for (int i = 0; i < 10; ++i) {
         rig.demand(nth("a", i), "short");
-        rig.outcome(nth("a", i), 0, rig.sends.back().engine, Outcome::err);
+        rig.outcome(nth("a", i), 0, rig.sends.back().engine, AttemptOutcome::failed);
     }
     const auto before = rig.sends.size();
     rig.demand("next", "short");
@@ -106,8 +106,8 @@
 
 // A front with a long query out on one of two engines, which send notes each so often.
 Rig awaiting_notes(Micros period) {
-    Settings s = plain();
-    s.note_period = period;
+    PolicySettings s = plain();
+    s.progress_period = period;
     Rig rig(s);
     rig.list({engine(1), engine(2)});
     rig.demand("a", "long");
@@ -119,7 +119,7 @@
     const EngineId silent = rig.sends[0].engine;
     rig.run_until(3'000'000, false);  // no note, no answer
     ASSERT_FALSE(rig.cancels.empty());
-    rig.outcome("a", 0, silent, Outcome::ecanceled);
+    rig.outcome("a", 0, silent, AttemptOutcome::cancelled);
     ASSERT_EQ(rig.sends.size(), 2u);
     EXPECT_NE(rig.sends[1].engine, silent);
     rig.demands(10, "b", "short");
@@ -129,32 +129,33 @@
 // Incident r0e61aa: 1.5% of all answers never came, from any engine; notes of the attempt stopped with its
 // work, those of others on the same engine went on, and reports were waited for until their deadline.
 TEST(Health, AnAttemptWithoutNotesOfItsOwnIsTriedAgainThoughItsEngineLives) {
-    Settings s = plain();
-    s.note_period = 400'000;
+    PolicySettings s = plain();
+    s.progress_period = 400'000;
     Rig rig(s);
     rig.list({engine(1)});
     rig.demand("lost", "long"), rig.demand("good", "long");
     ASSERT_EQ(rig.sends.size(), 2u);
     for (Micros t = 400'000; t <= 3'200'000; t += 400'000) {
         rig.run_until(t, false);
-        rig.feed(Note{"good", 0, 1, NoteTopic::progress, 0.1 + static_cast<double>(t) / 4e6});
+        rig.feed(
+            AttemptProgress{"good", 0, 1, ProgressKind::fraction_done, 0.1 + static_cast<double>(t) / 4e6});
         if (t == 400'000)
-            rig.feed(Note{"lost", 0, 1, NoteTopic::progress, 0.2});
+            rig.feed(AttemptProgress{"lost", 0, 1, ProgressKind::fraction_done, 0.2});
         EXPECT_TRUE(t >= 1'500'000 || rig.cancels.empty()) << t;
     }
     ASSERT_FALSE(rig.cancels.empty());
-    for (const Cancel& c : rig.cancels)
+    for (const CancelAttempt& c : rig.cancels)
         EXPECT_EQ(c.id, "lost");
-    rig.outcome("lost", 0, 1, Outcome::ecanceled);
+    rig.outcome("lost", 0, 1, AttemptOutcome::cancelled);
     EXPECT_EQ(rig.sends.back().id, "lost");
 }
 
 // The same incident's look-ups: they are over before a note is due, and worth nothing after their aim.
 TEST(Health, AShortQueryWithoutAnAnswerIsTriedAgainWhileItsAimCanBeMet) {
     for (const double late_share : {0.0, 0.5}) {
-        Settings s = plain();
-        s.note_period = 1'000'000;
-        s.classes[0].late_share = late_share;
+        PolicySettings s = plain();
+        s.progress_period = 1'000'000;
+        s.classes[0].late_value_share = late_share;
         Rig rig(s);
         rig.list({engine(1), engine(2)});
         rig.demand("a", "short");  // 0.1 s, wanted within 1.2 s
@@ -164,7 +165,7 @@
         EXPECT_EQ(rig.cancels.empty(), late_share > 0);
         if (late_share > 0)
             continue;
-        rig.outcome("a", 0, rig.sends[0].engine, Outcome::ecanceled);
+        rig.outcome("a", 0, rig.sends[0].engine, AttemptOutcome::cancelled);
         ASSERT_EQ(rig.sends.size(), 2u);
         EXPECT_NE(rig.sends[1].engine, rig.sends[0].engine);
     }
@@ -173,14 +174,14 @@
 // Seen on a day of churn: look-ups estimated at a few milliseconds were called off at every tick, five times
 // over.
 TEST(Health, AQueryOfTinyEstimateIsNotCalledOffBeforeItsClassUsuallyEnds) {
-    Settings s = plain();
-    s.note_period = 1'000'000;
-    s.classes[0].late_share = 0;
+    PolicySettings s = plain();
+    s.progress_period = 1'000'000;
+    s.classes[0].late_value_share = 0;
     Rig rig(s);
     rig.list({engine(1), engine(2)});
     rig.demand("usual", "short");  // 0.1 s
-    Demand tiny = unestimated("tiny", "short", 4'000'000);
-    tiny.cost = 4'000;
+    RequestArrived tiny = unestimated("tiny", "short", 4'000'000);
+    tiny.estimated_work = 4'000;
     rig.feed(tiny);
     rig.run_until(200'000, false);
     EXPECT_TRUE(rig.cancels.empty());
@@ -190,7 +191,7 @@
     Rig rig = awaiting_notes(500'000);
     rig.run_until(400'000, false);
     rig.at(2'000'000);  // no turn for 1.6 s; a timer is the first thing heard, its notes come after
-    rig.feed(Bell{0});
+    rig.feed(TimerFired{0});
     EXPECT_EQ(rig.cancels.size(), 0u);
     rig.run_until(4'000'000, false);
     EXPECT_EQ(rig.cancels.size() > 0, true);  // and this is silence
@@ -208,7 +209,7 @@
         rig.list({engine(1), engine(2)});
         rig.demand("a", "long");
         rig.at(1'000'000);
-        rig.feed(Note{"a", 0, rig.sends[0].engine, NoteTopic::progress, done});
+        rig.feed(AttemptProgress{"a", 0, rig.sends[0].engine, ProgressKind::fraction_done, done});
         EXPECT_EQ(rig.cancels.size(), done < 0.1 ? 1u : 0u);
     }
 }
@@ -217,14 +218,15 @@
 std::size_t called_off(std::optional<Micros> estimate) {
     Rig rig(plain());
     rig.list({engine(1), engine(2)});
-    Demand d = unestimated("l", "long", 20'000'000);
-    d.cost = estimate;
+    RequestArrived d = unestimated("l", "long", 20'000'000);
+    d.estimated_work = estimate;
     rig.feed(d);
     for (int n = 0; n < 2; ++n) {
         rig.at((n + 1) * 1'000'000);
-        rig.feed(Note{"l", n, rig.sends.back().engine, NoteTopic::progress, n == 0 ? 0.03 : 0.06});
+        rig.feed(AttemptProgress{"l", n, rig.sends.back().engine, ProgressKind::fraction_done,
+                                 n == 0 ? 0.03 : 0.06});
         if (n == 0)
-            rig.outcome("l", n, rig.sends.back().engine, Outcome::ecanceled);
+            rig.outcome("l", n, rig.sends.back().engine, AttemptOutcome::cancelled);
     }
     return rig.cancels.size();
 }
@@ -243,12 +245,12 @@
     };
     for (int i = 0; i < 40; ++i) {
         ask(nth("l", i));
-        rig.outcome(nth("l", i), 0, rig.sends.back().engine, Outcome::done, true, 3'000'000);
+        rig.outcome(nth("l", i), 0, rig.sends.back().engine, AttemptOutcome::succeeded, true, 3'000'000);
     }
     ask("slow");
     rig.at(1'000'000);
-    rig.feed(
-        Note{"slow", 0, rig.sends.back().engine, NoteTopic::progress, 0.2});  // five seconds: usual by now
+    rig.feed(AttemptProgress{"slow", 0, rig.sends.back().engine, ProgressKind::fraction_done,
+                             0.2});  // five seconds: usual by now
     EXPECT_EQ(rig.cancels.size(), 0u);
 }
 
@@ -258,26 +260,27 @@
     rig.demand("s", "short");
     for (int n = 0; n < 3; ++n) {
         ASSERT_EQ(rig.sends.size(), static_cast<std::size_t>(n + 1));
-        rig.feed(Note{"s", n, rig.sends.back().engine, NoteTopic::waits, 1});  // for memory: moves nothing
+        rig.feed(AttemptProgress{"s", n, rig.sends.back().engine, ProgressKind::waiting,
+                                 1});  // for memory: moves nothing
         EXPECT_EQ(rig.cancels.size(), static_cast<std::size_t>(n));
-        rig.feed(Note{"s", n, rig.sends.back().engine, NoteTopic::waits, 2});
+        rig.feed(AttemptProgress{"s", n, rig.sends.back().engine, ProgressKind::waiting, 2});
         if (n < 2)
-            rig.outcome("s", n, rig.sends.back().engine, Outcome::ecanceled);
+            rig.outcome("s", n, rig.sends.back().engine, AttemptOutcome::cancelled);
     }
     EXPECT_EQ(rig.cancels.size(), 2u);
 }
 
 // Found on roll+mass (seed 961393972896): five moves for nothing, each with a connection of its own.
 TEST(CallOff, WhatMeetsALoadOnThreeEnginesInARowWaitsThere) {
-    Settings s = plain();
-    s.attempts_cap = 6;
+    PolicySettings s = plain();
+    s.max_attempts = 6;
     Rig rig(s);
     rig.list({engine(1), engine(2), engine(3)});
     rig.demand("s", "short");
     for (int n = 0; n < 3; ++n) {
-        rig.feed(Note{"s", n, rig.sends.back().engine, NoteTopic::waits, 2});
+        rig.feed(AttemptProgress{"s", n, rig.sends.back().engine, ProgressKind::waiting, 2});
         if (n < 2)
-            rig.outcome("s", n, rig.sends.back().engine, Outcome::ecanceled);
+            rig.outcome("s", n, rig.sends.back().engine, AttemptOutcome::cancelled);
     }
     EXPECT_EQ(rig.cancels.size(), 2u);
     EXPECT_EQ(rig.sends.size(), 3u);
@@ -286,10 +289,10 @@
 // One of a hundred fronts on ten engines, and one answer with a report: how many of twenty short queries go
 // out.
 std::size_t sent_after(double told, int crawling_notes) {
-    Settings s = plain();
-    s.siblings = 100, s.reports = ReportSource::answers;
+    PolicySettings s = plain();
+    s.instance_count = 100, s.load_report_source = LoadReportSource::responses;
     Rig rig(s);
-    std::vector<EngineEntry> engines;
+    std::vector<Endpoint> engines;
     for (EngineId id = 1; id <= 10; ++id)
         engines.push_back(engine(id));
     rig.list(engines);
@@ -298,13 +301,13 @@
     rig.demand("first", "short");
     const EngineId heard = rig.sends.back().engine;
     rig.at(100'000);
-    Completed c;
-    c.id = "first", c.engine = heard, c.finished = true, c.taken = 100'000;
-    c.report.emplace().concurrent = told;
+    AttemptCompleted c;
+    c.id = "first", c.engine = heard, c.request_finished = true, c.duration = 100'000;
+    c.load_report.emplace().running_queries = told;
     rig.feed(c);
     rig.at(1'000'000);
     for (int i = 0; i < crawling_notes; ++i)
-        rig.feed(Note{"l", 0, rig.sends.front().engine, NoteTopic::progress, 0.05});
+        rig.feed(AttemptProgress{"l", 0, rig.sends.front().engine, ProgressKind::fraction_done, 0.05});
     const std::size_t before = rig.sends.size();
     rig.demands(20, "s", "short");
     return rig.sends.size() - before;
@@ -325,116 +328,116 @@
 
 // Found on another deployment, whose engines report busy cores and a queue alone: each counted as empty.
 TEST(Slots, BusyCoresTellOfACrowdWhereItIsNotReported) {
-    const auto sent = [](const Report& report) {
-        Settings s = plain();
-        s.siblings = 100, s.reports = ReportSource::answers;
+    const auto sent = [](const LoadReport& report) {
+        PolicySettings s = plain();
+        s.instance_count = 100, s.load_report_source = LoadReportSource::responses;
         Rig rig(s);
         rig.list({engine(1)});
         rig.demand("first", "short");
-        Completed c;
-        c.id = "first", c.engine = 1, c.finished = true, c.taken = 100'000, c.report = report;
+        AttemptCompleted c;
+        c.id = "first", c.engine = 1, c.request_finished = true, c.duration = 100'000, c.load_report = report;
         rig.feed(c);
         const std::size_t before = rig.sends.size();
         rig.demands(12, "s", "short");
         return rig.sends.size() - before;
     };
-    Report idle, busy, unknown;
-    idle.load_share = 0.1, busy.load_share = 0.89, busy.depth = 0, unknown.mean_ms = 20;
+    LoadReport idle, busy, unknown;
+    idle.busy_cores_share = 0.1, busy.busy_cores_share = 0.89, busy.queue_depth = 0, unknown.mean_ms = 20;
     EXPECT_GE(sent(idle), 8u);
     EXPECT_LE(sent(busy), 2u);
     EXPECT_LE(sent(unknown), 2u);
 }
 
 TEST(CallOff, NeverWhatMustNotRunTwiceNorWhereItFreesNothing) {
-    Settings fixed = plain();
-    fixed.may_cancel = false;
+    PolicySettings fixed = plain();
+    fixed.can_cancel = false;
     for (const auto& [settings, type] : {std::pair(plain(), "unsafe"), std::pair(fixed, "long")}) {
         Rig rig(settings);
         rig.list({engine(1), engine(2)});
         rig.demand("a", type);
         rig.at(1'000'000);
-        rig.feed(Note{"a", 0, rig.sends[0].engine, NoteTopic::progress, 0.02});
+        rig.feed(AttemptProgress{"a", 0, rig.sends[0].engine, ProgressKind::fraction_done, 0.02});
         EXPECT_TRUE(rig.cancels.empty());
     }
 }
 
 TEST(Grants, AreGenerousOnlyWhereThatIsFree) {
-    for (const WhenShort kind : {WhenShort::swap, WhenShort::queue}) {
-        Settings s = plain();
-        s.when_short = kind;
+    for (const MemoryShortagePolicy kind : {MemoryShortagePolicy::swap, MemoryShortagePolicy::queue}) {
+        PolicySettings s = plain();
+        s.memory_shortage_policy = kind;
         Rig rig(s);
         rig.list({engine(1)});
         rig.demand("a", "short");
         ASSERT_FALSE(rig.terms.empty());
-        EXPECT_GT(rig.terms[0].grant_mb, 20);
-        EXPECT_EQ(rig.terms[0].grant_mb >= 40, kind == WhenShort::swap);
+        EXPECT_GT(rig.terms[0].memory_mb, 20);
+        EXPECT_EQ(rig.terms[0].memory_mb >= 40, kind == MemoryShortagePolicy::swap);
     }
 }
 
 // Grants for a long query estimated at 20 MB, after so many like it have told in notes that they lacked 40
 // MB.
-double grant_after(int spills, WhenShort when_short, bool told) {
-    Settings s = plain();
-    s.when_short = when_short, s.cost_in_answers = told;
+double grant_after(int spills, MemoryShortagePolicy when_short, bool told) {
+    PolicySettings s = plain();
+    s.memory_shortage_policy = when_short, s.cost_in_responses = told;
     Rig rig(s);
     rig.list({engine(1)});
     for (int i = 0; i <= spills; ++i) {
         rig.demand(nth("l", i), "long");
         if (i == spills)
             break;
-        rig.feed(Note{nth("l", i), 0, 1, NoteTopic::spills, 40});
-        rig.outcome(nth("l", i), 0, 1, Outcome::done, true, 1'000'000);
+        rig.feed(AttemptProgress{nth("l", i), 0, 1, ProgressKind::spilling, 40});
+        rig.outcome(nth("l", i), 0, 1, AttemptOutcome::succeeded, true, 1'000'000);
     }
-    return rig.terms.back().grant_mb;
+    return rig.terms.back().memory_mb;
 }
 
 TEST(Grants, NeedsAreLearntFromNotesOfSpilling) {
-    EXPECT_NEAR(grant_after(0, WhenShort::trim, false), 25, 1e-9);
-    EXPECT_GT(grant_after(20, WhenShort::trim, false), 60);
-    EXPECT_LE(grant_after(500, WhenShort::trim, false),
-              16384.0 * 2 / 16 + 100);                               // what all of C can have, at most
-    EXPECT_NEAR(grant_after(20, WhenShort::trim, true), 25, 1e-9);   // answers tell the need
-    EXPECT_NEAR(grant_after(20, WhenShort::swap, false), 60, 1e-9);  // the grant is free there
+    EXPECT_NEAR(grant_after(0, MemoryShortagePolicy::trim, false), 25, 1e-9);
+    EXPECT_GT(grant_after(20, MemoryShortagePolicy::trim, false), 60);
+    EXPECT_LE(grant_after(500, MemoryShortagePolicy::trim, false),
+              16384.0 * 2 / 16 + 100);  // what all of C can have, at most
+    EXPECT_NEAR(grant_after(20, MemoryShortagePolicy::trim, true), 25, 1e-9);   // answers tell the need
+    EXPECT_NEAR(grant_after(20, MemoryShortagePolicy::swap, false), 60, 1e-9);  // the grant is free there
 }
 
 TEST(Discovery, AskedAtTheStartAndAgainWhenLost) {
-    Settings s = plain();
-    s.ask_discovery = true;
-    s.ask_within = 4'000'000;
+    PolicySettings s = plain();
+    s.watches_endpoints = true;
+    s.watch_deadline = 4'000'000;
     Rig rig(s);
     const auto asks = [&] {
         return std::count_if(rig.others.begin(), rig.others.end(), [](const Action& a) {
-            return std::holds_alternative<Observe>(a);
+            return std::holds_alternative<WatchEndpoints>(a);
         });
     };
     EXPECT_EQ(asks(), 1);
     rig.list({engine(1)});
     rig.run_until(3'000'000);
     EXPECT_EQ(asks(), 1);
-    rig.feed(ListChange{ListForm::lost, {}});
+    rig.feed(EndpointUpdate{EndpointUpdateKind::source_lost, {}});
     rig.run_until(4'500'000);
     EXPECT_GE(asks(), 2);
 }
 
 TEST(Interface, SettingsThatContradictThemselvesThrow) {
-    Settings s = plain();
-    s.classes[0].aim = s.classes[0].deadline + 1;
-    EXPECT_THROW(Brain(0, 1, s), std::invalid_argument);
-    EXPECT_THROW(Brain(0, 1, Settings{}), std::invalid_argument);
+    PolicySettings s = plain();
+    s.classes[0].latency_objective = s.classes[0].deadline + 1;
+    EXPECT_THROW(GatewayPolicy(0, 1, s), std::invalid_argument);
+    EXPECT_THROW(GatewayPolicy(0, 1, PolicySettings{}), std::invalid_argument);
 }
 
 TEST(Interface, UnknownIdsAndTimeGoingBackArePassedOver) {
     Rig rig(plain());
-    rig.feed(Gone{"x"});
-    rig.feed(Begun{"x", 0});
-    rig.outcome("x", 0, 1, Outcome::done, true);
-    rig.feed(Note{"x", 3, 1, NoteTopic::progress, 0.5});
-    rig.feed(Probed{9, 10, Outcome::done, std::nullopt});
+    rig.feed(ClientDisconnected{"x"});
+    rig.feed(ResponseStarted{"x", 0});
+    rig.outcome("x", 0, 1, AttemptOutcome::succeeded, true);
+    rig.feed(AttemptProgress{"x", 3, 1, ProgressKind::fraction_done, 0.5});
+    rig.feed(HealthCheckCompleted{9, 10, AttemptOutcome::succeeded, std::nullopt});
     rig.demand("no-such-class", "nothing");
     rig.at(1'000'000);
     rig.list({engine(1)});
     rig.demand("a", "short");
-    rig.outcome("a", 5, 1, Outcome::done, true);
+    rig.outcome("a", 5, 1, AttemptOutcome::succeeded, true);
     rig.at(10);
     rig.demand("b", "short");
     EXPECT_EQ(rig.sent_ids(), (std::vector<std::string>{"a", "b"}));
@@ -448,7 +451,7 @@
             rig.demand(nth("a", i), i % 3 ? "short" : "long");
         rig.run_until(6'000'000);
         std::vector<std::pair<std::string, EngineId>> sent;
-        for (const Send& send : rig.sends)
+        for (const DispatchAttempt& send : rig.sends)
             sent.emplace_back(send.id, send.engine);
         return sent;
     };
@@ -463,7 +466,7 @@
     rig.demands(4, "short", "short");
     const auto before = rig.sends.size();
     for (std::size_t i = 0; i < 4; ++i)
-        rig.outcome(rig.sends[i].id, 0, 1, Outcome::done, true, 1'000'000);
+        rig.outcome(rig.sends[i].id, 0, 1, AttemptOutcome::succeeded, true, 1'000'000);
     int quick = 0;
     for (std::size_t i = before; i < rig.sends.size(); ++i)
         quick += rig.sends[i].id[0] == 's';
@@ -471,8 +474,8 @@
 }
 
 TEST(Overload, LateRequestsWaitBehindThoseStillInTime) {
-    Settings s = plain();
-    s.classes[0].aim = 300'000;
+    PolicySettings s = plain();
+    s.classes[0].latency_objective = 300'000;
     Rig rig(s);
     rig.list({engine(1)});
     rig.demands(20, "old", "short");
@@ -480,7 +483,7 @@
     const auto before = rig.sends.size();
     ASSERT_LT(before, 20u);
     rig.demand("new", "short");
-    rig.outcome(rig.sends[0].id, 0, 1, Outcome::done, true);
+    rig.outcome(rig.sends[0].id, 0, 1, AttemptOutcome::succeeded, true);
     ASSERT_GT(rig.sends.size(), before);
     EXPECT_EQ(rig.sends[before].id, "new");
 }
@@ -490,7 +493,7 @@
     rig.list({engine(1), engine(2)});
     rig.demand("a", "short");
     const EngineId full = rig.sends[0].engine;
-    rig.outcome("a", 0, full, Outcome::busy, false, 1'000);
+    rig.outcome("a", 0, full, AttemptOutcome::rejected, false, 1'000);
     rig.run_until(100'000);
     rig.demands(10, "b", "short");
     EXPECT_EQ(tally(rig, 1)[full], 0);
@@ -503,10 +506,11 @@
         Rig rig(plain());
         rig.list({engine(1), engine(2)});
         rig.demand("a", "long");
-        Completed away;
-        away.id = "a", away.engine = rig.sends[0].engine, away.outcome = Outcome::busy, away.taken = 1'000;
-        away.report = Report{};
-        away.report->concurrent = held;
+        AttemptCompleted away;
+        away.id = "a", away.engine = rig.sends[0].engine, away.outcome = AttemptOutcome::rejected,
+        away.duration = 1'000;
+        away.load_report = LoadReport{};
+        away.load_report->running_queries = held;
         rig.feed(away);
         rig.run_until(100'000);
         rig.demands(12, "s", "short"), rig.demands(4, "l", "long");
@@ -526,18 +530,18 @@
 // Seen on the platform's sockets: a request that no engine can use is answered with an error by each, six
 // tries within a millisecond, and three engines were shunned for it.
 TEST(Health, ARequestThatFailsEverywhereCostsNoEngineItsTrust) {
-    Settings s = plain();
-    s.attempts_cap = 6;
+    PolicySettings s = plain();
+    s.max_attempts = 6;
     Rig rig(s);
     rig.list({engine(1), engine(2), engine(3), engine(4), engine(5), engine(6), engine(7), engine(8)});
     rig.demand("bad", "short");
     for (int i = 0; i < 6; ++i) {
         ASSERT_EQ(rig.sends.size(), static_cast<std::size_t>(i + 1));
-        rig.outcome("bad", i, rig.sends.back().engine, Outcome::err, false, 500);
+        rig.outcome("bad", i, rig.sends.back().engine, AttemptOutcome::failed, false, 500);
     }
     rig.demands(40, "s", "short");
     std::set<EngineId> used;
-    for (const Send& send : rig.sends)
+    for (const DispatchAttempt& send : rig.sends)
         if (send.id[0] == 's')
             used.insert(send.engine);
     EXPECT_EQ(used.size(), 8u);
@@ -552,10 +556,10 @@
         const auto from = rig.sends.size();
         rig.demand(nth("r", i), "short");
         for (std::size_t n = from; n < rig.sends.size(); ++n) {  // what it tries again is sent meanwhile
-            const Send send = rig.sends[n];
+            const DispatchAttempt send = rig.sends[n];
             const bool fails = send.engine == 2;
             rig.outcome(send.id, static_cast<int>(n - from), send.engine,
-                        fails ? Outcome::err : Outcome::done, !fails);
+                        fails ? AttemptOutcome::failed : AttemptOutcome::succeeded, !fails);
         }
     }
     EXPECT_LE(tally(rig, 0)[2], 4);
@@ -565,9 +569,9 @@
     for (const double held : {4.0, 100.0}) {
         Rig rig(plain());
         rig.list({engine(1)});
-        Report report;
-        report.concurrent = held;
-        rig.feed(Probed{1, 1'000, Outcome::done, report});
+        LoadReport report;
+        report.running_queries = held;
+        rig.feed(HealthCheckCompleted{1, 1'000, AttemptOutcome::succeeded, report});
         rig.demand("a", "short");
         EXPECT_EQ(rig.sends.size(), held < 10 ? 1u : 0u);
     }
@@ -575,8 +579,8 @@
 
 TEST(Design, WithoutReportsAFrontKeepsToItsPartOfTheKnee) {
     for (const int siblings : {1, 4}) {
-        Settings s = plain();
-        s.siblings = siblings;
+        PolicySettings s = plain();
+        s.instance_count = siblings;
         Rig rig(s);
         rig.list({engine(1)});
         rig.demands(40, "a", "short");
--- a/tests/policy/rules_test.cpp
+++ b/tests/policy/rules_test.cpp
@@ -14,9 +14,9 @@
     rig.list({engine(1)});
     rig.demand("a", "short");
     ASSERT_EQ(rig.sends.size(), 1u);
-    EXPECT_LE(rig.sends[0].time_out, 4'000'000);
+    EXPECT_LE(rig.sends[0].timeout, 4'000'000);
     rig.at(4'000'000);
-    rig.outcome("a", 0, 1, Outcome::etimedout);
+    rig.outcome("a", 0, 1, AttemptOutcome::timed_out);
     EXPECT_EQ(rig.refused("a") + rig.failed("a"), 1);
     rig.run_until(8'000'000);
     EXPECT_EQ(rig.refused("a") + rig.failed("a"), 1);
@@ -37,9 +37,9 @@
     rig.list({engine(1)});
     rig.demand("a", "short");
     rig.at(4'000'000);
-    rig.outcome("a", 0, 1, Outcome::etimedout);
+    rig.outcome("a", 0, 1, AttemptOutcome::timed_out);
     const auto before = rig.sends.size();
-    rig.feed(Gone{"a"});
+    rig.feed(ClientDisconnected{"a"});
     rig.run_until(9'000'000);
     EXPECT_EQ(rig.sends.size(), before);
     EXPECT_EQ(rig.refused("a") + rig.failed("a"), 1);
@@ -49,7 +49,7 @@
     Rig rig(plain());
     rig.list({engine(1)});
     rig.demand("a", "short");
-    rig.outcome("a", 0, 1, Outcome::done, true);
+    rig.outcome("a", 0, 1, AttemptOutcome::succeeded, true);
     rig.run_until(9'000'000);
     EXPECT_EQ(rig.refused("a") + rig.failed("a"), 0);
 }
@@ -57,7 +57,7 @@
 // ---- rule 2: no effect twice
 // --------------------------------------------------------------------------------
 
-class OnceAfter : public ::testing::TestWithParam<std::pair<Outcome, bool>> {};
+class OnceAfter : public ::testing::TestWithParam<std::pair<AttemptOutcome, bool>> {};
 
 TEST_P(OnceAfter, IsSentAgainOnlyIfItNeverRan) {
     const auto [outcome, again] = GetParam();
@@ -75,12 +75,13 @@
     }
 }
 INSTANTIATE_TEST_SUITE_P(Outcomes, OnceAfter,
-                         ::testing::Values(std::pair(Outcome::err, false), std::pair(Outcome::busy, true),
-                                           std::pair(Outcome::etimedout, false),
-                                           std::pair(Outcome::econnrefused, true),
-                                           std::pair(Outcome::econnreset, false),
-                                           std::pair(Outcome::ecanceled, false),
-                                           std::pair(Outcome::skipped, true)));
+                         ::testing::Values(std::pair(AttemptOutcome::failed, false),
+                                           std::pair(AttemptOutcome::rejected, true),
+                                           std::pair(AttemptOutcome::timed_out, false),
+                                           std::pair(AttemptOutcome::connection_refused, true),
+                                           std::pair(AttemptOutcome::connection_reset, false),
+                                           std::pair(AttemptOutcome::cancelled, false),
+                                           std::pair(AttemptOutcome::not_sent, true)));
 
 TEST(Keyed, SentAgainInsideItsWindowAndNotAfter) {
     for (const bool inside : {true, false}) {
@@ -88,25 +89,25 @@
         rig.list({engine(1), engine(2)});
         rig.demand("a", "keyed");
         rig.at(inside ? 4'900'000 : 5'000'000);  // the window is 5 s
-        rig.outcome("a", 0, rig.sends[0].engine, Outcome::err);
+        rig.outcome("a", 0, rig.sends[0].engine, AttemptOutcome::failed);
         EXPECT_EQ(rig.sends.size(), inside ? 2u : 1u);
         EXPECT_EQ(rig.refused("a"), inside ? 0 : 1);  // may be refused: every engine drops the repeat
     }
 }
 
 TEST(Keyed, StaysWithinItsCellAndFailsOutsideIt) {
-    Settings s = plain();
-    s.classes[2].key_scope = Scope::cell;
+    PolicySettings s = plain();
+    s.classes[2].key_scope = KeyScope::cell;
     Rig rig(s);
     rig.list({engine(1, 0), engine(2, 1)});
     rig.demand("a", "keyed");
     const EngineId first = rig.sends[0].engine;
-    rig.outcome("a", 0, first, Outcome::econnreset);
+    rig.outcome("a", 0, first, AttemptOutcome::connection_reset);
     rig.run_until(4'000'000, false);
-    for (const Send& send : rig.sends)
+    for (const DispatchAttempt& send : rig.sends)
         EXPECT_EQ(send.engine, first);
     rig.list({engine(first == 1 ? 2 : 1, first == 1 ? 1 : 0)});
-    rig.outcome("a", static_cast<int>(rig.sends.size()) - 1, first, Outcome::econnreset);
+    rig.outcome("a", static_cast<int>(rig.sends.size()) - 1, first, AttemptOutcome::connection_reset);
     rig.run_until(24'900'000, false);
     EXPECT_EQ(rig.refused("a"), 0);
     EXPECT_EQ(rig.failed("a"), 1);
@@ -115,8 +116,8 @@
 TEST(NoOverlap, NothingIsSentWhileAnAttemptIsOutAllowedOrNot) {
     for (const bool copies : {false, true})
         for (const char* type : {"long", "keyed", "unsafe"}) {
-            Settings s = plain();
-            s.may_duplicate = copies;
+            PolicySettings s = plain();
+            s.can_hedge = copies;
             Rig rig(s);
             rig.list({engine(1), engine(2)});
             rig.demand("a", type);
@@ -129,12 +130,12 @@
 // -----------------------------------------------------------------------------------------
 
 TEST(Drains, NothingGoesToAFadingOffOrMissingEngine) {
-    for (const EngineState state : {EngineState::fading, EngineState::off}) {
+    for (const EndpointState state : {EndpointState::draining, EndpointState::removed}) {
         Rig rig(plain());
         rig.list({engine(1)});
-        EngineEntry changed = engine(1);
+        Endpoint changed = engine(1);
         changed.state = state;
-        rig.feed(ListChange{ListForm::incr, {changed}});
+        rig.feed(EndpointUpdate{EndpointUpdateKind::incremental, {changed}});
         rig.demand("a", "short");
         EXPECT_TRUE(rig.sends.empty());
     }
@@ -142,7 +143,7 @@
     rig.list({engine(1), engine(2)});
     rig.list({engine(2)});
     rig.demands(20, "a", "short");
-    for (const Send& send : rig.sends)
+    for (const DispatchAttempt& send : rig.sends)
         EXPECT_EQ(send.engine, 2u);
 }
 
@@ -150,11 +151,11 @@
     Rig rig(plain());
     rig.list({engine(1)});
     rig.demand("a", "long");
-    rig.outcome("a", 0, 1, Outcome::busy);  // held for a moment before its next try
+    rig.outcome("a", 0, 1, AttemptOutcome::rejected);  // held for a moment before its next try
     const auto before = rig.sends.size();
-    EngineEntry changed = engine(1);
-    changed.state = EngineState::fading;
-    rig.feed(ListChange{ListForm::incr, {changed}});
+    Endpoint changed = engine(1);
+    changed.state = EndpointState::draining;
+    rig.feed(EndpointUpdate{EndpointUpdateKind::incremental, {changed}});
     rig.run_until(1'000'000);
     EXPECT_EQ(rig.sends.size(), before);
 }
@@ -164,7 +165,7 @@
     rig.list({engine(1)});
     rig.demand("a", "long");
     rig.list({engine(2)});
-    rig.outcome("a", 0, 1, Outcome::econnreset);
+    rig.outcome("a", 0, 1, AttemptOutcome::connection_reset);
     ASSERT_EQ(rig.sends.size(), 2u);
     EXPECT_EQ(rig.sends[1].engine, 2u);
 }
@@ -176,13 +177,13 @@
 struct ColdRig : Rig {
     explicit ColdRig(int siblings) : Rig(with(siblings)) {
         at(100'000'000);
-        EngineEntry cold = engine(1);
-        cold.came_up = 99'000'000;
+        Endpoint cold = engine(1);
+        cold.started_at = 99'000'000;
         list({cold});
     }
-    static Settings with(int siblings) {
-        Settings s = plain();
-        s.siblings = siblings;
+    static PolicySettings with(int siblings) {
+        PolicySettings s = plain();
+        s.instance_count = siblings;
         return s;
     }
     double press(const std::string& name) {
@@ -190,7 +191,7 @@
         for (int i = 0; i < 400; ++i) {
             demand(nth(name, i), "short");
             if (!sends.empty() && answered < sends.size())
-                outcome(sends[answered].id, 0, 1, Outcome::done, true), ++answered;
+                outcome(sends[answered].id, 0, 1, AttemptOutcome::succeeded, true), ++answered;
         }
         return static_cast<double>(sends.size() - before) * 0.1;
     }
@@ -218,20 +219,20 @@
 }
 
 // The answer of a query at engine 1 that tells its work.
-Completed told_work(const std::string& id, Micros taken, double work_ms) {
-    Completed c;
-    c.id = id, c.engine = 1, c.outcome = Outcome::done, c.finished = true;
-    c.taken = taken, c.work_ms = work_ms;
+AttemptCompleted told_work(const std::string& id, Micros taken, double work_ms) {
+    AttemptCompleted c;
+    c.id = id, c.engine = 1, c.outcome = AttemptOutcome::succeeded, c.request_finished = true;
+    c.duration = taken, c.work_ms = work_ms;
     return c;
 }
 
 // A cold engine takes the place of engine 1.
 void list_a_cold_one_instead(Rig& rig, Micros came_up) {
-    EngineEntry cold = engine(2);
-    cold.came_up = came_up;
-    EngineEntry gone = engine(1);
-    gone.state = EngineState::off;
-    rig.feed(ListChange{ListForm::incr, {gone, cold}});
+    Endpoint cold = engine(2);
+    cold.started_at = came_up;
+    Endpoint gone = engine(1);
+    gone.state = EndpointState::removed;
+    rig.feed(EndpointUpdate{EndpointUpdateKind::incremental, {gone, cold}});
 }
 
 // It is asked for far more than it may get: `rig.sends` is what it got.
@@ -244,8 +245,8 @@
 
 // The first answers tell more of a class's work than what it was taken for before.
 TEST(Cold, TheFirstAnswersCountForMoreThanTheGuess) {
-    Settings s = plain();
-    s.cost_in_answers = true;
+    PolicySettings s = plain();
+    s.cost_in_responses = true;
     Rig rig(s);
     rig.list({engine(1)});
     for (int i = 0; i < 6; ++i) {
@@ -259,8 +260,8 @@
 
 // The first answers are those of the shortest queries.
 TEST(Cold, EarlyAnswersDontMakeAClassShort) {
-    Settings s = plain();
-    s.cost_in_answers = true;
+    PolicySettings s = plain();
+    s.cost_in_responses = true;
     Rig rig(s);
     rig.list({engine(1)});
     rig.at(1'000'000);
@@ -278,11 +279,11 @@
 TEST(Cold, TheFirstEstimatesDontMakeAClassShort) {
     ColdRig rig(1);
     const auto ask = [&](const std::string& id, Micros cost) {
-        Demand d = unestimated(id, "long", 20'000'000);
-        d.cost = cost;
+        RequestArrived d = unestimated(id, "long", 20'000'000);
+        d.estimated_work = cost;
         rig.feed(d);
         if (!rig.sends.empty() && rig.answered < rig.sends.size())
-            rig.outcome(rig.sends[rig.answered].id, 0, 1, Outcome::done, true), ++rig.answered;
+            rig.outcome(rig.sends[rig.answered].id, 0, 1, AttemptOutcome::succeeded, true), ++rig.answered;
     };
     for (int i = 0; i < 3; ++i)
         ask(nth("a", i), 100'000);
@@ -295,18 +296,18 @@
 // Once a class is well known, its short queries don't each take the place of a usual one, and what was sent
 // still fits.
 TEST(Cold, AKnownClassOfShortAndLongQueriesUsesTheBudget) {
-    Settings s = plain();
-    s.cost_in_answers = true;
+    PolicySettings s = plain();
+    s.cost_in_responses = true;
     Rig rig(s);
     rig.list({engine(1)});
     const auto ask = [&](const std::string& id, Micros cost) {
-        Demand d = unestimated(id, "long", 20'000'000);
-        d.cost = cost;
+        RequestArrived d = unestimated(id, "long", 20'000'000);
+        d.estimated_work = cost;
         const auto before = rig.sends.size();
         rig.feed(d);
         if (rig.sends.size() == before)
             return;
-        Completed answer = told_work(rig.sends.back().id, cost, static_cast<double>(cost) / 1000);
+        AttemptCompleted answer = told_work(rig.sends.back().id, cost, static_cast<double>(cost) / 1000);
         answer.engine = rig.sends.back().engine;
         rig.feed(answer);
     };
@@ -334,10 +335,10 @@
 // -----------------------------------------------------------------------------------
 
 TEST(Order, OneAtATimeInTurnAndAFailureRestsTheKey) {
-    Settings s = plain();
-    s.classes[1].in_turn = true;
-    s.turn_gap = 500'000;
-    s.attempts_cap = 1;
+    PolicySettings s = plain();
+    s.classes[1].ordered_by_key = true;
+    s.key_order_gap = 500'000;
+    s.max_attempts = 1;
     Rig rig(s);
     rig.list({engine(1), engine(2)});
     rig.demand("a", "long", "k");
@@ -347,10 +348,10 @@
     rig.demand("free", "long");
     ASSERT_EQ(rig.sent_ids(), (std::vector<std::string>{"a", "other", "free"}));
     rig.at(100'000);
-    rig.outcome("a", 0, rig.sends[0].engine, Outcome::done, true);
+    rig.outcome("a", 0, rig.sends[0].engine, AttemptOutcome::succeeded, true);
     rig.run_until(150'000);
     ASSERT_EQ(rig.sends.back().id, "b");
-    rig.outcome("b", 0, rig.sends.back().engine, Outcome::econnreset);
+    rig.outcome("b", 0, rig.sends.back().engine, AttemptOutcome::connection_reset);
     EXPECT_EQ(rig.refused("b"), 1);
     rig.run_until(640'000);
     EXPECT_EQ(rig.sends.back().id, "b");  // still resting
@@ -362,14 +363,14 @@
 // --------------------------------------------------------------------------------------
 
 TEST(Placement, KindAndZoneHoldOnEveryAttempt) {
-    Settings s = plain();
+    PolicySettings s = plain();
     s.kinds.push_back({"big", 16, 32768});
-    s.classes[0].served_on = {{"big"}};
-    s.classes[1].azs_open = {{"z2"}};
+    s.classes[0].allowed_kinds = {{"big"}};
+    s.classes[1].allowed_zones = {{"z2"}};
     Rig rig(s);
-    EngineEntry big = engine(2);
+    Endpoint big = engine(2);
     big.kind = "big";
-    EngineEntry far = engine(3);
+    Endpoint far = engine(3);
     far.zone = "z2";
     rig.list({engine(1), big, far});
     for (int i = 0; i < 10; ++i) {
@@ -378,10 +379,10 @@
     }
     const auto first = rig.sends.size();
     for (std::size_t i = 0; i < first; ++i)
-        rig.outcome(rig.sends[i].id, 0, rig.sends[i].engine, Outcome::econnrefused);
+        rig.outcome(rig.sends[i].id, 0, rig.sends[i].engine, AttemptOutcome::connection_refused);
     rig.run_until(1'500'000, false);
     ASSERT_GT(rig.sends.size(), first);
-    for (const Send& send : rig.sends)
+    for (const DispatchAttempt& send : rig.sends)
         EXPECT_EQ(send.engine, send.id[0] == 's' ? 2u : 3u);
     rig.list({engine(1)});
     const auto before = rig.sends.size();
@@ -395,16 +396,16 @@
 // ----------------------------------------------------------------------
 
 TEST(Budget, FurtherAttemptsKeepToFreePlusShare) {
-    Settings s = plain();
-    s.extra_free = 2;
-    s.extra_per_request = 0.2;
-    s.ratio_span = 5'000'000;
+    PolicySettings s = plain();
+    s.retry_budget_base = 2;
+    s.retry_budget_ratio = 0.2;
+    s.retry_budget_window = 5'000'000;
     Rig rig(s);
     rig.list({engine(1), engine(2)});
     rig.demands(10, "a", "short");
     ASSERT_EQ(rig.sends.size(), 10u);
     for (int i = 0; i < 10; ++i)
-        rig.outcome(rig.sends[i].id, 0, rig.sends[i].engine, Outcome::err);
+        rig.outcome(rig.sends[i].id, 0, rig.sends[i].engine, AttemptOutcome::failed);
     rig.run_until(700'000, false);
     EXPECT_EQ(rig.sends.size() - 10, 4u);  // 2 + 0.2 x 10, and no more
 }
@@ -416,7 +417,7 @@
     for (int i = 0; i < 8 && rig.refused("a") == 0; ++i) {
         if (rig.sends.size() <= static_cast<std::size_t>(i))
             break;
-        rig.outcome("a", i, rig.sends[i].engine, Outcome::err);
+        rig.outcome("a", i, rig.sends[i].engine, AttemptOutcome::failed);
     }
     rig.run_until(1'000'000, false);
     EXPECT_LE(rig.sends.size(), 3u);  // attempts_cap
--- a/tests/report/report_test.cpp
+++ b/tests/report/report_test.cpp
@@ -14,8 +14,8 @@
 namespace {
 
 using decide::AttemptState;
-using decide::Finding;
 using decide::RequestState;
+using decide::SettlementFinding;
 using store::AttemptRow;
 using store::RequestRow;
 
@@ -113,9 +113,9 @@
         std::sort(times.begin(), times.end());
         for (const Micros t : times) {
             RequestRow r;
-            r.who = std::make_shared<const decide::Who>(
-                decide::Who{"u" + std::to_string(random.below(3)), "s", random.chance(0.3) ? "x=1" : "",
-                            random.chance(0.5) ? "short" : "long", random.chance(0.5) ? "east" : "west"});
+            r.who = std::make_shared<const decide::Requester>(decide::Requester{
+                "u" + std::to_string(random.below(3)), "s", random.chance(0.3) ? "x=1" : "",
+                random.chance(0.5) ? "short" : "long", random.chance(0.5) ? "east" : "west"});
             r.taken = t;
             EXPECT_TRUE(w.taken(r, t));
             r.attempts = static_cast<std::uint32_t>(random.below(3));
@@ -204,7 +204,7 @@
     const auto at = [&](const std::string& text) {
         return *local_time(settlement.zone, text);
     };
-    const decide::Who east{"u", "s", "a=2,x=1", "c", "east"}, plain{"u", "s", "", "c", "east"};
+    const decide::Requester east{"u", "s", "a=2,x=1", "c", "east"}, plain{"u", "s", "", "c", "east"};
     EXPECT_EQ(teams.of(east, at("2026-10-14T23:59:59")), "old");
     EXPECT_EQ(teams.of(east, at("2026-10-15")), "new");  // split off
     EXPECT_EQ(teams.of(plain, at("2026-10-15")), "old");
@@ -228,7 +228,7 @@
         const std::string file = folder + "/k" + std::to_string(front);
         store::LedgerWriter w({file, "front", "00000000000000b" + std::to_string(front), 100 * kMillisecond});
         RequestRow r;
-        r.who = std::make_shared<const decide::Who>(decide::Who{"u2", "s", "", "load", "west"});
+        r.who = std::make_shared<const decide::Requester>(decide::Requester{"u2", "s", "", "load", "west"});
         r.key = "k1", r.key_window = 25 * kSecondMicros, r.attempts = 1;
         // The second front's clock stepped back: its request stands before the first one's, in the same
         // month.
@@ -236,7 +236,7 @@
         ASSERT_TRUE(w.taken(r, r.taken));
         AttemptRow a;
         a.request = r.number, a.engine = "e", a.kind = "std", a.work = kSecondMicros;
-        a.state = front == 0 ? AttemptState::lost : AttemptState::answered;
+        a.state = front == 0 ? AttemptState::connection_lost : AttemptState::answered;
         w.update(a, r.taken);
         r.state = front == 0 ? RequestState::interrupted : RequestState::served;
         w.update(r, r.taken);
@@ -250,7 +250,7 @@
     EXPECT_EQ(line.attempts, 2);
     EXPECT_EQ(line.further, 0);
     EXPECT_EQ(line.all_work(), 2 * kSecondMicros);
-    EXPECT_EQ(line.work[static_cast<std::size_t>(decide::Waste::lost)], kSecondMicros);
+    EXPECT_EQ(line.work[static_cast<std::size_t>(decide::WastedWork::lost)], kSecondMicros);
 }
 
 TEST_F(ReportTest, ALateCorrectionIsANewVersionAndIsPrinted) {
--- a/tests/roster/roster_test.cpp
+++ b/tests/roster/roster_test.cpp
@@ -72,7 +72,7 @@
     ASSERT_TRUE(until([&] {
         return lists == 3;
     }));
-    EXPECT_EQ(last.at(0).state, EngineState::fading);
+    EXPECT_EQ(last.at(0).state, EndpointState::draining);
     for (int i = 0; i < 20; ++i)
         loop.turn(5 * kMillisecond);
     EXPECT_EQ(lists, 3);  // nothing new, nothing told
@@ -139,7 +139,7 @@
     ASSERT_TRUE(back) << back.error();
     ASSERT_EQ(back->size(), 3u);
     EXPECT_EQ(back->at(1).name, "b");
-    EXPECT_EQ(back->at(1).state, EngineState::fading);
+    EXPECT_EQ(back->at(1).state, EndpointState::draining);
     EXPECT_EQ(back->at(1).address, list[1].address);
     const std::string text = *config::whole_file(file);
     for (std::size_t n = 0; n + 2 < text.size(); ++n) {  // the last brace and the line's end are not missed
--- a/tests/soak/fault_proxy.cpp
+++ b/tests/soak/fault_proxy.cpp
@@ -367,8 +367,8 @@
     take_messages_of(pair.said_by_front, [&](const std::vector<std::string_view>& words) {
         const std::string id(words.size() > 1 ? words[1] : "");
         if (words[0] == "do" && words.size() == 4) {
-            decide::AnswerFields fields;
-            (void)fields.read(words[2]);
+            decide::ResponseFields fields;
+            (void)fields.parse(words[2]);
             record(pair, "arrived", id, to_number<std::int64_t>(fields.find("ms")).value_or(0));
             pair.open.insert(id);
         } else if (words[0] == "undo" && pair.open.erase(id) > 0) {
--- a/tests/soak/fleet.cpp
+++ b/tests/soak/fleet.cpp
@@ -100,19 +100,21 @@
       proxy(o.plan.seed + 2),
       result_(result) {
     auto& facts = records.facts;
-    const auto cls = [&](const char* name, Effect effect, Micros deadline, double value) -> ClassSettings& {
+    const auto cls = [&](const char* name, Idempotency effect, Micros deadline,
+                         double value) -> ClassSettings& {
         ClassSettings c;
-        c.name = name, c.effect = effect, c.deadline = deadline, c.value = value, c.late_share = 0.5;
+        c.name = name, c.idempotency = effect, c.deadline = deadline, c.priority_weight = value,
+        c.late_value_share = 0.5;
         facts.classes.push_back(c);
         return facts.classes.back();
     };
-    cls("lookup", Effect::repeatable, kLookupPatience, 1);
-    auto& load = cls("load", Effect::by_key, kLoadPatience, 5);
-    load.key_scope = Scope::all, load.window = 2'500 * kMillisecond;
-    auto& zonal = cls("zonal", Effect::by_key, kLoadPatience, 5);
-    zonal.key_scope = Scope::zone, zonal.window = 900 * kMillisecond;
-    cls("post", Effect::once, kLookupPatience, 5);
-    cls("bound", Effect::repeatable, kLookupPatience, 1).azs_open = {"z"};
+    cls("lookup", Idempotency::idempotent, kLookupPatience, 1);
+    auto& load = cls("load", Idempotency::keyed, kLoadPatience, 5);
+    load.key_scope = KeyScope::all, load.key_window = 2'500 * kMillisecond;
+    auto& zonal = cls("zonal", Idempotency::keyed, kLoadPatience, 5);
+    zonal.key_scope = KeyScope::zone, zonal.key_window = 900 * kMillisecond;
+    cls("post", Idempotency::non_idempotent, kLookupPatience, 5);
+    cls("bound", Idempotency::idempotent, kLookupPatience, 1).allowed_zones = {"z"};
     facts.drain_grace = 2'050 * kMillisecond;
 }
 
--- a/tests/soak/oracle.cpp
+++ b/tests/soak/oracle.cpp
@@ -171,8 +171,8 @@
 
 Micros Oracle::window_of(const std::string& cls) const {
     for (const auto& c : fleet_.records.facts.classes)
-        if (c.name == cls && c.effect == Effect::by_key)
-            return c.window;
+        if (c.name == cls && c.idempotency == Idempotency::keyed)
+            return c.key_window;
     return 0;
 }
 
@@ -288,7 +288,7 @@
             for (work_ms += at[to].work_ms; at[to].at - at[from].at >= kWindow; ++from)
                 work_ms -= at[from].work_ms;
             const double requests_of_mean_work = work_ms / kMeanWorkMs;  // what engines fall from
-            if (requests_of_mean_work <= decide::cold_budget(fits))
+            if (requests_of_mean_work <= decide::slow_start_budget(fits))
                 continue;
             fleet_.find("cold", engine->name + " got " + std::to_string(to - from + 1) +
                                     " requests with the work of " +
--- a/tests/store/books_test.cpp
+++ b/tests/store/books_test.cpp
@@ -15,14 +15,14 @@
 namespace {
 
 using decide::AttemptState;
-using decide::Finding;
 using decide::RequestState;
+using decide::SettlementFinding;
 
 constexpr Micros kWall = 1'790'000'000'000'000;
 
 struct Made {
     std::vector<std::string> ledgers, journals;
-    std::map<Finding, int> wanted;
+    std::map<SettlementFinding, int> wanted;
     Micros logged = 0;
     std::size_t requests = 0;
 };
@@ -48,14 +48,15 @@
         for (int i = 0; i < 200; ++i) {
             const Micros wall = kWall + i * kSecondMicros;
             RequestRow r;
-            r.who = std::make_shared<const decide::Who>(decide::Who{"u", "s", "", "c", "t"});
+            r.who = std::make_shared<const decide::Requester>(decide::Requester{"u", "s", "", "c", "t"});
             r.taken = wall;
             EXPECT_TRUE(w.taken(r, wall));
             ++m.requests;
             AttemptRow a;
             a.request = r.number, a.engine = "e1", a.ended_after = 10'000,
             a.work = static_cast<Micros>(random.below(1000)) * 1000;
-            const auto want = [&](Finding finding, AttemptState state, bool whole, bool logged, Micros more) {
+            const auto want = [&](SettlementFinding finding, AttemptState state, bool whole, bool logged,
+                                  Micros more) {
                 ++m.wanted[finding];
                 a.state = state, a.whole = whole;
                 if (logged)
@@ -63,22 +64,22 @@
             };
             switch (random.below(6)) {
                 case 0:
-                    want(Finding::agreed, AttemptState::answered, true, true, 400);
+                    want(SettlementFinding::agreed, AttemptState::answered, true, true, 400);
                     break;
                 case 1:
-                    want(Finding::unseen_end, AttemptState::lost, false, true, 90'000);
+                    want(SettlementFinding::unseen_end, AttemptState::connection_lost, false, true, 90'000);
                     break;
                 case 2:
-                    want(Finding::never_ran, AttemptState::unreachable, false, false, 0);
+                    want(SettlementFinding::never_ran, AttemptState::unreachable, false, false, 0);
                     break;
                 case 3:
-                    want(Finding::unlogged, AttemptState::lost, false, false, 0);
+                    want(SettlementFinding::unlogged, AttemptState::connection_lost, false, false, 0);
                     break;
                 case 4:
-                    want(Finding::differs, AttemptState::error, true, true, 5000);
+                    want(SettlementFinding::differs, AttemptState::error, true, true, 5000);
                     break;
                 case 5:
-                    want(Finding::journal_lacks, AttemptState::answered, true, false, 0);
+                    want(SettlementFinding::journal_lacks, AttemptState::answered, true, false, 0);
                     break;
             }
             w.update(a, wall);
@@ -89,10 +90,10 @@
         }
         (void)w.finish(0, kWall + 200 * kSecondMicros);
         // Logged under a number that the ledger never gave.
-        log(life, 5000, kWall, 7), ++m.wanted[Finding::ledger_lacks];
+        log(life, 5000, kWall, 7), ++m.wanted[SettlementFinding::ledger_lacks];
     }
-    log("", 0, kWall, 11), ++m.wanted[Finding::direct];
-    log("00000000000000ff", 3, kWall, 13), ++m.wanted[Finding::other_life];
+    log("", 0, kWall, 11), ++m.wanted[SettlementFinding::direct];
+    log("00000000000000ff", 3, kWall, 13), ++m.wanted[SettlementFinding::other_life];
     return m;
 }
 
@@ -118,12 +119,12 @@
                 ASSERT_TRUE(books.collect_journal("j", lines));
             }
         }
-        std::map<std::string, decide::LifeRecord> lives;
+        std::map<std::string, decide::IncarnationRecord> lives;
         ASSERT_FALSE(books.lives(lives));
-        std::map<Finding, int> found;
+        std::map<SettlementFinding, int> found;
         Micros logged = 0;
         std::size_t requests = 0;
-        const auto count = [&](const decide::Settled& s) {
+        const auto count = [&](const decide::Settlement& s) {
             ++found[s.finding];
             if (s.logged)
                 logged += s.work;
@@ -179,7 +180,7 @@
     std::filesystem::create_directories(folder);
     const std::string file = folder + "/f", copy = folder + "/copy";
     RequestRow r;
-    r.who = std::make_shared<const decide::Who>();
+    r.who = std::make_shared<const decide::Requester>();
     r.taken = kWall;
     {
         LedgerWriter w({file, "f", "0000000000000001", 100 * kMillisecond});
--- a/tests/store/ledger_test.cpp
+++ b/tests/store/ledger_test.cpp
@@ -36,9 +36,9 @@
 RequestRow request(std::uint32_t number, RequestState state, Random& random) {
     RequestRow r;
     r.number = number;
-    r.who = std::make_shared<const decide::Who>(decide::Who{"user-" + std::to_string(random.below(5)), "s",
-                                                            "t=" + std::to_string(random.below(3)), "short",
-                                                            "x"});
+    r.who = std::make_shared<const decide::Requester>(
+        decide::Requester{"user-" + std::to_string(random.below(5)), "s",
+                          "t=" + std::to_string(random.below(3)), "short", "x"});
     r.id = "id-" + std::to_string(number), r.taken = kWall + number, r.state = state;
     r.ended_after = static_cast<Micros>(random.below(1000));
     return r;
@@ -91,7 +91,7 @@
             auto r = request(number, state, random);
             with_last[number] = {state, r.ended_after};
             b.rows.emplace_back(std::move(r));
-            auto a = attempt(number, fresh ? AttemptState::out : AttemptState::answered, random);
+            auto a = attempt(number, fresh ? AttemptState::in_flight : AttemptState::answered, random);
             work_with_last[number] = a.work;
             b.rows.emplace_back(std::move(a));
         }
@@ -163,7 +163,7 @@
             for (int i = 0; i < 12; ++i) {
                 auto r = request(0, RequestState::open, random);
                 ASSERT_TRUE(writer.taken(r, kWall + now));
-                writer.update(attempt(r.number, AttemptState::out, random), kWall + now);
+                writer.update(attempt(r.number, AttemptState::in_flight, random), kWall + now);
                 if (i % 2 == 0) {
                     r.state = RequestState::served;
                     writer.update(r, kWall + now);
@@ -196,7 +196,7 @@
     std::unique_ptr<LedgerWriter> open(const std::string& life, std::size_t waiting = 1000,
                                        const std::string& vfs = "") {
         WriterSettings s{temp.file, "front-1", life, 100 * kMillisecond, keep, {}, vfs};
-        s.limits.waiting = waiting;
+        s.limits.max_queued_rows = waiting;
         return std::make_unique<LedgerWriter>(s);
     }
     std::string look(LedgerWriter& w, int times = 1) {
@@ -219,10 +219,10 @@
         }
         return r.number;
     }
-    std::vector<std::pair<std::string, Gap>> gaps(const std::string& file) {
+    std::vector<std::pair<std::string, LedgerGap>> gaps(const std::string& file) {
         Ledger ledger;
         EXPECT_FALSE(ledger.open(file, {"", true}));
-        std::vector<std::pair<std::string, Gap>> all;
+        std::vector<std::pair<std::string, LedgerGap>> all;
         EXPECT_FALSE(ledger.gaps(all));
         return all;
     }
@@ -236,7 +236,7 @@
     for (int i = 0; i < 10; ++i) {
         const auto n = take(*first, i < 4 ? RequestState::served : RequestState::open);
         if (i >= 4)
-            first->update(attempt(n, AttemptState::out, random), kWall);
+            first->update(attempt(n, AttemptState::in_flight, random), kWall);
     }
     look(*first);
     const Micros committed = kWall + now;
@@ -245,7 +245,7 @@
     now += 3 * kSecondMicros;
     auto second = open(kSecondLife);
     EXPECT_NE(look(*second).find("6 requests and 6 attempts"), std::string::npos);
-    take(*second, RequestState::refused);
+    take(*second, RequestState::shed);
     second->finish(now, kWall + now);
     const auto found = read(temp.file);
     ASSERT_EQ(found.all.size(), 11u);
@@ -258,7 +258,7 @@
     EXPECT_EQ(interrupted, 6);
     const auto all = gaps(temp.file);
     ASSERT_EQ(all.size(), 1u);
-    EXPECT_EQ(all[0].second.cause, StoreTrouble::killed);
+    EXPECT_EQ(all[0].second.cause, StoreError::killed);
     EXPECT_EQ(all[0].second.from, committed);
     EXPECT_EQ(all[0].second.to, kWall + now);
 }
@@ -288,7 +288,7 @@
     EXPECT_EQ(read(temp.file).all.size(), static_cast<std::size_t>(2010 - refused));
     const auto all = gaps(temp.file);
     ASSERT_EQ(all.size(), 1u);
-    EXPECT_EQ(all[0].second.cause, StoreTrouble::full);
+    EXPECT_EQ(all[0].second.cause, StoreError::full);
     EXPECT_EQ(all[0].second.requests, refused);
 }
 
@@ -302,7 +302,7 @@
     look(*first);
     first->finish(now, kWall + now);
     look(*second, 30);
-    EXPECT_EQ(second->status().trouble, StoreTrouble::none);
+    EXPECT_EQ(second->status().trouble, StoreError::none);
     second->finish(now, kWall + now);
     EXPECT_EQ(read(temp.file).all.size(), 2u);
 }
@@ -358,7 +358,7 @@
             words += look(*w);
     }
     words += look(*w, 20);
-    EXPECT_EQ(w->status().trouble, StoreTrouble::none) << words;
+    EXPECT_EQ(w->status().trouble, StoreError::none) << words;
     w->finish(now, kWall + now);
     // Whether the writing met the damage or not, every new row is there.
     const auto after = read(temp.file);
@@ -400,7 +400,7 @@
     EXPECT_LE(left, 22u);
     const auto all = gaps(temp.file);
     ASSERT_EQ(all.size(), 1u);
-    EXPECT_EQ(all[0].second.cause, StoreTrouble::none);
+    EXPECT_EQ(all[0].second.cause, StoreError::none);
     EXPECT_EQ(all[0].second.requests, static_cast<std::int64_t>(60 - left));
 }
 
