--- a/src/bench/wire.hpp
+++ b/src/bench/wire.hpp
@@ -1,4 +1,4 @@
-// The codec between the bench's wire and the interface in brain.hpp. Translation only.
+// The codec between the bench's wire and the interface in gateway_policy.hpp. Translation only.
 #pragma once
 
 #include <array>
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <vector>
 
-#include "policy/brain.hpp"
+#include "policy/gateway_policy.hpp"
 
 namespace gatetiller::wire {
 
--- a/src/cli/node.cpp
+++ b/src/cli/node.cpp
@@ -7,7 +7,7 @@
 #include "base/planted.hpp"
 #include "cli/commands.hpp"
 #include "cli/process.hpp"
-#include "decide/start_guard.hpp"
+#include "decide/readiness_guard.hpp"
 #include "net/poll_loop.hpp"
 
 namespace gatetiller::cli {
--- a/src/config/settings.hpp
+++ b/src/config/settings.hpp
@@ -8,14 +8,14 @@
 #include <string>
 #include <vector>
 
-#include "decide/holding.hpp"
 #include "decide/quota.hpp"
 #include "decide/routing.hpp"
+#include "decide/statement_admission.hpp"
 #include "decide/teams.hpp"
 #include "http/client.hpp"
 #include "http/server.hpp"
 #include "net/loop.hpp"
-#include "policy/brain.hpp"
+#include "policy/gateway_policy.hpp"
 #include "statement/engine_call.hpp"
 #include "statement/server.hpp"
 
--- a/src/core/driver.cpp
+++ b/src/core/policy_driver.cpp
@@ -1,4 +1,4 @@
-#include "core/driver.hpp"
+#include "core/policy_driver.hpp"
 
 #include <utility>
 
--- a/src/core/driver.hpp
+++ b/src/core/policy_driver.hpp
@@ -8,7 +8,7 @@
 #include <map>
 
 #include "net/loop.hpp"
-#include "policy/brain.hpp"
+#include "policy/gateway_policy.hpp"
 
 namespace gatetiller::core {
 
--- a/src/decide/account.hpp
+++ b/src/decide/account.hpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "base/time.hpp"
-#include "policy/brain.hpp"
+#include "policy/gateway_policy.hpp"
 
 namespace gatetiller::decide {
 
--- a/src/decide/attempt_end.hpp
+++ b/src/decide/attempt_end.hpp
@@ -4,7 +4,7 @@
 
 #include <string>
 
-#include "policy/brain.hpp"
+#include "policy/gateway_policy.hpp"
 
 namespace gatetiller::decide {
 
--- a/src/decide/attempt_guard.hpp
+++ b/src/decide/attempt_guard.hpp
@@ -6,7 +6,7 @@
 #include <optional>
 
 #include "decide/invariants.hpp"
-#include "policy/brain.hpp"
+#include "policy/gateway_policy.hpp"
 
 namespace gatetiller::decide {
 
--- a/src/decide/charge.hpp
+++ b/src/decide/charge.hpp
@@ -7,7 +7,7 @@
 #include <map>
 
 #include "decide/money.hpp"
-#include "decide/settle.hpp"
+#include "decide/settlement.hpp"
 
 namespace gatetiller::decide {
 
--- a/src/decide/client_numbers.cpp
+++ b/src/decide/client_sequence_numbers.cpp
@@ -1,4 +1,4 @@
-#include "decide/client_numbers.hpp"
+#include "decide/client_sequence_numbers.hpp"
 
 #include <utility>
 
--- a/src/decide/engine_connections.cpp
+++ b/src/decide/connection_choice.cpp
@@ -1,4 +1,4 @@
-#include "decide/engine_connections.hpp"
+#include "decide/connection_choice.hpp"
 
 #include <utility>
 
--- a/src/decide/engine_list.cpp
+++ b/src/decide/endpoint_list.cpp
@@ -1,4 +1,4 @@
-#include "decide/engine_list.hpp"
+#include "decide/endpoint_list.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/decide/engine_list.hpp
+++ b/src/decide/endpoint_list.hpp
@@ -1,5 +1,5 @@
 // The list of engines as a front node keeps it: by the name service's ids, in the order of the service's
-// numbers (list_numbering.hpp). What changed is handed to the module; what a good whole list no longer holds
+// numbers (serial_tracker.hpp). What changed is handed to the module; what a good whole list no longer holds
 // is gone.
 #pragma once
 
@@ -10,8 +10,8 @@
 #include <string>
 #include <vector>
 
-#include "decide/list_numbering.hpp"
-#include "policy/brain.hpp"
+#include "decide/serial_tracker.hpp"
+#include "policy/gateway_policy.hpp"
 
 namespace gatetiller::decide {
 
--- a/src/decide/engine_watch.cpp
+++ b/src/decide/endpoint_state_tracker.cpp
@@ -1,4 +1,4 @@
-#include "decide/engine_watch.hpp"
+#include "decide/endpoint_state_tracker.hpp"
 
 #include <algorithm>
 
--- a/src/decide/engine_watch.hpp
+++ b/src/decide/endpoint_state_tracker.hpp
@@ -5,7 +5,7 @@
 
 #include <optional>
 
-#include "policy/brain.hpp"
+#include "policy/gateway_policy.hpp"
 
 namespace gatetiller::decide {
 
--- a/src/decide/exchange.cpp
+++ b/src/decide/engine_exchange.cpp
@@ -1,4 +1,4 @@
-#include "decide/exchange.hpp"
+#include "decide/engine_exchange.hpp"
 
 #include "decide/client_request.hpp"
 
--- a/src/decide/planned_restart.cpp
+++ b/src/decide/graceful_shutdown.cpp
@@ -1,4 +1,4 @@
-#include "decide/planned_restart.hpp"
+#include "decide/graceful_shutdown.hpp"
 
 #include <algorithm>
 
--- a/src/decide/planned_restart.hpp
+++ b/src/decide/graceful_shutdown.hpp
@@ -1,7 +1,7 @@
 // A planned restart of a front node: how long it takes new requests, and what the last ones are told.
 #pragma once
 
-#include "policy/brain.hpp"
+#include "policy/gateway_policy.hpp"
 
 namespace gatetiller::decide {
 
--- a/src/decide/invariants.hpp
+++ b/src/decide/invariants.hpp
@@ -1,6 +1,6 @@
 // What must hold whenever a front acts, by name. Each is asked by one guard at the action itself
-// (attempt_guard.hpp, close_guard.hpp, start_guard.hpp); what a guard refuses is counted here and shown in
-// the status. In a sound front all counts stay at zero, whatever fails around it.
+// (attempt_guard.hpp, close_guard.hpp, readiness_guard.hpp); what a guard refuses is counted here and shown
+// in the status. In a sound front all counts stay at zero, whatever fails around it.
 #pragma once
 
 #include <array>
--- a/src/decide/ledger_keeper.cpp
+++ b/src/decide/ledger_state.cpp
@@ -1,4 +1,4 @@
-#include "decide/ledger_keeper.hpp"
+#include "decide/ledger_state.hpp"
 
 #include <algorithm>
 
--- a/src/decide/node_admission.hpp
+++ b/src/decide/node_admission.hpp
@@ -3,8 +3,8 @@
 
 #include <cstddef>
 
-#include "decide/node_bounds.hpp"
-#include "decide/planned_restart.hpp"
+#include "decide/graceful_shutdown.hpp"
+#include "decide/resource_limits.hpp"
 
 namespace gatetiller::decide {
 
--- a/src/decide/notes.cpp
+++ b/src/decide/progress_reporter.cpp
@@ -1,4 +1,4 @@
-#include "decide/notes.hpp"
+#include "decide/progress_reporter.hpp"
 
 namespace gatetiller::decide {
 
--- a/src/decide/notes.hpp
+++ b/src/decide/progress_reporter.hpp
@@ -3,7 +3,7 @@
 
 #include <vector>
 
-#include "policy/brain.hpp"
+#include "policy/gateway_policy.hpp"
 
 namespace gatetiller::decide {
 
--- a/src/decide/life.cpp
+++ b/src/decide/request_lifecycle.cpp
@@ -1,4 +1,4 @@
-#include "decide/life.hpp"
+#include "decide/request_lifecycle.hpp"
 
 namespace gatetiller::decide {
 
--- a/src/decide/node_bounds.cpp
+++ b/src/decide/resource_limits.cpp
@@ -1,4 +1,4 @@
-#include "decide/node_bounds.hpp"
+#include "decide/resource_limits.hpp"
 
 #include <algorithm>
 #include <tuple>
--- a/src/decide/list_numbering.cpp
+++ b/src/decide/serial_tracker.cpp
@@ -1,4 +1,4 @@
-#include "decide/list_numbering.hpp"
+#include "decide/serial_tracker.hpp"
 
 #include "base/planted.hpp"
 
--- a/src/decide/settle.cpp
+++ b/src/decide/settlement.cpp
@@ -1,4 +1,4 @@
-#include "decide/settle.hpp"
+#include "decide/settlement.hpp"
 
 #include <algorithm>
 #include <tuple>
--- a/src/decide/settle.hpp
+++ b/src/decide/settlement.hpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "decide/account.hpp"
-#include "decide/ledger_keeper.hpp"
+#include "decide/ledger_state.hpp"
 
 namespace gatetiller::decide {
 
--- a/src/decide/holding.cpp
+++ b/src/decide/statement_admission.cpp
@@ -1,4 +1,4 @@
-#include "decide/holding.hpp"
+#include "decide/statement_admission.hpp"
 
 #include <cassert>
 
--- a/src/roster/dns_source.cpp
+++ b/src/discovery/dns_source.cpp
@@ -1,4 +1,4 @@
-#include "roster/dns_source.hpp"
+#include "discovery/dns_source.hpp"
 
 #include <algorithm>
 
@@ -7,7 +7,7 @@
 #include "base/text.hpp"
 #include "dns/dns.hpp"
 
-namespace gatetiller::roster {
+namespace gatetiller::discovery {
 namespace {
 
 constexpr std::size_t kIdBytes = 2;    // at the head of every message
@@ -185,4 +185,4 @@
         events_.list(heard);
 }
 
-}  // namespace gatetiller::roster
+}  // namespace gatetiller::discovery
--- a/src/roster/dns_source.hpp
+++ b/src/discovery/dns_source.hpp
@@ -14,10 +14,10 @@
 #include <memory>
 
 #include "base/random.hpp"
-#include "decide/engine_list.hpp"
+#include "decide/endpoint_list.hpp"
 #include "net/loop.hpp"
 
-namespace gatetiller::roster {
+namespace gatetiller::discovery {
 
 struct DnsTimes {
     Micros every = 250 * kMillisecond;         // between two questions
@@ -95,4 +95,4 @@
     net::TimerId timer_ = 0;
 };
 
-}  // namespace gatetiller::roster
+}  // namespace gatetiller::discovery
--- a/src/roster/last_list.cpp
+++ b/src/discovery/endpoint_cache.cpp
@@ -1,10 +1,10 @@
-#include "roster/last_list.hpp"
+#include "discovery/endpoint_cache.hpp"
 
 #include <nlohmann/json.hpp>
 
 #include "base/durable_file.hpp"
 
-namespace gatetiller::roster {
+namespace gatetiller::discovery {
 
 Result<bool> keep_last_list(const std::string& file, const std::vector<config::EngineSettings>& list) {
     nlohmann::json engines = nlohmann::json::object();
@@ -30,4 +30,4 @@
     return config::read_engine_list(*text, file);
 }
 
-}  // namespace gatetiller::roster
+}  // namespace gatetiller::discovery
--- a/src/roster/last_list.hpp
+++ b/src/discovery/endpoint_cache.hpp
@@ -8,10 +8,10 @@
 
 #include "config/settings.hpp"
 
-namespace gatetiller::roster {
+namespace gatetiller::discovery {
 
 // Written beside and moved into place, so that a kill at any moment leaves the old or the new one.
 Result<bool> keep_last_list(const std::string& file, const std::vector<config::EngineSettings>& list);
 Result<std::vector<config::EngineSettings>> read_last_list(const std::string& file);
 
-}  // namespace gatetiller::roster
+}  // namespace gatetiller::discovery
--- a/src/roster/roster.cpp
+++ b/src/discovery/endpoint_source.cpp
@@ -1,11 +1,11 @@
-#include "roster/roster.hpp"
+#include "discovery/endpoint_source.hpp"
 
 #include <cerrno>
 #include <cstring>
 #include <fstream>
 #include <sstream>
 
-namespace gatetiller::roster {
+namespace gatetiller::discovery {
 namespace {
 
 constexpr std::size_t kLargestList = 8 << 20;
@@ -146,4 +146,4 @@
     return nullptr;
 }
 
-}  // namespace gatetiller::roster
+}  // namespace gatetiller::discovery
--- a/src/roster/roster.hpp
+++ b/src/discovery/endpoint_source.hpp
@@ -12,7 +12,7 @@
 #include "http/client.hpp"
 #include "net/loop.hpp"
 
-namespace gatetiller::roster {
+namespace gatetiller::discovery {
 
 class Source {
 public:
@@ -32,4 +32,4 @@
 std::unique_ptr<Source> make_source(net::Loop& loop, const config::RosterSettings& settings,
                                     const std::string& name);
 
-}  // namespace gatetiller::roster
+}  // namespace gatetiller::discovery
--- a/src/engine/model.hpp
+++ b/src/engine/model.hpp
@@ -11,7 +11,7 @@
 
 #include "base/random.hpp"
 #include "base/time.hpp"
-#include "policy/brain.hpp"
+#include "policy/gateway_policy.hpp"
 
 namespace gatetiller::engine {
 
--- a/src/front/engines.hpp
+++ b/src/front/engines.hpp
@@ -10,10 +10,10 @@
 #include <vector>
 
 #include "config/settings.hpp"
-#include "decide/engine_watch.hpp"
+#include "decide/endpoint_state_tracker.hpp"
+#include "discovery/endpoint_cache.hpp"
+#include "discovery/endpoint_source.hpp"
 #include "http/client.hpp"
-#include "roster/last_list.hpp"
-#include "roster/roster.hpp"
 
 namespace gatetiller::front {
 
@@ -67,7 +67,7 @@
     http::ClientOptions client_options_;
     std::string name_;
     Events events_;
-    std::unique_ptr<roster::Source> source_;
+    std::unique_ptr<discovery::Source> source_;
     std::map<EngineId, std::unique_ptr<Engine>> engines_;
     std::map<std::string, EngineId> ids_;  // by name and address: a name that moves is another engine
     EngineId last_id_ = 0;
--- a/src/front/front.hpp
+++ b/src/front/front.hpp
@@ -9,12 +9,12 @@
 #include <string>
 #include <unordered_map>
 
-#include "core/driver.hpp"
+#include "core/policy_driver.hpp"
 #include "decide/attempt_end.hpp"
 #include "decide/attempt_guard.hpp"
-#include "decide/life.hpp"
-#include "decide/notes.hpp"
-#include "decide/patience.hpp"
+#include "decide/client_time_left.hpp"
+#include "decide/progress_reporter.hpp"
+#include "decide/request_lifecycle.hpp"
 #include "front/engines.hpp"
 #include "front/metrics.hpp"
 #include "store/writer.hpp"
--- a/src/front/metrics.hpp
+++ b/src/front/metrics.hpp
@@ -12,7 +12,7 @@
 
 #include "base/time.hpp"
 #include "decide/invariants.hpp"
-#include "policy/brain.hpp"
+#include "policy/gateway_policy.hpp"
 #include "store/writer.hpp"
 
 namespace gatetiller::front {
--- a/src/lab/platform.cpp
+++ b/src/lab/platform.cpp
@@ -5,7 +5,7 @@
 
 #include "base/bytes.hpp"
 #include "base/text.hpp"
-#include "decide/exchange.hpp"
+#include "decide/engine_exchange.hpp"
 #include "dns/dns.hpp"
 #include "engine/service.hpp"
 #include "resp/resp.hpp"
--- a/src/lab/records.hpp
+++ b/src/lab/records.hpp
@@ -11,7 +11,7 @@
 
 #include "engine/service.hpp"
 #include "net/tap.hpp"
-#include "policy/brain.hpp"
+#include "policy/gateway_policy.hpp"
 
 namespace gatetiller::lab {
 
--- a/src/node/clients.hpp
+++ b/src/node/clients.hpp
@@ -11,9 +11,9 @@
 #include <string>
 #include <unordered_map>
 
-#include "decide/client_numbers.hpp"
+#include "decide/client_sequence_numbers.hpp"
 #include "decide/close_guard.hpp"
-#include "decide/node_bounds.hpp"
+#include "decide/resource_limits.hpp"
 #include "net/loop.hpp"
 #include "thrift/service.hpp"
 
--- a/src/node/config.hpp
+++ b/src/node/config.hpp
@@ -7,9 +7,9 @@
 #include <vector>
 
 #include "base/result.hpp"
-#include "decide/engine_list.hpp"
+#include "decide/endpoint_list.hpp"
 #include "net/loop.hpp"
-#include "policy/brain.hpp"
+#include "policy/gateway_policy.hpp"
 
 namespace gatetiller::node {
 
--- a/src/node/engine_link.hpp
+++ b/src/node/engine_link.hpp
@@ -1,5 +1,5 @@
 // The connections to one engine, and the requests out on them. Which connection a request goes out on is
-// decided in decide/engine_connections.hpp.
+// decided in decide/connection_choice.hpp.
 #pragma once
 
 #include <functional>
@@ -11,10 +11,10 @@
 #include <vector>
 
 #include "decide/attempt_guard.hpp"
-#include "decide/engine_connections.hpp"
-#include "decide/exchange.hpp"
+#include "decide/connection_choice.hpp"
+#include "decide/engine_exchange.hpp"
 #include "net/loop.hpp"
-#include "policy/brain.hpp"
+#include "policy/gateway_policy.hpp"
 
 namespace gatetiller::node {
 
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -6,7 +6,7 @@
 #include "base/overloaded.hpp"
 #include "base/planted.hpp"
 #include "decide/attempt_end.hpp"
-#include "decide/patience.hpp"
+#include "decide/client_time_left.hpp"
 #include "decide/table_group.hpp"
 
 namespace gatetiller::node {
@@ -157,7 +157,7 @@
                     count(i, "client " + std::to_string(c));
                 }}),
       dns_(loop, kService, settings_.seed, {},
-           {[this](const roster::DnsSource::Heard& heard) {
+           {[this](const discovery::DnsSource::Heard& heard) {
                 heard_list(heard);
             },
             [this](std::uint32_t number) {
@@ -249,7 +249,7 @@
 
 // ---- The list of engines
 
-void Node::heard_list(const roster::DnsSource::Heard& heard) {
+void Node::heard_list(const discovery::DnsSource::Heard& heard) {
     const auto held = list_.serial();
     if (deps_.trace)
         deps_.trace("name service: list " + std::to_string(heard.number) + " of " +
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -10,15 +10,15 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/driver.hpp"
+#include "core/policy_driver.hpp"
 #include "decide/attempt_guard.hpp"
 #include "decide/client_request.hpp"
-#include "decide/life.hpp"
 #include "decide/node_admission.hpp"
+#include "decide/request_lifecycle.hpp"
+#include "discovery/dns_source.hpp"
 #include "node/clients.hpp"
 #include "node/config.hpp"
 #include "node/engine_link.hpp"
-#include "roster/dns_source.hpp"
 
 namespace gatetiller::node {
 
@@ -80,7 +80,7 @@
         std::deque<Micros> sent;    // attempts while it was cold, within the window of the slow start
     };
 
-    void heard_list(const roster::DnsSource::Heard& heard);
+    void heard_list(const discovery::DnsSource::Heard& heard);
     void take_change(std::optional<EndpointUpdate> change);  // of the list
     void note_change(const EndpointUpdate& change);
     void discard_for_drained();
@@ -122,7 +122,7 @@
     LinkPool pool_;
     core::PolicyDriver driver_;
     Clients clients_;
-    roster::DnsSource dns_;
+    discovery::DnsSource dns_;
     decide::EndpointList list_;
     std::map<EngineId, Engine> engines_;
     std::unordered_map<std::string, std::unique_ptr<Running>> running_;
--- a/src/platform/settings.hpp
+++ b/src/platform/settings.hpp
@@ -6,7 +6,7 @@
 #include <string_view>
 
 #include "base/result.hpp"
-#include "policy/brain.hpp"
+#include "policy/gateway_policy.hpp"
 
 namespace gatetiller::platform {
 
--- a/src/policy/brain.cpp
+++ b/src/policy/gateway_policy.cpp
@@ -1,7 +1,7 @@
-// gatetiller: all decisions of one front. The interface (settings, events, actions) is in brain.hpp.
+// gatetiller: all decisions of one front. The interface (settings, events, actions) is in gateway_policy.hpp.
 // Reading order: constants, Algorithm 1, tables, the guard, estimates and streams, health, pick and cap,
 // slots, giving up, events, timers. Times are microseconds; work is core-microseconds.
-#include "policy/brain.hpp"
+#include "policy/gateway_policy.hpp"
 
 #include <algorithm>
 #include <boost/math/special_functions/digamma.hpp>
--- a/src/statement/load_report.hpp
+++ b/src/statement/load_report.hpp
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "http/message.hpp"
-#include "policy/brain.hpp"
+#include "policy/gateway_policy.hpp"
 
 namespace gatetiller::statement {
 
--- a/src/store/books.hpp
+++ b/src/store/books.hpp
@@ -6,7 +6,7 @@
 #include <functional>
 #include <istream>
 
-#include "decide/settle.hpp"
+#include "decide/settlement.hpp"
 #include "store/ledger.hpp"
 
 namespace gatetiller::store {
--- a/src/store/db.hpp
+++ b/src/store/db.hpp
@@ -9,7 +9,7 @@
 #include <string_view>
 
 #include "base/result.hpp"
-#include "decide/ledger_keeper.hpp"
+#include "decide/ledger_state.hpp"
 
 struct sqlite3;
 struct sqlite3_stmt;
--- a/src/store/ledger.hpp
+++ b/src/store/ledger.hpp
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "decide/account.hpp"
-#include "decide/ledger_keeper.hpp"
+#include "decide/ledger_state.hpp"
 #include "store/db.hpp"
 
 namespace gatetiller::store {
--- a/tests/decide/decide_test.cpp
+++ b/tests/decide/decide_test.cpp
@@ -5,12 +5,12 @@
 
 #include "base/random.hpp"
 #include "decide/attempt_end.hpp"
-#include "decide/engine_watch.hpp"
-#include "decide/holding.hpp"
-#include "decide/life.hpp"
-#include "decide/notes.hpp"
-#include "decide/patience.hpp"
+#include "decide/client_time_left.hpp"
+#include "decide/endpoint_state_tracker.hpp"
+#include "decide/progress_reporter.hpp"
+#include "decide/request_lifecycle.hpp"
 #include "decide/routing.hpp"
+#include "decide/statement_admission.hpp"
 
 namespace gatetiller::decide {
 namespace {
--- a/tests/decide/guard_test.cpp
+++ b/tests/decide/guard_test.cpp
@@ -3,7 +3,7 @@
 
 #include "decide/attempt_guard.hpp"
 #include "decide/close_guard.hpp"
-#include "decide/start_guard.hpp"
+#include "decide/readiness_guard.hpp"
 
 namespace gatetiller::decide {
 namespace {
--- a/tests/decide/node_test.cpp
+++ b/tests/decide/node_test.cpp
@@ -2,13 +2,13 @@
 // answer proves, bounds.
 #include <gtest/gtest.h>
 
-#include "decide/client_numbers.hpp"
 #include "decide/client_request.hpp"
-#include "decide/engine_connections.hpp"
-#include "decide/engine_list.hpp"
-#include "decide/exchange.hpp"
+#include "decide/client_sequence_numbers.hpp"
+#include "decide/connection_choice.hpp"
+#include "decide/endpoint_list.hpp"
+#include "decide/engine_exchange.hpp"
 #include "decide/node_admission.hpp"
-#include "decide/node_bounds.hpp"
+#include "decide/resource_limits.hpp"
 #include "decide/table_group.hpp"
 
 namespace gatetiller::decide {
--- a/tests/decide/quota_test.cpp
+++ b/tests/decide/quota_test.cpp
@@ -4,9 +4,9 @@
 #include <gtest/gtest.h>
 
 #include "base/random.hpp"
-#include "decide/ledger_keeper.hpp"
+#include "decide/ledger_state.hpp"
 #include "decide/money.hpp"
-#include "decide/settle.hpp"
+#include "decide/settlement.hpp"
 
 namespace gatetiller::decide {
 namespace {
--- a/tests/roster/roster_test.cpp
+++ b/tests/discovery/discovery_test.cpp
@@ -1,17 +1,16 @@
 // Lists of engines that change, come late, break off and come back.
-#include "roster/roster.hpp"
-
 #include <gtest/gtest.h>
 
 #include <filesystem>
 #include <fstream>
 
 #include "base/await.hpp"
+#include "discovery/endpoint_cache.hpp"
+#include "discovery/endpoint_source.hpp"
 #include "http/server.hpp"
 #include "net/poll_loop.hpp"
-#include "roster/last_list.hpp"
 
-namespace gatetiller::roster {
+namespace gatetiller::discovery {
 namespace {
 
 std::string list_of(const std::vector<std::string>& names, const std::string& state = "on") {
@@ -151,4 +150,4 @@
 }
 
 }  // namespace
-}  // namespace gatetiller::roster
+}  // namespace gatetiller::discovery
--- a/tests/faults/durable_test.cpp
+++ b/tests/faults/durable_test.cpp
@@ -10,8 +10,8 @@
 
 #include "base/await.hpp"
 #include "base/durable_file.hpp"
+#include "discovery/endpoint_cache.hpp"
 #include "front/engines.hpp"
-#include "roster/last_list.hpp"
 #include "shim/fault_control.hpp"
 
 namespace gatetiller::testing {
@@ -98,11 +98,11 @@
     ASSERT_TRUE(await(loop, [&] {
         return lists > 0;
     }));
-    EXPECT_FALSE(roster::read_last_list(file));
+    EXPECT_FALSE(discovery::read_last_list(file));
     EXPECT_NE(log.find("No space left"), std::string::npos) << log;
     control.heal();
     EXPECT_TRUE(await(loop, [&] {
-        return roster::read_last_list(file).ok();
+        return discovery::read_last_list(file).ok();
     }));
 }
 
--- a/tests/policy/fit_test.cpp
+++ b/tests/policy/fit_test.cpp
@@ -3,7 +3,7 @@
 
 #include <cmath>
 
-#include "policy/brain.hpp"
+#include "policy/gateway_policy.hpp"
 
 using namespace gatetiller;
 
--- a/tests/policy/rig.hpp
+++ b/tests/policy/rig.hpp
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-#include "policy/brain.hpp"
+#include "policy/gateway_policy.hpp"
 
 namespace gatetiller::testing {
 
--- a/tests/soak/fault_proxy.cpp
+++ b/tests/soak/fault_proxy.cpp
@@ -11,7 +11,7 @@
 #include <set>
 
 #include "base/text.hpp"
-#include "decide/exchange.hpp"
+#include "decide/engine_exchange.hpp"
 #include "net/kernel_address.hpp"
 #include "resp/resp.hpp"
 
