--- a/src/base/buffer.hpp
+++ b/src/base/buffer.hpp
@@ -1,5 +1,5 @@
-// Bytes on their way: appended at the end, taken from the front. One piece of memory; views are good until
-// the next append. Memory that was needed once for a large message is given back when the buffer runs empty.
+// A byte queue in one contiguous block: appended at the end, consumed at the front. Views are valid until the
+// next change of the buffer. An empty buffer gives back the memory of a large message.
 #pragma once
 
 #include <cassert>
@@ -43,7 +43,7 @@
     void clear() {
         held_.clear();
         start_ = 0;
-        if (held_.capacity() > kKeep)
+        if (held_.capacity() > kRetainedCapacityBytes)
             held_.shrink_to_fit();
     }
     std::string_view view() const {
@@ -57,7 +57,7 @@
     }
 
 private:
-    static constexpr std::size_t kKeep = 4096;
+    static constexpr std::size_t kRetainedCapacityBytes = 4096;
     void compact() {
         held_.erase(0, start_);
         start_ = 0;
--- a/src/base/durable_file.cpp
+++ b/src/base/durable_file.cpp
@@ -11,7 +11,7 @@
 namespace gatetiller {
 namespace {
 
-bool write_whole(int fd, std::string_view content) {
+bool write_all(int fd, std::string_view content) {
     while (!content.empty()) {
         const ssize_t n = ::write(fd, content.data(), content.size());
         if (n < 0 && errno == EINTR)
@@ -23,8 +23,8 @@
     return true;
 }
 
-// A sync that failed once may succeed the next time without having written: its descriptor is of no further
-// use.
+// After a failed fsync the kernel may report success without having written: the descriptor must not be used
+// again.
 bool sync_and_close(int fd, bool written) {
     const bool synced = written && ::fsync(fd) == 0;
     const int code = errno;
@@ -43,18 +43,18 @@
 }  // namespace
 
 Result<bool> replace_file(const std::string& file, std::string_view content) {
-    const std::string beside = file + "." + std::to_string(::getpid()) + ".new";
+    const std::string temporary = file + "." + std::to_string(::getpid()) + ".new";
     const auto failed = [&](const char* what) {
         const int code = errno;
-        ::unlink(beside.c_str());
+        ::unlink(temporary.c_str());
         return Error{file + ": " + what + ": " + std::strerror(code), code};
     };
-    const int fd = ::open(beside.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644);
+    const int fd = ::open(temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644);
     if (fd < 0)
         return failed("cannot be created");
-    if (!sync_and_close(fd, write_whole(fd, content)))
+    if (!sync_and_close(fd, write_all(fd, content)))
         return failed("cannot be written");
-    if (std::rename(beside.c_str(), file.c_str()) != 0)
+    if (std::rename(temporary.c_str(), file.c_str()) != 0)
         return failed("cannot be replaced");
     if (!sync_folder_of(file))
         return Error{file + ": its folder cannot be synced: " + std::strerror(errno), errno};
--- a/src/base/random.hpp
+++ b/src/base/random.hpp
@@ -2,8 +2,10 @@
 // standard library's distributions don't promise.
 #pragma once
 
+#include <algorithm>
 #include <cmath>
 #include <cstdint>
+#include <numbers>
 #include <string>
 
 namespace gatetiller {
@@ -24,20 +26,22 @@
     double uniform(double low, double high) {
         return low + (high - low) * uniform();
     }
-    std::uint64_t below(std::uint64_t n) {
-        return n == 0 ? 0 : next() % n;
+    std::uint64_t below(std::uint64_t limit) {
+        return limit == 0 ? 0 : next() % limit;
     }
-    bool chance(double p) {
-        return uniform() < p;
+    bool chance(double probability) {
+        return uniform() < probability;
     }
     double exponential(double mean) {
         return -mean * std::log1p(-uniform());
     }
-    // By mean and CV (standard deviation over mean).
-    double lognormal(double mean, double cv) {
-        const double s2 = std::log1p(cv * cv);
-        const double u = std::max(uniform(), 1e-300), angle = 6.283185307179586 * uniform();
-        return mean * std::exp(std::sqrt(s2) * std::sqrt(-2 * std::log(u)) * std::cos(angle) - s2 / 2);
+    // By its mean and its coefficient of variation (standard deviation over mean); by the Box-Muller
+    // transform.
+    double lognormal(double mean, double coefficient_of_variation) {
+        const double variance = std::log1p(coefficient_of_variation * coefficient_of_variation);
+        const double radius = std::sqrt(-2 * std::log(std::max(uniform(), 1e-300)));
+        const double angle = 2 * std::numbers::pi * uniform();
+        return mean * std::exp(std::sqrt(variance) * radius * std::cos(angle) - variance / 2);
     }
     std::string hex(int digits) {
         std::string text;
--- a/src/base/result.hpp
+++ b/src/base/result.hpp
@@ -1,4 +1,5 @@
-// The one way to fail: a value, or an Error that says what, where and what to do. Nothing here throws.
+// Result: a value, or an Error whose text says what failed, where, and what would be right. Nothing here
+// throws; reading the value of a failed Result is a programming error and asserted.
 #pragma once
 
 #include <cassert>
--- a/src/base/text.hpp
+++ b/src/base/text.hpp
@@ -1,4 +1,4 @@
-// Small matters of text.
+// Text helpers: trimming, splitting, number parsing, hashing, glob patterns. ASCII only.
 #pragma once
 
 #include <algorithm>
@@ -58,22 +58,31 @@
     return hash;
 }
 
-// `*` stands for any run of characters; everything else for itself. Linear in practice, no recursion.
+// Whether `text` fits `pattern`, in which `*` stands for any run of characters and everything else for
+// itself. Iterative, with backtracking to the last `*` alone: at most pattern times text steps.
 inline bool glob_matches(std::string_view pattern, std::string_view text) {
-    std::size_t p = 0, t = 0, star = std::string_view::npos, mark = 0;
-    while (t < text.size()) {
-        if (p < pattern.size() && pattern[p] == '*')
-            star = p++, mark = t;
-        else if (p < pattern.size() && pattern[p] == text[t])
-            ++p, ++t;
-        else if (star != std::string_view::npos)
-            p = star + 1, t = ++mark;
-        else
+    std::size_t pattern_at = 0;
+    std::size_t text_at = 0;
+    std::size_t last_star = std::string_view::npos;
+    std::size_t retry_at = 0;
+    while (text_at < text.size()) {
+        const bool more = pattern_at < pattern.size();
+        if (more && pattern[pattern_at] == '*') {
+            last_star = pattern_at;
+            ++pattern_at;
+            retry_at = text_at;
+        } else if (more && pattern[pattern_at] == text[text_at]) {
+            ++pattern_at;
+            ++text_at;
+        } else if (last_star != std::string_view::npos) {
+            pattern_at = last_star + 1;
+            ++retry_at;
+            text_at = retry_at;
+        } else {
             return false;
+        }
     }
-    while (p < pattern.size() && pattern[p] == '*')
-        ++p;
-    return p == pattern.size();
+    return pattern.find_first_not_of('*', pattern_at) == std::string_view::npos;
 }
 
 }  // namespace gatetiller
