--- /dev/null
+++ b/src/node/engine_connection.cpp
@@ -0,0 +1,501 @@
+#include "node/engine_connection.hpp"
+
+#include <algorithm>
+
+#include "base/text.hpp"
+#include "platform/settings.hpp"
+#include "resp/resp.hpp"
+
+namespace gatetiller::node {
+namespace {
+
+using decide::ConnectionEnd;
+using decide::ExchangeResult;
+using decide::WriteProgress;
+using Status = ExchangeResult::Status;
+
+// A request that has waited longer than this to go out is written anew, with the time that is then left.
+constexpr Micros kMaxRequestAge = 10 * kMillisecond;
+
+// A request that has gone out in part for longer than this is cut off and tried anew: the time left that
+// stands in its first bytes is no longer true.
+constexpr Micros kMaxPartialWriteTime = 120 * kMillisecond;
+
+// Without a response for so long a request may lie unread at a proxy or an engine that hangs.
+constexpr Micros kSilentAfter = 300 * kMillisecond;
+
+constexpr std::size_t kResponseParts = 4;  // id, kind, fields, body
+constexpr std::size_t kMaxPartBytes = 8'192;
+constexpr std::size_t kMaxDetailBytes = 80;  // of an engine's message, for logs
+const resp::Limits kResponseLimits{kResponseParts, kMaxPartBytes};
+
+std::optional<LoadReport> parse_load_report(std::string_view gauges) {
+    LoadReport report;
+    bool any = false;
+    for (const auto part : split(gauges, ';')) {
+        const std::size_t colon = part.find(':');
+        if (colon == std::string_view::npos)
+            continue;
+        const auto member = platform::report_field(part.substr(0, colon));
+        const auto value = to_number<double>(part.substr(colon + 1));
+        if (!member || !value)
+            continue;
+        report.*member = *value;
+        any = true;
+    }
+    return any ? std::optional(report) : std::nullopt;
+}
+
+std::string encode(const std::string& id, const Exchange::Request& request) {
+    return resp::array({"do", id, request.fields, request.body});
+}
+
+// The kinds of progress in an INFO message, by the name of its resource.
+std::optional<ProgressKind> progress_kind(std::string_view resource) {
+    if (resource == "so_far")
+        return ProgressKind::fraction_done;
+    if (resource == "lacking")
+        return ProgressKind::spilling;
+    if (resource == "waiting")
+        return ProgressKind::waiting;
+    return std::nullopt;
+}
+
+}  // namespace
+
+EngineConnection::EngineConnection(net::Loop& loop, const net::Address& address, Micros connect_timeout,
+                                   ConnectionPool& pool, EngineConnectionOwner& owner)
+    : loop_(loop),
+      address_(address.text()),
+      pool_(pool),
+      owner_(owner),
+      number_(++pool.opened),
+      opened_at_(loop.now()),
+      last_used_at_(opened_at_) {
+    ++pool_.open_connections;
+    stream_ = loop_.connect(address, *this, connect_timeout);
+}
+
+EngineConnection::~EngineConnection() {
+    if (pool_.trace)
+        trace("closed with " + std::to_string(unsent_bytes()) + " bytes unsent");
+    --pool_.open_connections;
+}
+
+std::string EngineConnection::name() const {
+    return "connection " + std::to_string(number_) + " to " + address_;
+}
+
+std::size_t EngineConnection::unsent_bytes() const {
+    return stream_ ? stream_->unsent() : 0;
+}
+
+void EngineConnection::trace(const std::string& what) const {
+    pool_.trace(name() + " " + what + " open=" + std::to_string(open_.size()) +
+                " ms=" + std::to_string((loop_.now() - opened_at_) / kMillisecond));
+}
+
+void EngineConnection::on_connected() {
+    connected_ = true;
+    if (pool_.trace)
+        trace("is up");
+}
+
+void EngineConnection::on_closed(net::Closed how) {
+    switch (how) {
+        case net::Closed::refused:
+        case net::Closed::too_late:
+            ++pool_.refused;
+            return end_all(ConnectionEnd::never_established, StreamState::ended, "no connection");
+        case net::Closed::local:
+            ++pool_.local_failures;
+            return end_all(ConnectionEnd::local_resource_exhausted, StreamState::ended,
+                           "this machine lacks something for a connection");
+        case net::Closed::by_peer:
+        case net::Closed::reset:
+            break;
+    }
+    ++pool_.broken;
+    end_all(ConnectionEnd::broken, StreamState::ended, "the connection ended");
+}
+
+// ---- Sending
+
+void EngineConnection::begin(Exchange& exchange, const Exchange::Request& request) {
+    exchange.connection_ = this;
+    open_.emplace(exchange.id_, &exchange);
+    sent_ids_.insert(exchange.id_);
+    std::string bytes = encode(exchange.id_, request);
+    exchange.request_bytes_ = bytes.size();
+    exchange.written_at_ = loop_.now();
+    exchange.request_send_ = send(std::move(bytes));
+    exchange.ends_at_byte_ = bytes_given_;
+    unsent_.push_back(&exchange);
+}
+
+net::SendId EngineConnection::send(std::string bytes) {
+    bytes_given_ += bytes.size();
+    return stream_->send(std::move(bytes));
+}
+
+// Requests that waited, as far as they may go out now: each must bear the time that is left to it.
+void EngineConnection::on_sending(std::size_t most) {
+    std::erase_if(unsent_, [&](const Exchange* exchange) {
+        return stream_->written(exchange->request_send_) == net::Written::whole;
+    });
+    auto waiting = unsent_;  // a copy, as withdrawing a request changes `unsent_`
+    const bool first_has_begun =
+        !waiting.empty() && stream_->written(waiting.front()->request_send_) == net::Written::part;
+    if (first_has_begun) {
+        if (loop_.now() - waiting.front()->written_at_ > kMaxPartialWriteTime)
+            return cut_off("its first part had gone out too long ago");
+        waiting.erase(waiting.begin());
+    }
+    std::size_t bytes = 0;
+    for (Exchange* const exchange : waiting) {
+        if (bytes >= most)
+            break;
+        bytes += prepare(*exchange);
+    }
+}
+
+void EngineConnection::on_sent() {
+    unsent_.clear();
+}
+
+std::size_t EngineConnection::prepare(Exchange& exchange) {
+    if (exchange.events_.may_begin(number_))
+        return rewrite_if_stale(exchange);
+    withdraw_while_sending(exchange);
+    return 0;
+}
+
+std::size_t EngineConnection::rewrite_if_stale(Exchange& exchange) {
+    if (loop_.now() - exchange.written_at_ < kMaxRequestAge)
+        return exchange.request_bytes_;
+    const auto request = exchange.events_.current_request();
+    if (!request) {
+        withdraw_while_sending(exchange);
+        return 0;
+    }
+    std::string bytes = encode(exchange.id_, *request);
+    exchange.request_bytes_ = bytes.size();
+    exchange.written_at_ = loop_.now();
+    ++pool_.rewritten;
+    stream_->replace(exchange.request_send_, std::move(bytes));
+    return exchange.request_bytes_;
+}
+
+// It may not begin any more. Its owner is notified in a later turn, as the stream is in the middle of
+// writing.
+void EngineConnection::withdraw_while_sending(Exchange& exchange) {
+    if (!stream_->take_back(exchange.request_send_))
+        return;
+    exchange.request_send_ = 0;
+    for (const auto change : std::exchange(exchange.priority_changes_, {}))
+        stream_->take_back(change);
+    std::erase(unsent_, &exchange);
+    loop_.after(0, [this, alive = std::weak_ptr<char>(alive_), id = exchange.id_] {
+        if (!alive.expired())
+            end_as_not_sent(id);
+    });
+}
+
+void EngineConnection::end_as_not_sent(const std::string& id) {
+    const auto found = open_.find(id);
+    if (found == open_.end() || found->second->request_send_ != 0)
+        return;
+    ExchangeResult result;
+    result.status = Status::not_sent;
+    result.detail = "it waited until it might not begin any more";
+    finish(*found->second, std::move(result));
+}
+
+// A part of a request has gone out, and the rest must not follow it. All other open requests end too, each
+// with what that proves; in a later turn, as the caller still uses this connection.
+void EngineConnection::cut_off(const char* reason) {
+    stream_->drop_unsent();
+    loop_.after(0, [this, alive = std::weak_ptr<char>(alive_), reason] {
+        if (!alive.expired())
+            end_all(ConnectionEnd::broken, StreamState::ended, reason);
+    });
+}
+
+// ---- Responses
+
+void EngineConnection::on_data(Buffer& in) {
+    const std::weak_ptr<char> alive = alive_;
+    std::vector<std::string_view> parts;
+    std::size_t size = 0;
+    for (;;) {
+        const auto reading = resp::read_array(in.view(), kResponseLimits, parts, size);
+        if (reading == resp::Reading::none)
+            return;
+        if (reading == resp::Reading::spoilt || parts.size() != kResponseParts) {
+            end_malformed("an answer that can't be read");
+            return;
+        }
+        // Copied, since what it leads to may destroy this connection with its buffer.
+        const Response response{std::string(parts[0]), std::string(parts[1]), std::string(parts[2]),
+                                std::string(parts[3])};
+        in.take(size);
+        if (!on_response(response) || alive.expired())
+            return;
+    }
+}
+
+bool EngineConnection::on_response(const Response& response) {
+    if (response.kind == "PONG")
+        return true;
+    decide::ResponseFields fields;
+    if (!fields.parse(response.fields))
+        return end_malformed("fields that can't be read");
+    const auto found = open_.find(response.id);
+    if (found == open_.end())
+        return on_unsolicited();
+    Exchange& exchange = *found->second;
+    exchange.has_response_ = true;
+    if (response.kind == "INFO")
+        return on_progress(exchange, fields);
+    if (response.kind == "HIT")
+        return on_first_page(exchange, fields, response);
+    if (response.kind == "PART")
+        return on_further_page(exchange, fields, response.body);
+    if (response.kind == "SHED" || response.kind == "LATE" || response.kind == "FAULT")
+        return on_failure(exchange, fields, response);
+    return end_malformed("an answer of an unknown kind");
+}
+
+bool EngineConnection::on_progress(Exchange& exchange, const decide::ResponseFields& fields) {
+    const auto value = to_number<double>(fields.find("amount"));
+    const auto kind = progress_kind(fields.find("res"));
+    if (!value || !kind)
+        return true;  // other notices say nothing about progress
+    const std::weak_ptr<char> alive = alive_;
+    exchange.events_.on_progress(*kind, *value);
+    return !alive.expired();
+}
+
+bool EngineConnection::on_first_page(Exchange& exchange, const decide::ResponseFields& fields,
+                                     const Response& response) {
+    if (exchange.pages_.started())
+        return on_unsolicited();
+    const auto pages = to_number<std::size_t>(fields.find("chunks"));
+    if (!exchange.pages_.start(pages.value_or(1), response.body))
+        return end_malformed("a page that can't be read");
+    exchange.result_.work_ms = to_number<double>(fields.find("spent")).value_or(0);
+    exchange.result_.needed_mb = to_number<double>(fields.find("wanted")).value_or(0);
+    exchange.result_.load_report = parse_load_report(fields.find("gauges"));
+    for (std::size_t page = 1; page < exchange.pages_.pages(); ++page)
+        send(resp::array({"page", response.id, std::to_string(page)}));
+    return finish_if_complete(exchange);
+}
+
+bool EngineConnection::on_further_page(Exchange& exchange, const decide::ResponseFields& fields,
+                                       const std::string& page) {
+    const auto number = to_number<std::size_t>(fields.find("at")).value_or(0);
+    switch (exchange.pages_.add(number, page)) {
+        case decide::ResultPages::PageVerdict::accepted:
+            return finish_if_complete(exchange);
+        case decide::ResultPages::PageVerdict::not_requested:
+            return on_unsolicited();
+        case decide::ResultPages::PageVerdict::malformed:
+            break;
+    }
+    return end_malformed("a page that can't be read");
+}
+
+bool EngineConnection::on_failure(Exchange& exchange, const decide::ResponseFields& fields,
+                                  const Response& response) {
+    ExchangeResult result;
+    result.status = Status::failed;
+    if (response.kind == "SHED")
+        result.status = Status::rejected;
+    else if (response.kind == "LATE")
+        result.status = Status::deadline_passed;
+    if (result.status != Status::failed && exchange.pages_.started())
+        return end_malformed("an end after a result");
+    result.load_report = parse_load_report(fields.find("gauges"));
+    result.detail = response.body.substr(0, kMaxDetailBytes);
+    return finish(exchange, std::move(result));
+}
+
+bool EngineConnection::on_unsolicited() {
+    ++pool_.unsolicited;
+    return true;
+}
+
+bool EngineConnection::end_malformed(const char* reason) {
+    ++pool_.malformed_responses;
+    end_all(ConnectionEnd::broken, StreamState::open, reason);
+    return false;
+}
+
+bool EngineConnection::finish_if_complete(Exchange& exchange) {
+    if (!exchange.pages_.complete())
+        return true;
+    exchange.result_.status = Status::completed;
+    exchange.result_.rows = exchange.pages_.take_rows();
+    return finish(exchange, std::move(exchange.result_));
+}
+
+bool EngineConnection::finish(Exchange& exchange, ExchangeResult result) {
+    remove(exchange);
+    const std::weak_ptr<char> alive = alive_;
+    exchange.events_.on_end(std::move(result));
+    return !alive.expired() && close_if_unused();
+}
+
+// ---- Ends
+
+decide::ConnectionSnapshot EngineConnection::snapshot(const std::string& id) const {
+    return {open_.size(), sent_ids_.size(), sent_ids_.contains(id), retired_, last_used_at_};
+}
+
+void EngineConnection::remove(Exchange& exchange) {
+    open_.erase(exchange.id_);
+    std::erase(unsent_, &exchange);
+    exchange.connection_ = nullptr;
+    last_used_at_ = loop_.now();
+}
+
+void EngineConnection::detach_all() {
+    for (const auto& [id, exchange] : open_)
+        exchange->connection_ = nullptr;
+}
+
+// Responses that still come under its id must not count for another attempt, and a connection on which a
+// response never comes is of no further use.
+void EngineConnection::give_up(Exchange& exchange) {
+    cancelled_silent_request_ = cancelled_silent_request_ || is_silent(exchange);
+    remove(exchange);
+    retired_ = true;
+    close_if_unused();
+}
+
+// False: this connection is gone.
+bool EngineConnection::close_if_unused() {
+    if (!retired_ || !open_.empty())
+        return true;
+    if (holds_unacknowledged() || cancelled_silent_request_)
+        discard();
+    owner_.release(*this);
+    return false;
+}
+
+// Whether the kernel still holds bytes for an engine that may be cut off, or read nothing, for long.
+bool EngineConnection::holds_unacknowledged() const {
+    return stream_ && stream_->unacknowledged().value_or(0) > 0;
+}
+
+// The same of one request: of what the kernel holds, what was given to it later is the last.
+bool EngineConnection::holds_unacknowledged(const Exchange& exchange) const {
+    const std::size_t behind = bytes_given_ - std::min(bytes_given_, exchange.ends_at_byte_);
+    const std::size_t behind_in_kernel = behind - std::min(behind, unsent_bytes());
+    return stream_ && stream_->unacknowledged().value_or(0) > behind_in_kernel;
+}
+
+bool EngineConnection::holds_unacknowledged_request() const {
+    return std::any_of(open_.begin(), open_.end(), [this](const auto& open) {
+        return holds_unacknowledged(*open.second);
+    });
+}
+
+// There has been no response for so long that the request may lie unread somewhere on its way, acknowledged
+// or not.
+bool EngineConnection::is_silent(const Exchange& exchange) const {
+    return !exchange.has_response_ && loop_.now() - exchange.written_at_ > kSilentAfter;
+}
+
+// Nothing of what was cancelled may begin any more. A reset cancels as much as an `undo` does.
+void EngineConnection::discard() {
+    ++pool_.discarded;
+    stream_->discard();
+}
+
+void EngineConnection::abort(const char* reason) {
+    end_all(ConnectionEnd::broken, StreamState::open, reason);
+}
+
+void EngineConnection::end_all(ConnectionEnd end, StreamState stream_state, const char* reason) {
+    if (pool_.trace)
+        trace(std::string("ends: ") + reason);
+    std::vector<std::pair<Exchange::Events*, Status>> ended;
+    for (const auto& [id, exchange] : std::exchange(open_, {})) {
+        auto progress = WriteProgress::complete;
+        if (stream_->take_back(exchange->request_send_))
+            progress = WriteProgress::none;
+        else if (stream_state == StreamState::ended &&
+                 stream_->written(exchange->request_send_) != net::Written::whole)
+            progress = WriteProgress::partial;
+        ended.emplace_back(&exchange->events_, decide::classify_connection_end(end, progress));
+        exchange->connection_ = nullptr;
+    }
+    unsent_.clear();
+    if (holds_unacknowledged())
+        discard();  // not where the stream has ended: nothing of it is held any more
+    stream_.reset();
+    owner_.release(*this);  // `this` is gone: only what was copied counts from here
+    for (const auto& [events, status] : ended) {
+        ExchangeResult result;
+        result.status = status;
+        result.detail = reason;
+        events->on_end(std::move(result));
+    }
+}
+
+// ---- What exchanges ask for
+
+void EngineConnection::set_priority(Exchange& exchange, int level) {
+    exchange.priority_changes_.push_back(send(resp::array({"bump", exchange.id_, std::to_string(level)})));
+}
+
+bool EngineConnection::withdraw_unsent(Exchange& exchange) {
+    if (!stream_->take_back(exchange.request_send_))
+        return false;
+    for (const auto change : exchange.priority_changes_)
+        stream_->take_back(change);  // behind the request, so not written either
+    sent_ids_.erase(exchange.id_);
+    remove(exchange);
+    close_if_unused();
+    return true;
+}
+
+bool EngineConnection::reset_partial(Exchange& exchange) {
+    if (stream_->written(exchange.request_send_) != net::Written::part)
+        return false;
+    cut_off("cut off in the middle of a request given up");
+    give_up(exchange);
+    return true;
+}
+
+bool EngineConnection::discard_unacknowledged(Exchange& exchange) {
+    if (open_.size() != 1 || !holds_unacknowledged(exchange))
+        return false;
+    give_up(exchange);  // which closes the connection, as nothing else is open there
+    return true;
+}
+
+void EngineConnection::cancel(Exchange& exchange) {
+    send(resp::array({exchange.pages_.started() ? "forget" : "undo", exchange.id_}));
+    give_up(exchange);
+}
+
+std::string EngineConnection::describe(const Exchange& exchange) const {
+    const char* progress = "not gone out";
+    switch (stream_->written(exchange.request_send_)) {
+        case net::Written::whole:
+            progress = "gone out completely";
+            break;
+        case net::Written::part:
+            progress = "gone out in part";
+            break;
+        case net::Written::nothing:
+            break;
+    }
+    const auto unacknowledged = stream_->unacknowledged();
+    return name() + (connected_ ? " (up)" : " (not up)") + ", " + progress +
+           (unacknowledged ? ", unacknowledged " + std::to_string(*unacknowledged) : "");
+}
+
+}  // namespace gatetiller::node
--- /dev/null
+++ b/src/node/exchange.cpp
@@ -0,0 +1,33 @@
+#include "node/exchange.hpp"
+
+#include "node/engine_connection.hpp"
+
+namespace gatetiller::node {
+
+Exchange::~Exchange() {
+    if (connection_ && !reset_partial())
+        connection_->cancel(*this);
+}
+
+void Exchange::set_priority(int level) {
+    if (connection_ && !pages_.started())
+        connection_->set_priority(*this, level);
+}
+
+bool Exchange::withdraw_unsent() {
+    return connection_ && connection_->withdraw_unsent(*this);
+}
+
+bool Exchange::reset_partial() {
+    return withdraw_unsent() || (connection_ && connection_->reset_partial(*this));
+}
+
+bool Exchange::discard_unacknowledged() {
+    return connection_ && connection_->discard_unacknowledged(*this);
+}
+
+std::string Exchange::describe() const {
+    return connection_ ? connection_->describe(*this) : "over";
+}
+
+}  // namespace gatetiller::node
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -81,11 +81,11 @@
     ~Attempt() override {
         node.loop_.cancel(timer), node.loop_.cancel(window);
     }
-    void on_note(ProgressKind topic, double value) override;
+    void on_progress(ProgressKind topic, double value) override;
     void on_end(decide::ExchangeResult end) override {
         node.on_end(*this, std::move(end));
     }
-    std::optional<Request> request() override;
+    std::optional<Exchange::Request> current_request() override;
     bool may_begin(std::uint64_t connection) override;
 
     Node& node;
@@ -122,7 +122,7 @@
     }
 };
 
-void Node::Attempt::on_note(ProgressKind topic, double value) {
+void Node::Attempt::on_progress(ProgressKind topic, double value) {
     if (over)
         return;
     ++notes, noted = node.loop_.now();
@@ -177,11 +177,11 @@
       guard_(settings_.module),
       wall_offset_(loop.wall() - loop.now()),
       restart_(decide::derive_shutdown_schedule(settings_.module)) {
-    pool_.most = bounds_.engine_connections;
+    pool_.max_connections = bounds_.engine_connections;
     pool_.trace = deps_.trace;
-    pool_.make_room = [this] {
+    pool_.evict_idle = [this] {
         return std::any_of(engines_.begin(), engines_.end(), [](const auto& e) {
-            return e.second.link && e.second.link->drop_one_idle();
+            return e.second.link && e.second.link->evict_idle_connection();
         });
     };
 }
@@ -239,7 +239,7 @@
         settings_.sockets = s.sockets, settings_.memory_mb = s.memory_mb;
         bounds_ = decide::derive_limits(s.sockets, s.memory_mb);
         clients_.bound(bounds_);
-        pool_.most = bounds_.engine_connections;
+        pool_.max_connections = bounds_.engine_connections;
         deps_.log(bounds_text());
     }
     if (s.settings_text != settings_.settings_text || s.listen != settings_.listen ||
@@ -272,7 +272,7 @@
     limits.max_streams = static_cast<std::size_t>(settings_.streams);
     limits.connect_timeout = settings_.connect_time_out;
     limits.idle_timeout = settings_.idle_close;
-    std::vector<std::unique_ptr<EngineLink>> moved;
+    std::vector<std::unique_ptr<EngineConnections>> moved;
     for (const auto& [id, listed] : list_.endpoints()) {
         Engine& e = engines_[id];
         if (e.link && e.address == listed.address)
@@ -283,7 +283,7 @@
         e.name = listed.name, e.address = listed.address;
         if (e.link)
             moved.push_back(std::move(e.link));
-        e.link = std::make_unique<EngineLink>(loop_, *at, limits, pool_);
+        e.link = std::make_unique<EngineConnections>(loop_, *at, limits, pool_);
     }
     for (auto& [id, e] : engines_)
         e.listed = list_.endpoints().contains(id);
@@ -524,7 +524,7 @@
                 r->grant_mb = a.memory_mb;
                 const bool changed = std::exchange(r->priority, a.priority) != a.priority;
                 if (Attempt* out = r->out(); out && out->exchange && changed)
-                    out->exchange->priority(a.priority);
+                    out->exchange->set_priority(a.priority);
             },
             [&](const ShedRequest& a) {
                 if (Running* r = find(a.id))
@@ -593,7 +593,7 @@
     if (deps_.trace)
         deps_.trace(text_of(a) + " sent limit_ms=" + std::to_string(limit / kMillisecond) + " " +
                     list_text());
-    a.exchange = found->second.link->ask(*permit, r->id, a);
+    a.exchange = found->second.link->send_request(*permit, r->id, a);
     if (!a.exchange)
         return complete(a, AttemptOutcome::not_sent, r->life.finished());
     if (planted("send_while_attempt_out") && a.number == 0)
@@ -601,7 +601,7 @@
 }
 
 // The request as it goes out now: `ms` is what is left of its time at this moment.
-std::optional<node::Exchange::Events::Request> Node::Attempt::request() {
+std::optional<Exchange::Request> Node::Attempt::current_request() {
     const Running& r = running;
     const Micros left = until - (planted("stale_deadline") ? sent : node.loop_.now());
     const bool wanted = !r.life.finished() || planted("send_after_client_left");
@@ -616,7 +616,7 @@
         fields += ",reserve=" + std::to_string(static_cast<std::int64_t>(std::ceil(r.grant_mb)));
     if (module.supports_priorities)
         fields += ",level=" + std::to_string(r.priority);
-    return Request{std::move(fields), r.body};
+    return Exchange::Request{std::move(fields), r.body};
 }
 
 // The list, its number and for how long it has not been confirmed: what an attempt's engine was chosen by.
@@ -703,8 +703,8 @@
     if (std::exchange(a.over, true))
         return;
     loop_.cancel(std::exchange(a.timer, 0)), loop_.cancel(std::exchange(a.window, 0));
-    const std::string state = deps_.trace && a.exchange ? a.exchange->state() : "";
-    if (a.exchange && a.exchange->take_back())
+    const std::string state = deps_.trace && a.exchange ? a.exchange->describe() : "";
+    if (a.exchange && a.exchange->withdraw_unsent())
         outcome = AttemptOutcome::not_sent;
     a.exchange.reset();  // gives it up at the engine, where it is not over
     Running& r = a.running;
@@ -737,12 +737,12 @@
 }
 
 void Node::recall(Attempt& a) {
-    if (!a.over && a.exchange && a.exchange->take_back())
+    if (!a.over && a.exchange && a.exchange->withdraw_unsent())
         complete(a, AttemptOutcome::not_sent, a.running.life.finished());
 }
 
 void Node::withhold(Attempt& a) {
-    if (!a.over && a.exchange && a.exchange->withhold())
+    if (!a.over && a.exchange && a.exchange->reset_partial())
         complete(a, AttemptOutcome::not_sent, a.running.life.finished());
 }
 
@@ -770,7 +770,7 @@
             continue;
         }
         if (it->second.link)
-            it->second.link->close_idle();
+            it->second.link->close_expiring_idle();
         auto& sent = it->second.sent;
         while (!sent.empty() && sent.front() <= loop_.now() - settings_.module.overload_window)
             sent.pop_front();
@@ -808,8 +808,8 @@
     std::string text;
     for (const Engine* e : shown)
         text += (text.empty() ? "" : ",") + e->name + ":" + std::to_string(e->out) + "/" +
-                std::to_string(e->link ? e->link->open() : 0) + "/" +
-                std::to_string(e->link ? e->link->connections() : 0);
+                std::to_string(e->link ? e->link->requests_in_flight() : 0) + "/" +
+                std::to_string(e->link ? e->link->size() : 0);
     return text + (all > shown.size() ? ",and " + std::to_string(all - shown.size()) + " more" : "");
 }
 
@@ -835,12 +835,13 @@
            " evicted=" + std::to_string(c.evicted) + " overdue=" + std::to_string(c.overdue) +
            " waits=" + std::to_string(c.waits) + " closed=" + closed + " attempts=" + attempts +
            " opened=" + std::to_string(pool_.opened) + " no_connection=" + std::to_string(pool_.refused) +
-           " lacked=" + std::to_string(pool_.lacked) + " renewed=" + std::to_string(pool_.renewed) +
-           " broken=" + std::to_string(pool_.broken) + " spoilt=" + std::to_string(pool_.spoilt) +
-           " discarded=" + std::to_string(pool_.discarded) + " unasked=" + std::to_string(pool_.unasked) +
+           " lacked=" + std::to_string(pool_.local_failures) + " renewed=" + std::to_string(pool_.rewritten) +
+           " broken=" + std::to_string(pool_.broken) +
+           " spoilt=" + std::to_string(pool_.malformed_responses) +
+           " discarded=" + std::to_string(pool_.discarded) + " unasked=" + std::to_string(pool_.unsolicited) +
            " bad_lists=" + std::to_string(bad_lists_) +
            (deps_.log_lines_lost ? " log_lost=" + std::to_string(deps_.log_lines_lost()) : "") +
-           " connections=" + std::to_string(pool_.open) + " attempts_out=" + std::to_string(out) +
+           " connections=" + std::to_string(pool_.open_connections) + " attempts_out=" + std::to_string(out) +
            " timers=" + std::to_string(loop_.timers()) + " violations=" + violations_.text();
 }
 
@@ -893,7 +894,7 @@
 std::vector<std::pair<std::size_t, std::size_t>> Node::out_by_engine() const {
     std::vector<std::pair<std::size_t, std::size_t>> out;
     for (const auto& [id, e] : engines_)
-        out.emplace_back(e.out, e.link ? e.link->open() : 0);
+        out.emplace_back(e.out, e.link ? e.link->requests_in_flight() : 0);
     return out;
 }
 
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -18,7 +18,7 @@
 #include "discovery/dns_source.hpp"
 #include "node/clients.hpp"
 #include "node/config.hpp"
-#include "node/engine_link.hpp"
+#include "node/engine_connections.hpp"
 
 namespace gatetiller::node {
 
@@ -69,7 +69,7 @@
     struct Attempt;
     struct Engine {
         std::string name, address;
-        std::unique_ptr<EngineLink> link;
+        std::unique_ptr<EngineConnections> link;
         std::size_t out = 0;  // attempts that the module has not been told the end of
         bool listed = true;
         std::string kind, zone;
@@ -119,7 +119,7 @@
     NodeSettings settings_;
     NodeDeps deps_;
     decide::ResourceLimits bounds_;
-    LinkPool pool_;
+    ConnectionPool pool_;
     core::PolicyDriver driver_;
     Clients clients_;
     discovery::DnsSource dns_;
--- a/tests/node/crossing_test.cpp
+++ b/tests/node/crossing_test.cpp
@@ -281,13 +281,13 @@
 // ---- What an end proves
 
 struct Ends final : node::Exchange::Events {
-    void on_note(ProgressKind, double) override {}
+    void on_progress(ProgressKind, double) override {}
     void on_end(decide::ExchangeResult e) override {
         how = e.status, why = e.detail;
     }
     std::string why;
-    std::optional<Request> request() override {
-        return Request{"-", body};
+    std::optional<node::Exchange::Request> current_request() override {
+        return node::Exchange::Request{"-", body};
     }
     bool may_begin(std::uint64_t) override {
         return allowed;
@@ -317,11 +317,11 @@
         raw.receive_little();
         const auto address = raw.listen(16);
         decide::ConnectionLimits limits{.max_connections = 1, .max_streams = 10'000};
-        pool.most = 1;
-        link = std::make_unique<node::EngineLink>(loop, address, limits, pool);
+        pool.max_connections = 1;
+        link = std::make_unique<node::EngineConnections>(loop, address, limits, pool);
         for (int i = 0; i < 300; ++i) {
             ends.push_back(std::make_unique<Ends>());
-            exchanges.push_back(link->ask(permit(), "id-" + std::to_string(i) + ".", *ends.back()));
+            exchanges.push_back(link->send_request(permit(), "id-" + std::to_string(i) + ".", *ends.back()));
         }
         ASSERT_TRUE(await(loop, [&] {
             return (peer = raw.accept()) != nullptr;
@@ -332,18 +332,18 @@
     net::PollLoop loop;
     RawSocket raw;
     std::unique_ptr<RawSocket> peer;
-    node::LinkPool pool;
+    node::ConnectionPool pool;
     std::vector<std::unique_ptr<Ends>> ends;
     std::vector<std::unique_ptr<node::Exchange>> exchanges;
-    std::unique_ptr<node::EngineLink> link;
+    std::unique_ptr<node::EngineConnections> link;
 };
 
 TEST_F(DeafEngine, WhatWaitsBehindOneThatReadsNothingIsTakenBackWithoutAWord) {
-    EXPECT_FALSE(exchanges.front()->take_back());  // with the kernel
-    EXPECT_TRUE(exchanges[298]->take_back());
-    exchanges[299]->priority(3);
+    EXPECT_FALSE(exchanges.front()->withdraw_unsent());  // with the kernel
+    EXPECT_TRUE(exchanges[298]->withdraw_unsent());
+    exchanges[299]->set_priority(3);
     exchanges[299].reset();  // given up: neither it nor what was said of it goes out
-    exchanges[297]->priority(2);
+    exchanges[297]->set_priority(2);
     ASSERT_TRUE(await(loop, [&] {
         peer->read();
         return peer->got.find("bump") != std::string::npos;
@@ -360,11 +360,11 @@
     // The first that a look at the buffer can't take back is either whole with the kernel or partly so: all
     // of those.
     for (auto& e : exchanges)
-        if (!e->take_back())
+        if (!e->withdraw_unsent())
             e.reset();
     ASSERT_TRUE(await(loop, [&] {
         const bool open = peer->read();
-        return !open || link->connections() == 0;
+        return !open || link->size() == 0;
     }));
     for (int i = 0; i < 50; ++i)
         loop.turn(kMillisecond);
@@ -377,7 +377,7 @@
         rest.remove_prefix(size);
     EXPECT_EQ(rest.find("undo"), std::string_view::npos);
     EXPECT_EQ(rest.find("\r\n*"), std::string_view::npos) << "something followed a request cut in its middle";
-    EXPECT_EQ(link->connections(), 0u);
+    EXPECT_EQ(link->size(), 0u);
 }
 
 // What the kernel still holds of requests given up, for an engine that has acknowledged nothing of it, would
@@ -386,7 +386,7 @@
     for (auto& e : exchanges)
         e.reset();
     ASSERT_TRUE(await(loop, [&] {
-        return link->connections() == 0;
+        return link->size() == 0;
     }));
     ASSERT_TRUE(await(loop, [&] {
         return !peer->read();
@@ -400,10 +400,11 @@
 TEST(EngineLinkTest, ARequestThatMayNotBeginAnyMoreWhenItsConnectionComesUpNeverDoes) {
     net::PollLoop loop;
     RawSocket raw;
-    node::LinkPool pool;
-    node::EngineLink link(loop, raw.listen(16), {.max_connections = 1, .max_streams = 10}, pool);
+    node::ConnectionPool pool;
+    node::EngineConnections link(loop, raw.listen(16), {.max_connections = 1, .max_streams = 10}, pool);
     Ends first, second;
-    const auto a = link.ask(permit(), "id-a.", first), b = link.ask(permit(), "id-b.", second);
+    const auto a = link.send_request(permit(), "id-a.", first),
+               b = link.send_request(permit(), "id-b.", second);
     first.allowed = false;
     std::unique_ptr<RawSocket> peer;
     ASSERT_TRUE(await(loop, [&] {
@@ -509,7 +510,7 @@
         EXPECT_EQ(peer->got.find("id-299."), std::string::npos);
         return;
     }
-    EXPECT_GT(pool.renewed, 0u);
+    EXPECT_GT(pool.rewritten, 0u);
     const auto last = peer->got.rfind("id-299.");
     EXPECT_EQ(peer->got.find('x', last), std::string::npos);
     // In their order, each once.
