--- a/src/discovery/dns_source.cpp
+++ b/src/discovery/dns_endpoint_source.cpp
@@ -1,4 +1,4 @@
-#include "discovery/dns_source.hpp"
+#include "discovery/dns_endpoint_source.hpp"
 
 #include <algorithm>
 
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -15,7 +15,7 @@
 #include "decide/client_request.hpp"
 #include "decide/node_admission.hpp"
 #include "decide/request_lifecycle.hpp"
-#include "discovery/dns_source.hpp"
+#include "discovery/dns_endpoint_source.hpp"
 #include "node/clients.hpp"
 #include "node/config.hpp"
 #include "node/engine_link.hpp"
--- a/tests/node/discovery_test.cpp
+++ b/tests/node/discovery_test.cpp
@@ -1,7 +1,7 @@
 // The watch of the name service where that is slow, crowded or silent, in virtual time.
 #include <ctime>
 
-#include "discovery/dns_source.hpp"
+#include "discovery/dns_endpoint_source.hpp"
 #include "dns/dns.hpp"
 #include "rig.hpp"
 
