--- a/src/discovery/dns_endpoint_source.cpp
+++ b/src/discovery/dns_endpoint_source.cpp
@@ -3,71 +3,96 @@
 #include <algorithm>
 
 #include "base/bytes.hpp"
-#include "base/planted.hpp"
 #include "base/text.hpp"
 #include "dns/dns.hpp"
 
 namespace gatetiller::discovery {
 namespace {
 
-constexpr std::size_t kIdBytes = 2;    // at the head of every message
-constexpr std::size_t kPortsMost = 4;  // open at once
-
-// The list that an answer holds; an error where a service lacks its address.
-Result<std::vector<decide::DiscoveredEndpoint>> list_of(const dns::Answer& answer) {
-    std::vector<decide::DiscoveredEndpoint> list;
-    for (const auto& s : answer.services) {
-        decide::DiscoveredEndpoint e;
-        const std::size_t dot = s.target.find('.'), second = s.target.find('.', dot + 1);
-        if (dot == std::string::npos)
-            return Error{"a target without a zone: " + s.target};
-        e.name = s.target.substr(0, dot);
-        e.zone = s.target.substr(dot + 1, second == std::string::npos ? second : second - dot - 1);
-        const auto address = answer.addresses.find(s.target);
-        if (address == answer.addresses.end())
-            return Error{"no address of " + s.target};
-        e.address = address->second + ":" + std::to_string(s.port);
-        e.state = s.priority == 0 ? EndpointState::ready : EndpointState::draining;
-        e.share = s.weight / 10.0;
-        if (const auto texts = answer.texts.find(s.target); texts != answer.texts.end())
-            for (const std::string_view text : texts->second) {
-                const std::size_t equals = text.find('=');
-                if (equals == std::string_view::npos)
-                    continue;
-                const auto key = text.substr(0, equals), value = text.substr(equals + 1);
-                if (key == "kind")
-                    e.kind = value;
-                else if (key == "cell")
-                    e.cell = to_number<std::int64_t>(value).value_or(0);
-                else if (key == "started")
-                    e.started_at = to_number<std::int64_t>(value).value_or(0) * kMillisecond;
-            }
-        list.push_back(std::move(e));
+constexpr std::size_t kIdBytes = 2;  // at the head of every message
+constexpr std::size_t kMaxOpenPorts = 4;
+constexpr double kSrvWeightPerShare = 10;
+constexpr Micros kInjectedBackoffFactor = 6;  // times `silent_poll_interval`
+
+// "key=value" of a TXT record; unknown keys are ignored.
+void apply_text(decide::DiscoveredEndpoint& endpoint, std::string_view text) {
+    const std::size_t equals = text.find('=');
+    if (equals == std::string_view::npos)
+        return;
+    const std::string_view key = text.substr(0, equals);
+    const std::string_view value = text.substr(equals + 1);
+    if (key == "kind")
+        endpoint.kind = value;
+    else if (key == "cell")
+        endpoint.cell = to_number<std::int64_t>(value).value_or(0);
+    else if (key == "started")
+        endpoint.started_at = to_number<std::int64_t>(value).value_or(0) * kMillisecond;
+}
+
+// The endpoint of an SRV record; its target is "name.zone.domain".
+Result<decide::DiscoveredEndpoint> endpoint_of(const dns::Service& service, const dns::Answer& answer) {
+    decide::DiscoveredEndpoint endpoint;
+    const std::string& target = service.target;
+    const std::size_t name_end = target.find('.');
+    if (name_end == std::string::npos)
+        return Error{"a target without a zone: " + target};
+    const std::size_t zone_end = target.find('.', name_end + 1);
+    endpoint.name = target.substr(0, name_end);
+    endpoint.zone = target.substr(
+        name_end + 1, zone_end == std::string::npos ? std::string::npos : zone_end - name_end - 1);
+    const auto address = answer.addresses.find(target);
+    if (address == answer.addresses.end())
+        return Error{"no address of " + target};
+    endpoint.address = address->second + ":" + std::to_string(service.port);
+    endpoint.state = service.priority == 0 ? EndpointState::ready : EndpointState::draining;
+    endpoint.share = service.weight / kSrvWeightPerShare;
+    const auto texts = answer.texts.find(target);
+    if (texts != answer.texts.end())
+        for (const std::string_view text : texts->second)
+            apply_text(endpoint, text);
+    return endpoint;
+}
+
+// Fails where a service lacks its zone or its address.
+Result<std::vector<decide::DiscoveredEndpoint>> endpoints_of(const dns::Answer& answer) {
+    std::vector<decide::DiscoveredEndpoint> endpoints;
+    for (const auto& service : answer.services) {
+        auto endpoint = endpoint_of(service, answer);
+        if (!endpoint)
+            return endpoint.failure();
+        endpoints.push_back(std::move(*endpoint));
     }
-    return list;
+    return endpoints;
 }
 
 }  // namespace
 
-DnsSource::DnsSource(net::Loop& loop, std::string name, std::uint64_t seed, DnsTimes times, Events events)
-    : loop_(loop), name_(std::move(name)), random_(seed), times_(times), events_(std::move(events)) {}
+DnsEndpointSource::DnsEndpointSource(net::Loop& loop, std::string service_name, std::uint64_t seed,
+                                     DnsPollSettings settings, Events events)
+    : loop_(loop),
+      service_name_(std::move(service_name)),
+      random_(seed),
+      settings_(settings),
+      events_(std::move(events)) {}
 
-DnsSource::~DnsSource() {
-    loop_.cancel(timer_);
+DnsEndpointSource::~DnsEndpointSource() {
+    loop_.cancel(poll_timer_);
 }
 
-Result<bool> DnsSource::start(const net::Address& from, const net::Address& service) {
-    from_ = from, service_ = service;
-    heard_at_ = loop_.now();
-    if (auto opened = open_port(); !opened)
+Result<bool> DnsEndpointSource::start(const net::Address& local, const net::Address& server) {
+    local_ = local;
+    server_ = server;
+    last_response_at_ = loop_.now();
+    auto opened = open_port();
+    if (!opened)
         return opened;
-    ask();
+    poll();
     return true;
 }
 
-Result<bool> DnsSource::open_port() {
-    auto socket = loop_.datagrams(from_, [this](const net::Address& sender, std::string_view bytes) {
-        took(sender, bytes);
+Result<bool> DnsEndpointSource::open_port() {
+    auto socket = loop_.datagrams(local_, [this](const net::Address& sender, std::string_view message) {
+        on_datagram(sender, message);
     });
     if (!socket)
         return socket.failure();
@@ -75,114 +100,128 @@
     return true;
 }
 
-void DnsSource::close_old_ports() {
-    const Micros oldest = loop_.now() - times_.counts_for;
-    while (ports_.size() > 1 && (ports_.size() > kPortsMost || ports_.front().asked < oldest))
+void DnsEndpointSource::close_old_ports() {
+    const Micros oldest = loop_.now() - settings_.response_lifetime;
+    while (ports_.size() > 1 && (ports_.size() > kMaxOpenPorts || ports_.front().last_polled_at < oldest))
         ports_.pop_front();
 }
 
-void DnsSource::move(const net::Address& service) {
-    if (service == service_)
+void DnsEndpointSource::set_server(const net::Address& server) {
+    if (server == server_)
         return;
-    service_ = service;
-    unanswered_ = 0, heard_at_ = loop_.now();
-    asked_.clear();  // what the old one still says counts no more
-    last_good_.clear();
+    server_ = server;
+    unanswered_polls_ = 0;
+    last_response_at_ = loop_.now();
+    pending_polls_.clear();
+    last_content_.clear();
     if (!ports_.empty())
-        ask();
+        poll();
 }
 
-void DnsSource::ask() {
+void DnsEndpointSource::poll() {
     const Micros now = loop_.now();
-    while (!asked_.empty() && asked_.front().at < now - times_.counts_for)
-        asked_.pop_front();
-    // Where this machine has no descriptor for another one, the old port has to do.
-    if (unanswered_ > 0 && unanswered_ % times_.tries_a_port == 0 && !planted("one_port"))
+    while (!pending_polls_.empty() && pending_polls_.front().sent_at < now - settings_.response_lifetime)
+        pending_polls_.pop_front();
+    const bool port_is_due = unanswered_polls_ > 0 && unanswered_polls_ % settings_.attempts_per_port == 0;
+    // Where no descriptor is left for a new port, the old one stays in use.
+    if (port_is_due && settings_.renews_port)
         (void)open_port();
     close_old_ports();
     const auto id = static_cast<std::uint16_t>(random_.next());
-    asked_.push_back({id, now});
-    ports_.back().asked = now;
-    ports_.back().socket->send(service_, dns::srv_question(id, name_));
-    if (events_.asked)
-        events_.asked(id, unanswered_);
-    ++unanswered_;
-    ask_after(patience());
-}
-
-void DnsSource::ask_after(Micros pause) {
-    loop_.cancel(timer_);
-    timer_ = loop_.after(jittered(pause), [this] {
-        ask();
+    pending_polls_.push_back({id, now});
+    ports_.back().last_polled_at = now;
+    ports_.back().socket->send(server_, dns::srv_question(id, service_name_));
+    if (events_.on_poll_sent)
+        events_.on_poll_sent(id, unanswered_polls_);
+    ++unanswered_polls_;
+    schedule_poll(delay_after_poll());
+}
+
+void DnsEndpointSource::schedule_poll(Micros delay) {
+    loop_.cancel(poll_timer_);
+    poll_timer_ = loop_.after(with_jitter(delay), [this] {
+        poll();
     });
 }
 
-// Between two questions where all is well. A long list costs its service and this front little more than a
-// usual one.
-Micros DnsSource::pace() const {
-    const auto longer =
-        times_.every * static_cast<Micros>(answer_bytes_) / static_cast<Micros>(times_.usual_bytes);
-    const Micros usual = std::max(times_.every, std::min(longer, times_.every_most));
-    const bool answers_come = loop_.now() - heard_at_ <= round_trip_ + times_.slow_every;
-    const bool slow =
-        round_trip_ > times_.every && answers_come;  // else it is silent, whatever it was before
-    return slow ? std::max(usual, times_.slow_every) : usual;
+// Between two polls where the server responds. The growth with the size bounds what a long list costs.
+Micros DnsEndpointSource::steady_interval() const {
+    const Micros by_size = settings_.poll_interval * static_cast<Micros>(response_bytes_) /
+                           static_cast<Micros>(settings_.usual_response_bytes);
+    const Micros usual = std::max(settings_.poll_interval, std::min(by_size, settings_.max_poll_interval));
+    // A silent server is not a slow one, whatever it was before.
+    const bool responds = loop_.now() - last_response_at_ <= round_trip_ + settings_.slow_poll_interval;
+    const bool slow = round_trip_ > settings_.poll_interval && responds;
+    return slow ? std::max(usual, settings_.slow_poll_interval) : usual;
 }
 
-// With the question that has just gone out.
-Micros DnsSource::patience() const {
-    if (planted("slow_questions"))
-        return 6 * times_.silent_every;
-    if (loop_.now() - heard_at_ > times_.full_pace)
-        return std::max(pace(), times_.silent_every);
-    if (unanswered_ > times_.quick_tries)
-        return pace();
-    return std::min(pace(), std::max(times_.patience, round_trip_ + round_trip_ / 2));
+// From a poll to the next one, where no response comes.
+Micros DnsEndpointSource::delay_after_poll() const {
+    if (settings_.backs_off_from_first_silence)
+        return kInjectedBackoffFactor * settings_.silent_poll_interval;
+    if (loop_.now() - last_response_at_ > settings_.full_rate_duration)
+        return std::max(steady_interval(), settings_.silent_poll_interval);
+    if (unanswered_polls_ > settings_.immediate_retries)
+        return steady_interval();
+    const Micros by_round_trip = round_trip_ + round_trip_ / 2;
+    return std::min(steady_interval(), std::max(settings_.response_timeout, by_round_trip));
 }
 
-Micros DnsSource::jittered(Micros span) {
-    const double off = times_.jitter * (2 * random_.uniform() - 1);
-    return span + static_cast<Micros>(off * static_cast<double>(span));
+Micros DnsEndpointSource::with_jitter(Micros span) {
+    const double offset = settings_.jitter * (2 * random_.uniform() - 1);
+    return span + static_cast<Micros>(offset * static_cast<double>(span));
 }
 
-void DnsSource::took(const net::Address& from, std::string_view bytes) {
-    if (from != service_ || bytes.size() < kIdBytes)
+void DnsEndpointSource::on_datagram(const net::Address& sender, std::string_view message) {
+    if (sender != server_ || message.size() < kIdBytes)
         return;
-    const auto id = static_cast<std::uint16_t>(big_endian(bytes.substr(0, kIdBytes)));
-    const auto asked = std::find_if(asked_.begin(), asked_.end(), [&](const Question& q) {
-        return q.id == id;
+    const auto id = static_cast<std::uint16_t>(big_endian(message.substr(0, kIdBytes)));
+    const auto poll = std::find_if(pending_polls_.begin(), pending_polls_.end(), [&](const PendingPoll& p) {
+        return p.id == id;
     });
-    if (asked == asked_.end())
-        return events_.bad("an answer under an id not asked with");
-    tell(asked->at, id, bytes);
-}
-
-void DnsSource::tell(Micros asked, std::uint16_t id, std::string_view bytes) {
-    const auto content = bytes.substr(kIdBytes);
-    const bool same = content == last_good_ && events_.confirmed(last_serial_);
-    Heard heard;
-    if (!same) {
-        const auto answer = dns::read_answer(bytes, id, name_);
-        if (!answer)
-            return events_.bad(answer.error());
-        auto list = list_of(*answer);
-        if (!list)
-            return events_.bad(list.error());
-        heard = {answer->serial, asked, std::move(*list)};
-        last_good_ = content, last_serial_ = heard.number;
+    if (poll == pending_polls_.end())
+        return events_.on_bad_response("an answer under an id not asked with");
+    on_response(PendingPoll{*poll}, message);
+}
+
+void DnsEndpointSource::on_response(const PendingPoll& poll, std::string_view message) {
+    const bool unchanged = message.substr(kIdBytes) == last_content_ && events_.on_unchanged(last_serial_);
+    std::optional<ReceivedUpdate> update;
+    if (!unchanged) {
+        update = parse(poll, message);
+        if (!update)
+            return;
     }
-    const bool latest = asked_.back().id == id;
-    std::erase_if(asked_, [&](const Question& q) {
-        return q.id == id;
+    const bool answers_latest_poll = pending_polls_.back().id == poll.id;
+    std::erase_if(pending_polls_, [&](const PendingPoll& pending) {
+        return pending.id == poll.id;
     });
-    heard_at_ = loop_.now(), round_trip_ = heard_at_ - asked;
-    unanswered_ = 0;
-    answer_bytes_ = bytes.size();
-    // One to an older question says nothing of the latest.
-    if (latest)
-        ask_after(std::max<Micros>(0, asked + pace() - heard_at_));
-    if (!same)
-        events_.list(heard);
+    last_response_at_ = loop_.now();
+    round_trip_ = last_response_at_ - poll.sent_at;
+    unanswered_polls_ = 0;
+    response_bytes_ = message.size();
+    // A response to an earlier poll says nothing of the latest one, which stays due.
+    if (answers_latest_poll)
+        schedule_poll(std::max<Micros>(0, poll.sent_at + steady_interval() - last_response_at_));
+    if (update)
+        events_.on_update(*update);
+}
+
+// Reports a malformed response and returns nothing for it.
+std::optional<ReceivedUpdate> DnsEndpointSource::parse(const PendingPoll& poll, std::string_view message) {
+    const auto answer = dns::read_answer(message, poll.id, service_name_);
+    if (!answer) {
+        events_.on_bad_response(answer.error());
+        return std::nullopt;
+    }
+    auto endpoints = endpoints_of(*answer);
+    if (!endpoints) {
+        events_.on_bad_response(endpoints.error());
+        return std::nullopt;
+    }
+    last_content_ = message.substr(kIdBytes);
+    last_serial_ = answer->serial;
+    return ReceivedUpdate{answer->serial, poll.sent_at, std::move(*endpoints)};
 }
 
 }  // namespace gatetiller::discovery
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -156,8 +156,9 @@
                 [this](decide::Invariant i, Clients::Id c) {
                     count(i, "client " + std::to_string(c));
                 }}),
-      dns_(loop, kService, settings_.seed, {},
-           {[this](const discovery::DnsSource::Heard& heard) {
+      dns_(loop, kService, settings_.seed,
+           {.renews_port = !planted("one_port"), .backs_off_from_first_silence = planted("slow_questions")},
+           {[this](const discovery::ReceivedUpdate& heard) {
                 heard_list(heard);
             },
             [this](std::uint32_t number) {
@@ -232,7 +233,7 @@
     if (s.dns != settings_.dns)
         deps_.log("the name service is asked at " + s.dns.text() + " from now on");
     settings_.dns = s.dns;
-    dns_.move(s.dns);
+    dns_.set_server(s.dns);
     if (!s.known.empty())
         take_change(list_.take(s.known_number, s.known, loop_.now(), wall_now()));
     if (s.sockets != settings_.sockets || s.memory_mb != settings_.memory_mb) {
@@ -249,17 +250,17 @@
 
 // ---- The list of engines
 
-void Node::heard_list(const discovery::DnsSource::Heard& heard) {
+void Node::heard_list(const discovery::ReceivedUpdate& heard) {
     const auto held = list_.serial();
     if (deps_.trace)
-        deps_.trace("name service: list " + std::to_string(heard.number) + " of " +
-                    std::to_string(heard.engines.size()) + " engines asked " +
-                    std::to_string((loop_.now() - heard.asked) / kMillisecond) +
+        deps_.trace("name service: list " + std::to_string(heard.serial) + " of " +
+                    std::to_string(heard.endpoints.size()) + " engines asked " +
+                    std::to_string((loop_.now() - heard.polled_at) / kMillisecond) +
                     " ms ago, held: " + list_text());
-    auto change = list_.take(heard.number, heard.engines, loop_.now(), wall_now(), heard.asked);
-    if (heard.number < held && list_.serial() == heard.number)
+    auto change = list_.take(heard.serial, heard.endpoints, loop_.now(), wall_now(), heard.polled_at);
+    if (heard.serial < held && list_.serial() == heard.serial)
         deps_.log("the name service's numbering has started anew: list " + std::to_string(held) +
-                  " was held, " + std::to_string(heard.number) + " is now");
+                  " was held, " + std::to_string(heard.serial) + " is now");
     take_change(std::move(change));
 }
 
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -80,7 +80,7 @@
         std::deque<Micros> sent;    // attempts while it was cold, within the window of the slow start
     };
 
-    void heard_list(const discovery::DnsSource::Heard& heard);
+    void heard_list(const discovery::ReceivedUpdate& heard);
     void take_change(std::optional<EndpointUpdate> change);  // of the list
     void note_change(const EndpointUpdate& change);
     void discard_for_drained();
@@ -122,7 +122,7 @@
     LinkPool pool_;
     core::PolicyDriver driver_;
     Clients clients_;
-    discovery::DnsSource dns_;
+    discovery::DnsEndpointSource dns_;
     decide::EndpointList list_;
     std::map<EngineId, Engine> engines_;
     std::unordered_map<std::string, std::unique_ptr<Running>> running_;
--- a/tests/node/discovery_test.cpp
+++ b/tests/node/discovery_test.cpp
@@ -179,14 +179,14 @@
             });
         EXPECT_TRUE(service) << service.error();
         answering = service->get();
-        discovery::DnsSource source(loop, "_work._tcp.fleet.local", 5, {},
-                                    {[&](const auto&) {
-                                         ++heard;
-                                     },
-                                     [&](std::uint32_t) {
-                                         return ++heard, true;
-                                     },
-                                     [](const std::string&) {}});
+        discovery::DnsEndpointSource source(loop, "_work._tcp.fleet.local", 5, {},
+                                            {[&](const auto&) {
+                                                 ++heard;
+                                             },
+                                             [&](std::uint32_t) {
+                                                 return ++heard, true;
+                                             },
+                                             [](const std::string&) {}});
         EXPECT_TRUE(source.start(at("127.2.0.8:0"), answering->address()));
         const std::clock_t before = std::clock();
         EXPECT_TRUE(until(
