--- a/src/discovery/endpoint_cache.cpp
+++ b/src/discovery/endpoint_cache.cpp
@@ -5,25 +5,39 @@
 #include "base/durable_file.hpp"
 
 namespace gatetiller::discovery {
+namespace {
 
-Result<bool> keep_last_list(const std::string& file, const std::vector<config::EngineSettings>& list) {
+// The names of the states in an engine list, as config::read_engine_list reads them.
+const char* list_name_of(EndpointState state) {
+    switch (state) {
+        case EndpointState::ready:
+            return "on";
+        case EndpointState::draining:
+            return "fading";
+        case EndpointState::removed:
+            return "off";
+    }
+    return "off";
+}
+
+}  // namespace
+
+Result<bool> save_cached_endpoints(const std::string& file, const std::vector<config::EngineSettings>& list) {
     nlohmann::json engines = nlohmann::json::object();
-    for (const auto& e : list)
-        engines[e.name] = {{"address", e.address.text()},
-                           {"zone", e.zone},
-                           {"kind", e.kind},
-                           {"cell", e.cell},
-                           {"share", e.share},
-                           {"state", e.state == EndpointState::ready      ? "on"
-                                     : e.state == EndpointState::draining ? "fading"
-                                                                          : "off"}};
-    auto kept = replace_file(file, nlohmann::json{{"engines", std::move(engines)}}.dump(1) + "\n");
-    if (!kept)
-        return Error{"the last list cannot be kept: " + kept.error(), kept.failure().code};
+    for (const auto& engine : list)
+        engines[engine.name] = {{"address", engine.address.text()},
+                                {"zone", engine.zone},
+                                {"kind", engine.kind},
+                                {"cell", engine.cell},
+                                {"share", engine.share},
+                                {"state", list_name_of(engine.state)}};
+    auto written = replace_file(file, nlohmann::json{{"engines", std::move(engines)}}.dump(1) + "\n");
+    if (!written)
+        return Error{"the last list cannot be kept: " + written.error(), written.failure().code};
     return true;
 }
 
-Result<std::vector<config::EngineSettings>> read_last_list(const std::string& file) {
+Result<std::vector<config::EngineSettings>> load_cached_endpoints(const std::string& file) {
     const auto text = config::whole_file(file);
     if (!text)
         return Error{text.error()};
--- a/src/discovery/endpoint_cache.hpp
+++ b/src/discovery/endpoint_cache.hpp
@@ -1,6 +1,6 @@
-// The last list of engines that a front held, kept in a file for its next start: a front that comes back
-// while the list's source is out of reach begins with what it knew. A file that is missing, torn or of
-// another make is passed over: the list is a help, never a condition.
+// The last endpoint list that a front received, cached in a file for its next start while the list's source
+// is unavailable. A front starts without it as well: a file that is missing, truncated or of another form is
+// an error for the log only.
 #pragma once
 
 #include <string>
@@ -10,8 +10,11 @@
 
 namespace gatetiller::discovery {
 
-// Written beside and moved into place, so that a kill at any moment leaves the old or the new one.
-Result<bool> keep_last_list(const std::string& file, const std::vector<config::EngineSettings>& list);
-Result<std::vector<config::EngineSettings>> read_last_list(const std::string& file);
+// Replaces the file atomically, so that a kill at any moment leaves the old or the new list. Fails, with
+// errno as the code, where the file cannot be written.
+Result<bool> save_cached_endpoints(const std::string& file, const std::vector<config::EngineSettings>& list);
+
+// Fails where the file cannot be read or does not hold a complete list.
+Result<std::vector<config::EngineSettings>> load_cached_endpoints(const std::string& file);
 
 }  // namespace gatetiller::discovery
--- a/src/discovery/endpoint_source.cpp
+++ b/src/discovery/endpoint_source.cpp
@@ -1,148 +1,165 @@
 #include "discovery/endpoint_source.hpp"
 
+#include <algorithm>
 #include <cerrno>
 #include <cstring>
 #include <fstream>
 #include <sstream>
+#include <utility>
 
 namespace gatetiller::discovery {
 namespace {
 
-constexpr std::size_t kLargestList = 8 << 20;
+constexpr std::size_t kMaxListBytes = 8 << 20;
+constexpr Micros kMinFetchTimeout = kSecondMicros;
+constexpr int kStatusOk = 200;
+constexpr int kStatusNotModified = 304;
 
-// The whole file is read each time: a change of the time stamp alone is not to be trusted where a file is
-// replaced twice within its resolution. A file that is being written reads as not JSON, and the last list
-// stays.
-class FileSource final : public Source {
+// Reads the whole file at each poll: its time stamp does not show two replacements within the resolution of
+// the clock. A file that is being written fails to parse, and the last list stays in force.
+class FileEndpointSource final : public EndpointSource {
 public:
-    FileSource(net::Loop& loop, std::string file, Micros every)
-        : loop_(loop), file_(std::move(file)), every_(every) {}
-    ~FileSource() override {
-        loop_.cancel(timer_);
+    FileEndpointSource(net::Loop& loop, std::string file, Micros poll_interval)
+        : loop_(loop), file_(std::move(file)), poll_interval_(poll_interval) {}
+    ~FileEndpointSource() override {
+        loop_.cancel(poll_timer_);
     }
+
     void start(Events events) override {
         events_ = std::move(events);
-        look();
-    }
-    void ask() override {
-        read();
+        poll_periodically();
     }
 
-private:
-    void look() {
-        read();
-        timer_ = loop_.after(every_, [this] {
-            look();
-        });
-    }
-    void read() {
+    void poll() override {
         std::ifstream in(file_, std::ios::binary);
         std::ostringstream text;
         if (in)
             text << in.rdbuf();
-        if (!in || text.str().size() > kLargestList)
-            return lose(file_ + ": cannot be read: " + std::strerror(errno));
-        if (!lost_ && text.str() == last_)
+        if (!in || text.str().size() > kMaxListBytes)
+            return on_failure(file_ + ": cannot be read: " + std::strerror(errno));
+        if (available_ && text.str() == last_text_)
             return;
         auto list = config::read_engine_list(text.str(), file_);
         if (!list)
-            return lose(list.error());
-        last_ = text.str();
-        lost_ = false;
-        events_.list(std::move(*list));
+            return on_failure(list.error());
+        last_text_ = text.str();
+        available_ = true;
+        events_.on_list(std::move(*list));
     }
-    void lose(std::string why) {
-        if (!std::exchange(lost_, true))
-            events_.lost(std::move(why));
+
+private:
+    void poll_periodically() {
+        poll();
+        poll_timer_ = loop_.after(poll_interval_, [this] {
+            poll_periodically();
+        });
+    }
+
+    void on_failure(std::string reason) {
+        if (std::exchange(available_, false))
+            events_.on_unavailable(std::move(reason));
     }
 
     net::Loop& loop_;
-    std::string file_, last_;
-    Micros every_;
-    bool lost_ = false;
+    std::string file_;
+    std::string last_text_;
+    Micros poll_interval_;
+    bool available_ = true;
     Events events_;
-    net::TimerId timer_ = 0;
+    net::TimerId poll_timer_ = 0;
 };
 
-class HttpSource final : public Source {
+class HttpEndpointSource final : public EndpointSource {
 public:
-    HttpSource(net::Loop& loop, net::Address server, std::string path, std::string name, Micros every)
+    HttpEndpointSource(net::Loop& loop, net::Address server, std::string path, std::string instance_name,
+                       Micros poll_interval)
         : loop_(loop),
-          client_(loop, std::move(server), {.limits = {.body = kLargestList}}),
+          client_(loop, std::move(server), {.limits = {.body = kMaxListBytes}}),
           path_(std::move(path)),
-          name_(std::move(name)),
-          every_(every) {}
-    ~HttpSource() override {
-        loop_.cancel(timer_);
+          instance_name_(std::move(instance_name)),
+          poll_interval_(poll_interval) {}
+    ~HttpEndpointSource() override {
+        loop_.cancel(poll_timer_);
     }
+
     void start(Events events) override {
         events_ = std::move(events);
         fetch();
     }
-    void ask() override {
-        if (call_.active())
+
+    void poll() override {
+        if (fetch_in_flight_.active())
             return;
-        loop_.cancel(timer_);
-        asked_ = true;
+        loop_.cancel(poll_timer_);
+        poll_requested_ = true;
         fetch();
     }
 
 private:
     void fetch() {
-        http::Request get{"GET", path_, 1, {}, {}, {}};
-        get.headers.add("User-Agent", "gatetiller/" + name_);
-        if (!tag_.empty())
-            get.headers.add("If-None-Match", tag_);
-        call_ = client_.send(get, std::max(every_, kSecondMicros), [this](http::Answer a) {
-            take(std::move(a));
-        });
+        http::Request request{"GET", path_, 1, {}, {}, {}};
+        request.headers.add("User-Agent", "gatetiller/" + instance_name_);
+        if (!entity_tag_.empty())
+            request.headers.add("If-None-Match", entity_tag_);
+        fetch_in_flight_ = client_.send(request, std::max(poll_interval_, kMinFetchTimeout),
+                                        [this](const http::Answer& answer) {
+                                            on_answer(answer);
+                                        });
     }
-    void take(http::Answer a) {
-        timer_ = loop_.after(every_, [this] {
+
+    void on_answer(const http::Answer& answer) {
+        poll_timer_ = loop_.after(poll_interval_, [this] {
             fetch();
         });
-        const bool asked = std::exchange(asked_, false);
-        if (a.reached != http::Reached::answered)
-            return lose(a.error, asked);
-        if (a.response.status == 304) {
-            if (std::exchange(lost_, false) || asked)
-                events_.list(last_);
+        const bool requested = std::exchange(poll_requested_, false);
+        if (answer.reached != http::Reached::answered)
+            return on_failure(answer.error, requested);
+        if (answer.response.status == kStatusNotModified) {
+            const bool was_available = std::exchange(available_, true);
+            if (!was_available || requested)
+                events_.on_list(last_list_);
             return;
         }
-        if (a.response.status != 200)
-            return lose("status " + std::to_string(a.response.status), asked);
-        auto list = config::read_engine_list(a.response.body, "http list " + path_);
+        if (answer.response.status != kStatusOk)
+            return on_failure("status " + std::to_string(answer.response.status), requested);
+        auto list = config::read_engine_list(answer.response.body, "http list " + path_);
         if (!list)
-            return lose(list.error(), asked);
-        tag_ = a.response.headers.find("ETag").value_or("");
-        lost_ = false;
-        last_ = *list;
-        events_.list(std::move(*list));
+            return on_failure(list.error(), requested);
+        entity_tag_ = answer.response.headers.find("ETag").value_or("");
+        available_ = true;
+        last_list_ = *list;
+        events_.on_list(std::move(*list));
     }
-    void lose(std::string why, bool asked) {
-        if (!std::exchange(lost_, true) || asked)
-            events_.lost(std::move(why));
+
+    void on_failure(std::string reason, bool requested) {
+        const bool was_available = std::exchange(available_, false);
+        if (was_available || requested)
+            events_.on_unavailable(std::move(reason));
     }
 
     net::Loop& loop_;
     http::Client client_;
-    std::string path_, name_, tag_;
-    Micros every_;
-    bool lost_ = false, asked_ = false;
-    std::vector<config::EngineSettings> last_;
+    std::string path_;
+    std::string instance_name_;
+    std::string entity_tag_;
+    Micros poll_interval_;
+    bool available_ = true;
+    bool poll_requested_ = false;  // by poll(), which gets its answer whether or not the list changed
+    std::vector<config::EngineSettings> last_list_;
     Events events_;
-    net::TimerId timer_ = 0;
-    http::Client::Call call_;
+    net::TimerId poll_timer_ = 0;
+    http::Client::Call fetch_in_flight_;
 };
 
 }  // namespace
 
-std::unique_ptr<Source> make_source(net::Loop& loop, const config::RosterSettings& s,
-                                    const std::string& name) {
-    if (s.http)
-        return std::make_unique<HttpSource>(loop, *s.http, s.path, name, s.every);
-    if (!s.file.empty())
-        return std::make_unique<FileSource>(loop, s.file, s.every);
+std::unique_ptr<EndpointSource> make_endpoint_source(net::Loop& loop, const config::RosterSettings& settings,
+                                                     const std::string& instance_name) {
+    if (settings.http)
+        return std::make_unique<HttpEndpointSource>(loop, *settings.http, settings.path, instance_name,
+                                                    settings.every);
+    if (!settings.file.empty())
+        return std::make_unique<FileEndpointSource>(loop, settings.file, settings.every);
     return nullptr;
 }
 
--- a/src/discovery/endpoint_source.hpp
+++ b/src/discovery/endpoint_source.hpp
@@ -1,6 +1,5 @@
-// roster: where a front's list of engines comes from: the configuration, a watched file, or an HTTP list
-// polled with entity tags. All of them end in the same two calls: a whole list, or word that the source is
-// lost.
+// Endpoint discovery of a front: from a watched file or from an HTTP list polled with entity tags. Each
+// source reports complete lists only; while it is unavailable, the last list stays in force.
 #pragma once
 
 #include <functional>
@@ -14,22 +13,27 @@
 
 namespace gatetiller::discovery {
 
-class Source {
+class EndpointSource {
 public:
     struct Events {
-        std::function<void(std::vector<config::EngineSettings>)>
-            list;  // the whole list, only when it changed
-        std::function<void(std::string why)>
-            lost;  // once each time it can't be had; the last list stays in force
+        // The complete list: when it changed, when the source is available again, and as the answer to
+        // poll().
+        std::function<void(std::vector<config::EngineSettings>)> on_list;
+        // The source became unavailable, and why: once until it is available again, and as the answer to
+        // poll().
+        std::function<void(std::string reason)> on_unavailable;
     };
-    virtual ~Source() = default;
+
+    virtual ~EndpointSource() = default;
+    // Polls at once and then at the interval of the settings.
     virtual void start(Events events) = 0;
-    virtual void ask() = 0;  // now, rather than when it is due
+    // Polls now rather than when it is due. No effect while a poll is in flight.
+    virtual void poll() = 0;
 };
 
-// Of the settings' source beside their own engines; nothing where there is none.
-// `name` is the front's, told to an HTTP list as the user agent.
-std::unique_ptr<Source> make_source(net::Loop& loop, const config::RosterSettings& settings,
-                                    const std::string& name);
+// The source that the settings name, or null where they name none. `instance_name` is sent to an HTTP list as
+// part of the user agent. The loop outlives the source.
+std::unique_ptr<EndpointSource> make_endpoint_source(net::Loop& loop, const config::RosterSettings& settings,
+                                                     const std::string& instance_name);
 
 }  // namespace gatetiller::discovery
--- a/src/front/engines.cpp
+++ b/src/front/engines.cpp
@@ -35,7 +35,7 @@
     // Until a source's first list comes the last one is what is known, or else the configuration's engines.
     auto known = own_;
     if (!roster_.keep.empty()) {
-        auto last = discovery::read_last_list(roster_.keep);
+        auto last = discovery::load_cached_endpoints(roster_.keep);
         if (last)
             known = std::move(*last);
         else
@@ -48,7 +48,7 @@
 }
 
 void Engines::open_source() {
-    source_ = discovery::make_source(loop_, roster_, name_);
+    source_ = discovery::make_endpoint_source(loop_, roster_, name_);
     if (source_)
         source_->start({[this](auto list) {
                             take_list(list, EndpointUpdateKind::full);
@@ -69,7 +69,7 @@
     loop_.cancel(std::exchange(keeping_, 0));
     if (roster_.keep.empty())
         return;
-    const auto kept = discovery::keep_last_list(roster_.keep, to_keep_);
+    const auto kept = discovery::save_cached_endpoints(roster_.keep, to_keep_);
     if (kept)
         return;
     if (!again)
@@ -81,7 +81,7 @@
 
 void Engines::ask() {
     if (source_)
-        source_->ask();
+        source_->poll();
     else
         events_.changed({EndpointUpdateKind::incremental, {}});
 }
--- a/src/front/engines.hpp
+++ b/src/front/engines.hpp
@@ -67,7 +67,7 @@
     http::ClientOptions client_options_;
     std::string name_;
     Events events_;
-    std::unique_ptr<discovery::Source> source_;
+    std::unique_ptr<discovery::EndpointSource> source_;
     std::map<EngineId, std::unique_ptr<Engine>> engines_;
     std::map<std::string, EngineId> ids_;  // by name and address: a name that moves is another engine
     EngineId last_id_ = 0;
--- a/tests/discovery/discovery_test.cpp
+++ b/tests/discovery/discovery_test.cpp
@@ -1,4 +1,4 @@
-// Lists of engines that change, come late, break off and come back.
+// Endpoint sources whose lists change, come late, fail and return; and the cached list.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -13,7 +13,7 @@
 namespace gatetiller::discovery {
 namespace {
 
-std::string list_of(const std::vector<std::string>& names, const std::string& state = "on") {
+std::string list_text(const std::vector<std::string>& names, const std::string& state = "on") {
     std::string text;
     for (const auto& n : names)
         text += (text.empty() ? "" : ", ") +
@@ -21,65 +21,65 @@
     return "{\"engines\": {" + text + "}}";
 }
 
-class RosterTest : public ::testing::Test {
+class EndpointSourceTest : public ::testing::Test {
 protected:
     void start(const config::RosterSettings& settings) {
-        source = make_source(loop, settings, "f1");
+        source = make_endpoint_source(loop, settings, "f1");
         source->start({[this](auto list) {
-                           last = std::move(list), ++lists;
+                           last_list = std::move(list), ++lists_received;
                        },
                        [this](const std::string& why) {
-                           reason = why, ++lost;
+                           reason = why, ++times_unavailable;
                        }});
     }
-    template <typename C>
-    bool until(C condition) {
+    template <typename Condition>
+    bool wait_until(Condition condition) {
         return gatetiller::testing::await(loop, condition);
     }
     net::PollLoop loop;
-    std::unique_ptr<Source> source;
-    std::vector<config::EngineSettings> last;
-    int lists = 0, lost = 0;
+    std::unique_ptr<EndpointSource> source;
+    std::vector<config::EngineSettings> last_list;
+    int lists_received = 0, times_unavailable = 0;
     std::string reason;
 };
 
-TEST_F(RosterTest, AWatchedFileThatIsBrokenOrGoneLeavesTheLastListInForce) {
+TEST_F(EndpointSourceTest, AWatchedFileThatIsBrokenOrGoneLeavesTheLastListInForce) {
     const std::string file = ::testing::TempDir() + "roster-" + std::to_string(::getpid()) + ".json";
     const auto write = [&](const std::string& text) {
         std::ofstream(file) << text;
     };
-    write(list_of({"a", "b"}));
+    write(list_text({"a", "b"}));
     start({.file = file, .every = 5 * kMillisecond});
-    ASSERT_TRUE(until([&] {
-        return lists == 1;
+    ASSERT_TRUE(wait_until([&] {
+        return lists_received == 1;
     }));
-    EXPECT_EQ(last.size(), 2u);
+    EXPECT_EQ(last_list.size(), 2u);
     write("{\"engines\": {\"a\"");  // as read while it is being written
-    ASSERT_TRUE(until([&] {
-        return lost == 1;
+    ASSERT_TRUE(wait_until([&] {
+        return times_unavailable == 1;
     }));
     EXPECT_NE(reason.find(file), std::string::npos);
     std::filesystem::remove(file);
     for (int i = 0; i < 20; ++i)
         loop.turn(5 * kMillisecond);
-    EXPECT_EQ(lost, 1);  // told once
-    write(list_of({"a", "b"}));
-    ASSERT_TRUE(until([&] {
-        return lists == 2;
-    }));  // the same list, but found again: told
-    write(list_of({"a"}, "fading"));
-    ASSERT_TRUE(until([&] {
-        return lists == 3;
+    EXPECT_EQ(times_unavailable, 1);  // reported once
+    write(list_text({"a", "b"}));
+    ASSERT_TRUE(wait_until([&] {
+        return lists_received == 2;
+    }));  // the same list, but available again
+    write(list_text({"a"}, "fading"));
+    ASSERT_TRUE(wait_until([&] {
+        return lists_received == 3;
     }));
-    EXPECT_EQ(last.at(0).state, EndpointState::draining);
+    EXPECT_EQ(last_list.at(0).state, EndpointState::draining);
     for (int i = 0; i < 20; ++i)
         loop.turn(5 * kMillisecond);
-    EXPECT_EQ(lists, 3);  // nothing new, nothing told
+    EXPECT_EQ(lists_received, 3);  // nothing changed, nothing reported
     std::filesystem::remove(file);
 }
 
-TEST_F(RosterTest, AnHttpListIsPolledWithEntityTagsAndItsLossIsToldToWhoeverAsks) {
-    std::string tag = "\"1\"", body = list_of({"a"});
+TEST_F(EndpointSourceTest, AnHttpListIsPolledWithEntityTagsAndItsLossIsReportedToEachPoll) {
+    std::string tag = "\"1\"", body = list_text({"a"});
     int full = 0, unchanged = 0;
     bool down = false;
     std::string agent;
@@ -97,44 +97,44 @@
     });
     const auto at = *server.listen(*net::Address::parse("127.0.0.1:0"));
     start({.http = at, .path = "/list", .every = 5 * kMillisecond});
-    ASSERT_TRUE(until([&] {
-        return lists == 1 && unchanged >= 3;
+    ASSERT_TRUE(wait_until([&] {
+        return lists_received == 1 && unchanged >= 3;
     }));
     EXPECT_EQ(full, 1);
     EXPECT_EQ(agent, "gatetiller/f1");
     down = true;
-    ASSERT_TRUE(until([&] {
-        return lost == 1;
+    ASSERT_TRUE(wait_until([&] {
+        return times_unavailable == 1;
     }));
     for (int i = 0; i < 10; ++i)
         loop.turn(5 * kMillisecond);
-    EXPECT_EQ(lost, 1);
-    ASSERT_TRUE(until([&] {
-        source->ask();  // passed over while a call is in flight
-        return lost == 2;
+    EXPECT_EQ(times_unavailable, 1);
+    ASSERT_TRUE(wait_until([&] {
+        source->poll();  // no effect while a poll is in flight
+        return times_unavailable == 2;
     }));
     down = false;
-    ASSERT_TRUE(until([&] {
-        return lists >= 2;
-    }));  // unchanged, but there again
-    tag = "\"2\"", body = list_of({"a", "c"});
-    ASSERT_TRUE(until([&] {
-        return last.size() == 2;
+    ASSERT_TRUE(wait_until([&] {
+        return lists_received >= 2;
+    }));  // unchanged, but available again
+    tag = "\"2\"", body = list_text({"a", "c"});
+    ASSERT_TRUE(wait_until([&] {
+        return last_list.size() == 2;
     }));
     body = "no list", tag = "\"3\"";
-    const int before = lost;
-    ASSERT_TRUE(until([&] {
-        return lost > before;
+    const int before = times_unavailable;
+    ASSERT_TRUE(wait_until([&] {
+        return times_unavailable > before;
     }));
-    EXPECT_EQ(last.size(), 2u);
+    EXPECT_EQ(last_list.size(), 2u);
 }
 
-TEST(LastList, ComesBackWholeAndIsPassedOverWhereItIsTornAtAnyByte) {
+TEST(EndpointCache, LoadsWhatWasSavedAndRejectsAFileTruncatedAtAnyByte) {
     const std::string file = ::testing::TempDir() + "last-" + std::to_string(::getpid()) + ".json";
-    EXPECT_FALSE(read_last_list(file));
-    const auto list = *config::read_engine_list(list_of({"a", "b", "c"}, "fading"), "l");
-    ASSERT_TRUE(keep_last_list(file, list));
-    const auto back = read_last_list(file);
+    EXPECT_FALSE(load_cached_endpoints(file));
+    const auto list = *config::read_engine_list(list_text({"a", "b", "c"}, "fading"), "l");
+    ASSERT_TRUE(save_cached_endpoints(file, list));
+    const auto back = load_cached_endpoints(file);
     ASSERT_TRUE(back) << back.error();
     ASSERT_EQ(back->size(), 3u);
     EXPECT_EQ(back->at(1).name, "b");
@@ -143,9 +143,9 @@
     const std::string text = *config::whole_file(file);
     for (std::size_t n = 0; n + 2 < text.size(); ++n) {  // the last brace and the line's end are not missed
         std::ofstream(file, std::ios::trunc) << text.substr(0, n);
-        EXPECT_FALSE(read_last_list(file)) << n;
+        EXPECT_FALSE(load_cached_endpoints(file)) << n;
     }
-    EXPECT_FALSE(keep_last_list("/nowhere/at/all", list));
+    EXPECT_FALSE(save_cached_endpoints("/nowhere/at/all", list));
     std::filesystem::remove(file);
 }
 
--- a/tests/faults/durable_test.cpp
+++ b/tests/faults/durable_test.cpp
@@ -98,11 +98,11 @@
     ASSERT_TRUE(await(loop, [&] {
         return lists > 0;
     }));
-    EXPECT_FALSE(discovery::read_last_list(file));
+    EXPECT_FALSE(discovery::load_cached_endpoints(file));
     EXPECT_NE(log.find("No space left"), std::string::npos) << log;
     control.heal();
     EXPECT_TRUE(await(loop, [&] {
-        return discovery::read_last_list(file).ok();
+        return discovery::load_cached_endpoints(file).ok();
     }));
 }
 
