--- a/src/front/engines.cpp
+++ b/src/front/engine_registry.cpp
@@ -1,4 +1,4 @@
-#include "front/engines.hpp"
+#include "front/engine_registry.hpp"
 
 #include <set>
 
--- a/src/front/front.hpp
+++ b/src/front/front.hpp
@@ -15,7 +15,7 @@
 #include "decide/client_time_left.hpp"
 #include "decide/progress_reporter.hpp"
 #include "decide/request_lifecycle.hpp"
-#include "front/engines.hpp"
+#include "front/engine_registry.hpp"
 #include "front/metrics.hpp"
 #include "store/writer.hpp"
 
--- a/tests/faults/durable_test.cpp
+++ b/tests/faults/durable_test.cpp
@@ -11,7 +11,7 @@
 #include "base/await.hpp"
 #include "base/durable_file.hpp"
 #include "discovery/endpoint_cache.hpp"
-#include "front/engines.hpp"
+#include "front/engine_registry.hpp"
 #include "shim/fault_control.hpp"
 
 namespace gatetiller::testing {
