--- a/src/decide/attempt_guard.cpp
+++ b/src/decide/attempt_guard.cpp
@@ -3,8 +3,6 @@
 #include <algorithm>
 #include <cmath>
 
-#include "base/planted.hpp"
-
 namespace gatetiller::decide {
 namespace {
 
@@ -88,7 +86,7 @@
 
 std::optional<AttemptPermit> AttemptGuard::permit(const AttemptContext& facts, const ClassSettings& cls,
                                                   std::optional<double> cold_requests) const {
-    if (find_violation(facts, cls, cold_requests) && !planted("guard_off"))
+    if (enforcing_ && find_violation(facts, cls, cold_requests))
         return std::nullopt;
     return AttemptPermit();
 }
--- a/src/decide/attempt_guard.hpp
+++ b/src/decide/attempt_guard.hpp
@@ -52,7 +52,9 @@
 
 class AttemptGuard {
 public:
-    explicit AttemptGuard(const PolicySettings& settings) : settings_(settings) {}
+    // `enforcing`: false only under fault injection, where permits are granted in spite of violations.
+    explicit AttemptGuard(const PolicySettings& settings, bool enforcing = true)
+        : settings_(settings), enforcing_(enforcing) {}
     // What forbids the attempt, if anything does. `cold_requests`: what cold_share_requests() gave.
     std::optional<Invariant> find_violation(const AttemptContext& facts, const ClassSettings& cls,
                                             std::optional<double> cold_requests) const;
@@ -67,6 +69,7 @@
                                                      std::optional<double> cold_requests) const;
 
     const PolicySettings& settings_;
+    bool enforcing_;
 };
 
 }  // namespace gatetiller::decide
--- a/src/decide/endpoint_list.hpp
+++ b/src/decide/endpoint_list.hpp
@@ -28,6 +28,8 @@
 
 class EndpointList {
 public:
+    // `follows_restarts`: see SerialTracker.
+    explicit EndpointList(bool follows_restarts = true) : numbering_(follows_restarts) {}
     // A whole list with its number, heard at `now` while the wall clock stood at `wall`, asked for at
     // `asked`. Nothing where it tells nothing new. The first one is told as the copy of the start.
     //
--- a/src/decide/serial_tracker.cpp
+++ b/src/decide/serial_tracker.cpp
@@ -1,7 +1,5 @@
 #include "decide/serial_tracker.hpp"
 
-#include "base/planted.hpp"
-
 namespace gatetiller::decide {
 namespace {
 
@@ -28,7 +26,7 @@
         older_answers_ = 0;
         return UpdateVerdict::current;
     }
-    if (asked < held_since_ || planted("highest_number_for_ever"))
+    if (asked < held_since_ || !follows_restarts_)
         return UpdateVerdict::outdated;
     if (older_answers_++ == 0)
         older_since_ = now, newest_older_ = number;
--- a/src/decide/serial_tracker.hpp
+++ b/src/decide/serial_tracker.hpp
@@ -22,6 +22,8 @@
 
 class SerialTracker {
 public:
+    // `follows_restarts`: false only under fault injection, where a restarted numbering is never adopted.
+    explicit SerialTracker(bool follows_restarts = true) : follows_restarts_(follows_restarts) {}
     // An answer that came at `now` to a question of `asked`.
     UpdateVerdict classify(std::uint32_t number, Micros asked, Micros now);
     bool advances(std::uint32_t number) const;  // than what is held, by its number alone
@@ -31,6 +33,7 @@
     }
 
 private:
+    bool follows_restarts_;
     std::optional<std::uint32_t> held_;
     Micros held_since_ = 0;
     int older_answers_ = 0;   // in a row, none of the number held or above between them
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -174,7 +174,8 @@
                                 ", unanswered before " + std::to_string(unanswered) +
                                 ", held: " + list_text());
             }}),
-      guard_(settings_.module),
+      list_(!planted("highest_number_for_ever")),
+      guard_(settings_.module, !planted("guard_off")),
       wall_offset_(loop.wall() - loop.now()),
       restart_(decide::derive_shutdown_schedule(settings_.module)) {
     pool_.most = bounds_.engine_connections;
