--- a/src/cli/node.cpp
+++ b/src/cli/node.cpp
@@ -4,7 +4,6 @@
 #include <csignal>
 #include <cstdio>
 
-#include "base/planted.hpp"
 #include "cli/commands.hpp"
 #include "cli/process.hpp"
 #include "decide/readiness_guard.hpp"
@@ -75,6 +74,7 @@
         return 1;
     }
     node::NodeDeps deps;
+    deps.faults = &node::fault_injection();
     deps.log = [log = log](const std::string& t) {
         log->info(t);
     };
@@ -107,13 +107,11 @@
         std::fprintf(stderr, "%s\n", (hears ? bound.error() : hears.error()).c_str());
         return 1;
     }
-    const decide::ReadinessContext facts{front.has_list() && !planted("ready_without_list"),
-                                         front.listens() && !planted("ready_without_listener"),
-                                         hears.ok() && !planted("ready_without_signals")};
-    if (decide::ReadinessGuard::permit(facts))
+    const auto readiness = deps.faults->readiness({front.has_list(), front.is_listening(), hears.ok()});
+    if (decide::ReadinessGuard::permit(readiness))
         say_line(bound->text());
     else
-        front.count(*decide::ReadinessGuard::find_violation(facts), "start");
+        front.report_violation(*decide::ReadinessGuard::find_violation(readiness), "start");
     loop.run();
     return 0;
 }
--- a/src/node/config.cpp
+++ b/src/node/config.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <cerrno>
+#include <charconv>
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
@@ -14,115 +15,130 @@
 
 using Json = nlohmann::json;
 
-struct Wrong : std::runtime_error {
+constexpr Micros kDefaultConnectTimeout = 250 * kMillisecond;
+constexpr double kMaxNumber = 1e15;  // doubles hold integers below it exactly
+
+struct ConfigError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
 const Json& member(const Json& object, const char* name) {
     if (!object.is_object() || !object.contains(name))
-        throw Wrong(std::string(name) + " is missing");
+        throw ConfigError(std::string(name) + " is missing");
     return object.at(name);
 }
 
 template <typename T>
-T value(const Json& object, const char* name, const char* right) {
+T value(const Json& object, const char* name, const char* expected) {
     try {
         return member(object, name).get<T>();
     } catch (const Json::exception&) {
-        throw Wrong(std::string(name) + " must be " + right + ", not " + member(object, name).dump());
+        throw ConfigError(std::string(name) + " must be " + expected + ", not " +
+                          member(object, name).dump());
     }
 }
 
 template <typename T>
 T positive(const Json& object, const char* name) {
     const auto got = value<double>(object, name, "a number");
-    if (!(got > 0 && got < 1e15))
-        throw Wrong(std::string(name) + " must be a number over 0");
+    if (!(got > 0 && got < kMaxNumber))
+        throw ConfigError(std::string(name) + " must be a number over 0");
     return static_cast<T>(got);
 }
 
 net::Address address(const Json& object, const char* name) {
     const auto parsed = net::Address::parse(value<std::string>(object, name, "host:port"));
     if (!parsed)
-        throw Wrong(std::string(name) + ": " + parsed.error());
+        throw ConfigError(std::string(name) + ": " + parsed.error());
     return *parsed;
 }
 
-decide::DiscoveredEndpoint engine_of(const Json& json) {
-    decide::DiscoveredEndpoint e;
-    e.name = value<std::string>(json, "instanceId", "text");
-    for (char& c : e.name)
-        c = lower(c);
-    e.address = address(json, "hostPort").text();
-    e.zone = json.value("zone", "");
-    e.kind = json.value("machineType", "");
-    e.cell = json.value("cell", std::int64_t{0});
-    e.share = json.value("weight", 1.0);
-    e.started_at = json.value("startedAtMs", std::int64_t{0}) * kMillisecond;
-    const auto state = json.value("lifecycle", std::string("active"));
-    if (state == "active")
-        e.state = EndpointState::ready;
-    else if (state == "leaving")
-        e.state = EndpointState::draining;
-    else if (state == "left")
-        e.state = EndpointState::removed;
-    else
-        throw Wrong("lifecycle must be active, leaving or left, not " + state);
-    return e;
+EndpointState parse_state(const std::string& lifecycle) {
+    if (lifecycle == "active")
+        return EndpointState::ready;
+    if (lifecycle == "leaving")
+        return EndpointState::draining;
+    if (lifecycle == "left")
+        return EndpointState::removed;
+    throw ConfigError("lifecycle must be active, leaving or left, not " + lifecycle);
+}
+
+decide::DiscoveredEndpoint parse_endpoint(const Json& json) {
+    decide::DiscoveredEndpoint endpoint;
+    endpoint.name = value<std::string>(json, "instanceId", "text");
+    for (char& letter : endpoint.name)
+        letter = lower(letter);
+    endpoint.address = address(json, "hostPort").text();
+    endpoint.zone = json.value("zone", "");
+    endpoint.kind = json.value("machineType", "");
+    endpoint.cell = json.value("cell", std::int64_t{0});
+    endpoint.share = json.value("weight", 1.0);
+    endpoint.started_at = json.value("startedAtMs", std::int64_t{0}) * kMillisecond;
+    endpoint.state = parse_state(json.value("lifecycle", std::string("active")));
+    return endpoint;
 }
 
-// The events of the start come to one list: the first holds it whole, later ones what has changed.
-void read_known(const Json& known, NodeSettings& s) {
-    s.known_number = positive<std::uint64_t>(known, "offset");
+// The events of the start amount to one list: the first holds it completely, later ones what has changed.
+void read_known_endpoints(const Json& known, NodeSettings& settings) {
+    settings.known_serial = positive<std::uint64_t>(known, "offset");
     for (const Json& event : member(known, "batch")) {
         const Json& topology = member(event, "topology");
         if (topology.value("reset", false))
-            s.known.clear();
+            settings.known_endpoints.clear();
         for (const Json& instance : member(topology, "instances")) {
-            auto e = engine_of(instance);
-            std::erase_if(s.known, [&](const auto& k) {
-                return k.name == e.name;
+            auto endpoint = parse_endpoint(instance);
+            std::erase_if(settings.known_endpoints, [&](const auto& known_endpoint) {
+                return known_endpoint.name == endpoint.name;
             });
-            if (e.state != EndpointState::removed)
-                s.known.push_back(std::move(e));
+            if (endpoint.state != EndpointState::removed)
+                settings.known_endpoints.push_back(std::move(endpoint));
         }
     }
 }
 
-NodeSettings from(const Json& json) {
-    NodeSettings s;
-    s.name = value<std::string>(json, "name", "text");
-    s.listen = address(json, "listen");
-    s.dns = address(json, "dns");
-    const auto seed = value<std::string>(json, "seed", "16 hex digits");
-    const auto [end, error] = std::from_chars(seed.data(), seed.data() + seed.size(), s.seed, 16);
-    if (error != std::errc() || end != seed.data() + seed.size())
-        throw Wrong("seed must be 16 hex digits, not '" + seed + "'");
+void read_policy(const Json& json, NodeSettings& settings) {
+    settings.settings_text = json.dump();
+    auto policy = platform::parse_settings(settings.settings_text);
+    if (!policy)
+        throw ConfigError(policy.error());
+    settings.policy = std::move(*policy);
+    if (settings.policy.classes.empty())
+        throw ConfigError("settings.classes names no class");
+    const Json limits = json.value("policy_limits", Json::object());
+    settings.idle_timeout = limits.value("idle_close_us", Micros{0});
+    settings.connect_timeout = limits.value("connect_timeout_us", kDefaultConnectTimeout);
+    settings.max_streams = std::max(1, limits.value("streams_per_conn", 1));
+}
+
+std::uint64_t parse_seed(const std::string& text) {
+    std::uint64_t seed = 0;
+    const char* const text_end = text.data() + text.size();
+    const auto [end, error] = std::from_chars(text.data(), text_end, seed, 16);
+    if (error != std::errc() || end != text_end)
+        throw ConfigError("seed must be 16 hex digits, not '" + text + "'");
+    return seed;
+}
+
+NodeSettings parse(const Json& json) {
+    NodeSettings settings;
+    settings.name = value<std::string>(json, "name", "text");
+    settings.listen = address(json, "listen");
+    settings.dns = address(json, "dns");
+    settings.seed = parse_seed(value<std::string>(json, "seed", "16 hex digits"));
     const Json& limits = member(json, "limits");
-    s.cores = positive<double>(limits, "cores");
-    s.memory_mb = positive<std::int64_t>(limits, "memory_mb");
-    s.sockets = positive<std::int64_t>(limits, "sockets");
-    read_known(member(json, "known"), s);
-    const Json& settings = member(json, "settings");
-    s.settings_text = settings.dump();
-    auto module = platform::parse_settings(s.settings_text);
-    if (!module)
-        throw Wrong(module.error());
-    s.module = std::move(*module);
-    if (s.module.classes.empty())
-        throw Wrong("settings.classes names no class");
-    const Json policy = settings.value("policy_limits", Json::object());
-    s.idle_close = policy.value("idle_close_us", Micros{0});
-    s.connect_time_out = policy.value("connect_timeout_us", Micros{250 * kMillisecond});
-    s.streams = std::max(1, policy.value("streams_per_conn", 1));
-    return s;
+    settings.cores = positive<double>(limits, "cores");
+    settings.memory_mb = positive<std::int64_t>(limits, "memory_mb");
+    settings.sockets = positive<std::int64_t>(limits, "sockets");
+    read_known_endpoints(member(json, "known"), settings);
+    read_policy(member(json, "settings"), settings);
+    return settings;
 }
 
 }  // namespace
 
 Result<NodeSettings> read_config(const std::string& text) {
     try {
-        return from(Json::parse(text));
+        return parse(Json::parse(text));
     } catch (const Json::parse_error& error) {
         return Error{std::string("configuration: ") + error.what(), EAGAIN};
     } catch (const std::exception& error) {
--- a/src/node/config.hpp
+++ b/src/node/config.hpp
@@ -1,5 +1,4 @@
-// node: a front on the platform's sockets: Thrift clients, RESP engines, a name service. This file: what the
-// platform tells it, from the JSON file that EDGE_CONFIG names.
+// The configuration of a front node, from the JSON file that EDGE_CONFIG names.
 #pragma once
 
 #include <cstdint>
@@ -15,20 +14,28 @@
 
 struct NodeSettings {
     std::string name;
-    net::Address listen, dns;
+    net::Address listen;  // for clients
+    net::Address dns;     // of the name service
     std::uint64_t seed = 1;
+    // The limits of the machine.
     double cores = 1;
-    std::int64_t memory_mb = 0, sockets = 0;        // the limits of the machine
-    Micros idle_close = 0;                          // engines close connections idle for so long; 0: never
-    Micros connect_time_out = 0;                    // a connection not up by then counts as refused
-    int streams = 1;                                // attempts that one connection carries at most
-    std::uint64_t known_number = 0;                 // of the name service's last event before the start
-    std::vector<decide::DiscoveredEndpoint> known;  // the list as it then was
-    PolicySettings module;
-    std::string settings_text;  // as they stood in the file, to see whether another file changes them
+    std::int64_t memory_mb = 0;
+    std::int64_t sockets = 0;
+    // Engines close connections that are idle for so long, in microseconds; 0: never.
+    Micros idle_timeout = 0;
+    // A connection that is not up after so many microseconds counts as refused.
+    Micros connect_timeout = 0;
+    // Most attempts in flight on one connection.
+    int max_streams = 1;
+    // The endpoint list at the start, and its serial at the name service.
+    std::uint64_t known_serial = 0;
+    std::vector<decide::DiscoveredEndpoint> known_endpoints;
+    PolicySettings policy;
+    // The policy's settings as they stand in the file, by which a reload sees a change.
+    std::string settings_text;
 };
 
-// Errors name the member and what would be right. One that may pass has a code: text that is no JSON (EAGAIN)
+// Errors name the member and what would be right. A temporary one has a code: text that is not JSON (EAGAIN)
 // may be half written, a file may not be readable for a moment.
 Result<NodeSettings> read_config(const std::string& text);
 Result<NodeSettings> load_config(const std::string& file);
--- /dev/null
+++ b/src/node/endpoint_registry.cpp
@@ -0,0 +1,281 @@
+#include "node/endpoint_registry.hpp"
+
+#include <algorithm>
+
+namespace gatetiller::node {
+namespace {
+
+constexpr Micros kListOldAfter = 2 * kSecondMicros;  // without a response of the name service
+constexpr Micros kDiscardLead = 100 * kMillisecond;  // before the drain grace of an engine ends
+constexpr std::size_t kMaxEnginesLogged = 40;        // of one update
+constexpr double kWorkSmoothing = 0.02;              // weight of one request in the mean work
+
+const char* state_text(EndpointState state) {
+    switch (state) {
+        case EndpointState::ready:
+            return " is on";
+        case EndpointState::draining:
+            return " drains";
+        case EndpointState::removed:
+            return " is gone";
+    }
+    return " is in an unknown state";
+}
+
+}  // namespace
+
+EndpointRegistry::EndpointRegistry(net::Loop& loop, const NodeSettings& settings,
+                                   const decide::ResourceLimits& limits, const NodeDeps& deps, Events events)
+    : loop_(loop),
+      settings_(settings),
+      limits_(limits),
+      deps_(deps),
+      events_(std::move(events)),
+      list_(deps.faults->follows_restarted_numbering()),
+      wall_offset_(loop.wall() - loop.now()) {
+    refresh_connection_limit();
+    pool_.trace = deps_.trace;
+    pool_.evict_idle = [this] {
+        return std::any_of(engines_.begin(), engines_.end(), [](const auto& entry) {
+            return entry.second.connections && entry.second.connections->evict_idle_connection();
+        });
+    };
+}
+
+EndpointRegistry::~EndpointRegistry() {
+    loop_.cancel(discard_timer_);
+}
+
+void EndpointRegistry::refresh_connection_limit() {
+    pool_.max_connections = limits_.engine_connections;
+}
+
+// ---- Updates of the endpoint list
+
+void EndpointRegistry::apply_configured(std::uint64_t serial,
+                                        const std::vector<decide::DiscoveredEndpoint>& endpoints) {
+    apply(list_.take(serial, endpoints, loop_.now(), wall_now()));
+}
+
+void EndpointRegistry::apply_received(const discovery::ReceivedUpdate& update) {
+    const auto previous = list_.serial();
+    if (deps_.trace)
+        deps_.trace("name service: list " + std::to_string(update.serial) + " of " +
+                    std::to_string(update.endpoints.size()) + " engines asked " +
+                    std::to_string((loop_.now() - update.polled_at) / kMillisecond) +
+                    " ms ago, current: " + list_text());
+    auto change = list_.take(update.serial, update.endpoints, loop_.now(), wall_now(), update.polled_at);
+    if (update.serial < previous && list_.serial() == update.serial)
+        deps_.log("the name service's numbering has started anew: list " + std::to_string(previous) +
+                  " was current, " + std::to_string(update.serial) + " is now");
+    apply(std::move(change));
+}
+
+bool EndpointRegistry::confirm(std::uint64_t serial) {
+    return list_.confirm(serial, loop_.now());
+}
+
+void EndpointRegistry::apply(std::optional<EndpointUpdate> update) {
+    if (!update)
+        return;
+    const auto replaced = connect_listed();
+    for (auto& [id, engine] : engines_)
+        engine.listed = list_.endpoints().contains(id);
+    record(*update);
+    events_.on_update(deps_.faults->update_for_policy(std::move(*update)));
+    for (const auto& connections : replaced)
+        connections->end_all("the engine has another address");
+    // What still waits to go out to an engine that is not ready would begin after its drain grace.
+    events_.on_applied();
+    discard_at_drained();
+}
+
+// Gives each listed engine connections to its address, and returns those to earlier addresses.
+std::vector<std::unique_ptr<EngineConnections>> EndpointRegistry::connect_listed() {
+    std::vector<std::unique_ptr<EngineConnections>> replaced;
+    for (const auto& [id, listed] : list_.endpoints()) {
+        RegisteredEngine& engine = engines_[id];
+        if (engine.connections && engine.address == listed.address)
+            continue;
+        const auto address = net::Address::parse(listed.address);
+        if (!address)
+            continue;
+        engine.name = listed.name;
+        engine.address = listed.address;
+        if (engine.connections)
+            replaced.push_back(std::move(engine.connections));
+        engine.connections = std::make_unique<EngineConnections>(loop_, *address, connection_limits(), pool_);
+    }
+    return replaced;
+}
+
+decide::ConnectionLimits EndpointRegistry::connection_limits() const {
+    decide::ConnectionLimits limits;
+    // The pool limits those to all engines together.
+    limits.max_connections = std::max<std::size_t>(1, limits_.engine_connections / 2);
+    limits.max_streams = static_cast<std::size_t>(settings_.max_streams);
+    limits.connect_timeout = settings_.connect_timeout;
+    limits.idle_timeout = settings_.idle_timeout;
+    return limits;
+}
+
+void EndpointRegistry::record(const EndpointUpdate& update) {
+    const bool logs_each =
+        update.kind == EndpointUpdateKind::incremental && update.endpoints.size() <= kMaxEnginesLogged;
+    if (!logs_each)
+        deps_.log("list " + std::to_string(list_.serial()) + ": " + std::to_string(update.endpoints.size()) +
+                  " engines");
+    for (const Endpoint& endpoint : update.endpoints) {
+        RegisteredEngine& engine = engines_[endpoint.id];
+        engine.kind = endpoint.kind;
+        engine.zone = endpoint.zone;
+        engine.cell = endpoint.cell;
+        engine.started_at = endpoint.started_at;
+        if (endpoint.state == EndpointState::ready) {
+            engine.draining_since = 0;
+        } else if (engine.draining_since == 0) {
+            engine.draining_since = loop_.now();
+            engine.discard_pending = true;
+        }
+        if (logs_each)
+            log_state(engine, endpoint);
+    }
+}
+
+void EndpointRegistry::log_state(const RegisteredEngine& engine, const Endpoint& endpoint) const {
+    std::string text = "engine " + engine.name + state_text(endpoint.state);
+    if (endpoint.started_at > 0)
+        text += ", up for " + std::to_string((loop_.now() - endpoint.started_at) / kMillisecond) + " ms";
+    deps_.log(text);
+}
+
+// What the kernel still holds for a draining engine would begin after its grace. Its connections to it are
+// reset shortly before that, and what was in flight there is retried by the new list where it may be.
+void EndpointRegistry::discard_at_drained() {
+    const Micros grace = std::max<Micros>(0, settings_.policy.drain_grace - kDiscardLead);
+    std::vector<EngineId> due;
+    Micros next_at = 0;  // 0: nothing is pending
+    for (auto& [id, engine] : engines_) {
+        if (!engine.discard_pending || engine.draining_since == 0)
+            continue;
+        const Micros due_at = engine.draining_since + grace;
+        if (due_at > loop_.now()) {
+            next_at = next_at == 0 ? due_at : std::min(next_at, due_at);
+            continue;
+        }
+        engine.discard_pending = false;
+        due.push_back(id);
+    }
+    loop_.cancel(std::exchange(discard_timer_, 0));
+    if (next_at > 0)
+        discard_timer_ = loop_.after(next_at - loop_.now(), [this] {
+            discard_timer_ = 0;
+            discard_at_drained();
+        });
+    for (const EngineId id : due) {
+        const RegisteredEngine* const engine = find(id);
+        if (engine && engine->connections)
+            engine->connections->end_unacknowledged(
+                "the engine drains and has not acknowledged what was sent");
+    }
+}
+
+// The wall clock as it stood at the start, moved on by the monotonic one: a later step of it changes nothing.
+Micros EndpointRegistry::wall_now() const {
+    return loop_.now() + wall_offset_;
+}
+
+// ---- Engines
+
+RegisteredEngine* EndpointRegistry::find(EngineId id) {
+    const auto found = engines_.find(id);
+    return found == engines_.end() ? nullptr : &found->second;
+}
+
+const RegisteredEngine* EndpointRegistry::find(EngineId id) const {
+    const auto found = engines_.find(id);
+    return found == engines_.end() ? nullptr : &found->second;
+}
+
+std::string EndpointRegistry::name_of(EngineId id) const {
+    const RegisteredEngine* const engine = find(id);
+    return engine ? engine->name : "-";
+}
+
+decide::EndpointSnapshot EndpointRegistry::snapshot(EngineId id) const {
+    const RegisteredEngine* const engine = find(id);
+    if (!engine)
+        return {};
+    const Micros now = loop_.now();
+    const Micros window_begins = now - settings_.policy.overload_window;
+    decide::EndpointSnapshot snapshot;
+    snapshot.listed = true;
+    snapshot.draining_for = engine->draining_since > 0 ? now - engine->draining_since : 0;
+    snapshot.in_slow_start =
+        engine->started_at > 0 && now < engine->started_at + settings_.policy.slow_start_window;
+    snapshot.slow_start_attempts = static_cast<double>(
+        std::count_if(engine->slow_start_sends.begin(), engine->slow_start_sends.end(), [&](Micros at) {
+            return at > window_begins;
+        }));
+    snapshot.kind = engine->kind;
+    snapshot.zone = engine->zone;
+    snapshot.cell = engine->cell;
+    return snapshot;
+}
+
+// ---- Slow start
+
+void EndpointRegistry::record_work(Micros work) {
+    const auto sample = static_cast<double>(work);
+    mean_work_ = mean_work_ > 0 ? mean_work_ + kWorkSmoothing * (sample - mean_work_) : sample;
+}
+
+std::optional<double> EndpointRegistry::slow_start_requests(EngineId id) const {
+    const RegisteredEngine* const engine = find(id);
+    if (!engine)
+        return std::nullopt;
+    for (const EngineKindSettings& kind : settings_.policy.kinds)
+        if (kind.name == engine->kind)
+            return decide::slow_start_share_requests(settings_.policy, kind.cores,
+                                                     static_cast<Micros>(mean_work_));
+    return std::nullopt;
+}
+
+void EndpointRegistry::record_slow_start_send(EngineId id, Micros at, std::size_t attempts) {
+    if (RegisteredEngine* const engine = find(id))
+        engine->slow_start_sends.insert(engine->slow_start_sends.end(), attempts, at);
+}
+
+// ---- Operation
+
+void EndpointRegistry::tick() {
+    std::erase_if(engines_, [](const auto& entry) {
+        return !entry.second.listed && entry.second.in_flight == 0;
+    });
+    for (auto& [id, engine] : engines_) {
+        if (engine.connections)
+            engine.connections->close_expiring_idle();
+        auto& sends = engine.slow_start_sends;
+        while (!sends.empty() && sends.front() <= loop_.now() - settings_.policy.overload_window)
+            sends.pop_front();
+    }
+    log_list_age();
+}
+
+// Logged once for each silence. The current list stays in force, however old
+// (docs/incidents/drain-told-and-not-held.md).
+void EndpointRegistry::log_list_age() {
+    const bool old = loop_.now() - list_.confirmed_at() > kListOldAfter;
+    if (old == std::exchange(list_old_, old))
+        return;
+    deps_.log((old ? "no response of the name service, the current list stays: "
+                   : "the name service responds again: ") +
+              list_text());
+}
+
+std::string EndpointRegistry::list_text() const {
+    return "list=" + std::to_string(list_.serial()) +
+           " list_age_ms=" + std::to_string((loop_.now() - list_.confirmed_at()) / kMillisecond);
+}
+
+}  // namespace gatetiller::node
--- /dev/null
+++ b/src/node/fault_injection.cpp
@@ -0,0 +1,10 @@
+#include "node/fault_injection.hpp"
+
+namespace gatetiller::node {
+
+const FaultInjection& fault_injection() {
+    static const FaultInjection none;
+    return none;
+}
+
+}  // namespace gatetiller::node
--- /dev/null
+++ b/src/node/request_dispatcher.cpp
@@ -0,0 +1,164 @@
+#include "node/request_dispatcher.hpp"
+
+#include <utility>
+
+#include "base/overloaded.hpp"
+#include "decide/graceful_shutdown.hpp"
+#include "thrift/service.hpp"
+
+namespace gatetiller::node {
+
+RequestDispatcher::RequestDispatcher(const Collaborators& collaborators)
+    : with_(collaborators), requests_(collaborators.loop) {}
+
+// ---- Admission
+
+void RequestDispatcher::on_request(IncomingCall incoming) {
+    const ClientId client = incoming.client;
+    const std::int32_t sequence = incoming.call.seq;
+    const AdmissionContext context{with_.settings.policy,         with_.limits,
+                                   with_.shutdown.schedule(),     requests_,
+                                   with_.shutdown.draining_for(), with_.loop.now()};
+    auto decision = admit_request(std::move(incoming), context);
+    if (auto* const rejected = std::get_if<RejectedRequest>(&decision))
+        return reject(client, sequence, std::move(*rejected));
+    accept(std::move(std::get<AdmittedRequest>(decision)));
+}
+
+void RequestDispatcher::reject(ClientId client, std::int32_t sequence, RejectedRequest rejected) {
+    if (with_.deps.trace && !rejected.reason.empty())
+        with_.deps.trace("rejected: " + rejected.reason);
+    counters_.count(rejected.outcome);
+    with_.clients.respond(client, sequence, std::move(rejected.frame));
+}
+
+void RequestDispatcher::accept(AdmittedRequest admitted) {
+    if (admitted.arrival.estimated_work)
+        with_.endpoints.record_work(*admitted.arrival.estimated_work);
+    const ActiveRequest& request = requests_.add(std::move(admitted.request));
+    if (with_.deps.trace)
+        with_.deps.trace(request.name() + " accepted from client " + std::to_string(request.client) +
+                         " left_ms=" + std::to_string(admitted.arrival.time_left / kMillisecond));
+    admitted.arrival.time_left = with_.deps.faults->time_left_for_policy(admitted.arrival.time_left);
+    with_.policy.post(std::move(admitted.arrival));
+}
+
+void RequestDispatcher::on_client_cancelled(ClientId client, std::int32_t sequence) {
+    ActiveRequest* const request = requests_.take_sequence(client, sequence);
+    if (!request || !request->lifecycle.apply(decide::RequestEvent::client_disconnected))
+        return;
+    request->client_disconnected = true;
+    counters_.count(RequestOutcome::client_cancelled);
+    if (with_.deps.trace)
+        with_.deps.trace(request->name() + " cancelled by client " + std::to_string(client));
+    with_.policy.post(ClientDisconnected{request->id});
+    if (with_.deps.faults->sends_after_client_left())
+        with_.attempts.repeat_first_attempt(*request);
+    with_.attempts.on_client_left(*request);
+    if (request->lifecycle.releasable())
+        schedule_release(*request);
+}
+
+// ---- Actions of the policy
+
+void RequestDispatcher::apply(const Action& action) {
+    std::visit(Overloaded{[&](const DispatchAttempt& dispatch) {
+                              if (ActiveRequest* const request = requests_.find(dispatch.id))
+                                  with_.attempts.dispatch(*request, dispatch.engine, dispatch.timeout);
+                          },
+                          [&](const ResourceGrant& grant) {
+                              if (ActiveRequest* const request = requests_.find(grant.id))
+                                  with_.attempts.grant(*request, grant);
+                          },
+                          [&](const ShedRequest& shed) {
+                              if (ActiveRequest* const request = requests_.find(shed.id))
+                                  respond(*request, rejection_frame(request->sequence, shed.retry_after),
+                                          RequestOutcome::shed, shed.reason);
+                          },
+                          [&](const FailRequest& failure) {
+                              if (ActiveRequest* const request = requests_.find(failure.id))
+                                  fail(*request, failure.reason);
+                          },
+                          [&](const CancelAttempt& cancellation) {
+                              if (ActiveRequest* const request = requests_.find(cancellation.id))
+                                  with_.attempts.cancel(*request, cancellation.attempt);
+                          },
+                          [&](const CheckHealth& check) {
+                              // Engines here report their load with responses alone: there is nothing to ask
+                              // them.
+                              with_.policy.post(HealthCheckCompleted{check.engine, 0,
+                                                                     AttemptOutcome::not_sent, std::nullopt});
+                          },
+                          [](const BroadcastToPeers&) {},  // there are no peers: the settings never allow it
+                          [](const WatchEndpoints&) {},    // the name service is polled all the time
+                          [](const StartTimer&) {}},       // the driver keeps the timers
+               action);
+}
+
+void RequestDispatcher::withdraw_from_unready_engines() {
+    const auto waiting = requests_.select([this](ActiveRequest& request) {
+        const Attempt* const attempt = request.attempt_in_flight();
+        return attempt && with_.endpoints.state(attempt->engine) != EndpointState::ready;
+    });
+    std::vector<Attempt*> attempts;
+    attempts.reserve(waiting.size());
+    for (ActiveRequest* const request : waiting)
+        attempts.push_back(request->attempt_in_flight());
+    for (Attempt* const attempt : attempts)
+        with_.attempts.withdraw_unsent(*attempt);
+}
+
+// ---- Final responses
+
+void RequestDispatcher::respond_with_result(ActiveRequest& request, const decide::ExchangeResult& result) {
+    respond(request, thrift::answer("process", request.sequence, result.rows), RequestOutcome::served);
+}
+
+void RequestDispatcher::fail(ActiveRequest& request, std::optional<GiveUpReason> reason) {
+    respond(request, thrift::crashed(request.sequence, {}), RequestOutcome::failed, reason);
+}
+
+void RequestDispatcher::respond(ActiveRequest& request, std::string frame, RequestOutcome outcome,
+                                std::optional<GiveUpReason> reason) {
+    if (!request.lifecycle.apply(decide::RequestEvent::response_ready))
+        return;
+    request.lifecycle.apply(decide::RequestEvent::response_delivered);
+    counters_.count(outcome, reason);
+    if (with_.deps.trace)
+        trace_response(request, outcome, reason);
+    requests_.forget_sequence(request);
+    if (!with_.deps.faults->loses_response(request.deadline))
+        with_.clients.respond(request.client, request.sequence, std::move(frame));
+    if (with_.deps.faults->sends_after_final_response())
+        with_.attempts.repeat_first_attempt(request);
+    if (request.lifecycle.releasable())
+        schedule_release(request);
+}
+
+void RequestDispatcher::trace_response(const ActiveRequest& request, RequestOutcome outcome,
+                                       std::optional<GiveUpReason> reason) const {
+    const std::string engine =
+        request.attempts.empty() ? "-" : with_.endpoints.name_of(request.attempts.back()->engine);
+    with_.deps.trace(request.name() + " " + name_of(outcome) +
+                     (reason ? std::string(" for ") + name_of(*reason) : "") + " at " + engine +
+                     " attempts=" + std::to_string(request.attempts.size()) +
+                     " ms=" + std::to_string((with_.loop.now() - request.arrived_at) / kMillisecond) +
+                     " left_ms=" + std::to_string((request.deadline - with_.loop.now()) / kMillisecond));
+}
+
+void RequestDispatcher::abort_remaining() {
+    const auto remaining = requests_.select([](ActiveRequest& request) {
+        return !request.lifecycle.finished();
+    });
+    for (ActiveRequest* const request : remaining) {
+        const bool may_have_run = request->first_possible_execution || request->attempt_in_flight();
+        const auto response = decide::final_response_at_shutdown(*request->class_settings, may_have_run);
+        if (response == decide::FinalResponse::rejected)
+            respond(*request, rejection_frame(request->sequence, 0), RequestOutcome::shutting_down);
+        else
+            fail(*request);
+        with_.policy.post(ClientDisconnected{request->id});  // the policy cancels what is in flight
+    }
+}
+
+}  // namespace gatetiller::node
--- /dev/null
+++ b/src/node/status_report.cpp
@@ -0,0 +1,85 @@
+#include "node/status_report.hpp"
+
+#include <algorithm>
+#include <vector>
+
+namespace gatetiller::node {
+namespace {
+
+constexpr std::size_t kMaxEnginesShown = 40;
+
+std::string figure(const char* name, std::uint64_t value) {
+    return " " + std::string(name) + "=" + std::to_string(value);
+}
+
+std::string engine_text(const RegisteredEngine& engine) {
+    const auto* const connections = engine.connections.get();
+    return engine.name + ":" + std::to_string(engine.in_flight) + "/" +
+           std::to_string(connections ? connections->requests_in_flight() : 0) + "/" +
+           std::to_string(connections ? connections->size() : 0);
+}
+
+// name:policy/sockets/connections of each; of a large fleet, those with most attempts in flight.
+std::string engines_text(const EndpointRegistry& endpoints) {
+    std::vector<const RegisteredEngine*> shown;
+    for (const auto& [id, engine] : endpoints.engines())
+        shown.push_back(&engine);
+    const std::size_t count = shown.size();
+    if (count > kMaxEnginesShown) {
+        std::partial_sort(shown.begin(), shown.begin() + kMaxEnginesShown, shown.end(),
+                          [](const RegisteredEngine* a, const RegisteredEngine* b) {
+                              return a->in_flight > b->in_flight;
+                          });
+        shown.resize(kMaxEnginesShown);
+    }
+    std::string text;
+    for (const RegisteredEngine* const engine : shown)
+        text += (text.empty() ? "" : ",") + engine_text(*engine);
+    return text + (count > shown.size() ? ",and " + std::to_string(count - shown.size()) + " more" : "");
+}
+
+std::string closed_text(const ClientCounters& counters) {
+    std::string text;
+    for (std::size_t i = 0; i < counters.closed.size(); ++i) {
+        if (counters.closed[i] == 0)
+            continue;
+        const auto reason = static_cast<decide::CloseReason>(i);
+        text += (text.empty() ? "" : ",") + std::string(decide::name_of(reason)) + ":" +
+                std::to_string(counters.closed[i]);
+    }
+    return text;
+}
+
+std::string clients_text(const ClientCounters& counters) {
+    return figure("accepted", counters.accepted) + figure("malformed_messages", counters.malformed) +
+           figure("evicted", counters.evicted) + figure("overdue", counters.overdue) +
+           figure("waits", counters.waits) + " closed=" + closed_text(counters);
+}
+
+std::string pool_text(const ConnectionPool& pool) {
+    return figure("opened", pool.opened) + figure("no_connection", pool.refused) +
+           figure("local_failures", pool.local_failures) + figure("rewritten", pool.rewritten) +
+           figure("broken", pool.broken) + figure("malformed_responses", pool.malformed_responses) +
+           figure("discarded", pool.discarded) + figure("unsolicited", pool.unsolicited);
+}
+
+}  // namespace
+
+std::string status_text(const StatusSources& sources) {
+    std::size_t in_flight = 0;
+    for (const auto& [id, engine] : sources.endpoints.engines())
+        in_flight += engine.in_flight;
+    const std::string ended = sources.requests.counters().text();
+    return "requests=" + std::to_string(sources.requests.active_requests()) +
+           figure("clients", sources.clients.connections()) + " " + sources.endpoints.list_text() +
+           " engines(policy/sockets/connections)=" + engines_text(sources.endpoints) +
+           (ended.empty() ? "" : " " + ended) + clients_text(sources.clients.counters()) +
+           " attempts=" + sources.attempts.counters_text() + pool_text(sources.endpoints.pool()) +
+           figure("bad_lists", sources.bad_lists) +
+           (sources.log_lines_lost ? figure("log_lost", *sources.log_lines_lost) : "") +
+           figure("connections", sources.endpoints.pool().open_connections) +
+           figure("attempts_in_flight", in_flight) + figure("timers", sources.timers) +
+           " violations=" + sources.violations.text();
+}
+
+}  // namespace gatetiller::node
--- a/tests/faults/node_faults_test.cpp
+++ b/tests/faults/node_faults_test.cpp
@@ -31,7 +31,7 @@
                                       {Call::connect, EADDRNOTAVAIL},
                                       {Call::connect, ENETUNREACH},
                                       {Call::socket, ENOBUFS}}) {
-        node.reset(), clients.clear(), engines.clear(), settings.known.clear();
+        node.reset(), clients.clear(), engines.clear(), settings.known_endpoints.clear();
         names.close("n0");
         settings.listen = at("");
         engine("s-" + std::to_string(error));
@@ -62,7 +62,7 @@
 TEST_F(NodeFaults, TimeUnreadForWantOfSomethingHereIsTakenOffTheDeadline) {
     for (const auto& [call, error] :
          {std::pair{Call::recv, ENOMEM}, {Call::accept, EMFILE}, {Call::accept, ENOBUFS}}) {
-        node.reset(), clients.clear(), engines.clear(), settings.known.clear();
+        node.reset(), clients.clear(), engines.clear(), settings.known_endpoints.clear();
         names.close("n0");
         settings.listen = at("");
         engine("s-" + std::to_string(static_cast<int>(call)) + std::to_string(error));
@@ -85,7 +85,7 @@
             return c.open() == 0;
         }));
         const Micros deadline = asked + a.patience;
-        const auto noted = log.rfind(a.trace + " lookup taken");
+        const auto noted = log.rfind(a.trace + " lookup accepted");
         ASSERT_NE(noted, std::string::npos) << log;
         const auto left_at = log.find("left_ms=", noted);
         EXPECT_LE(std::stoll(log.substr(left_at + 8)), (deadline - asked) / kMillisecond - 500)
@@ -95,7 +95,7 @@
 
 // Its client goes while it goes out, and the settings let nothing be called off: it would begin for nobody.
 TEST_F(NodeFaults, ARequestGivenUpInTheMiddleOfItsSendingNeverBegins) {
-    settings.module.can_cancel = false;
+    settings.policy.can_cancel = false;
     engine("s-1");
     start();
     auto& c = client();
@@ -103,7 +103,7 @@
     a.sql += std::string(20'000, 'x');
     const auto seq = c.ask(a);
     ASSERT_TRUE(until([&] {
-        return log.find(a.trace + " lookup taken") != std::string::npos;
+        return log.find(a.trace + " lookup accepted") != std::string::npos;
     }));
     control.short_per_mille = 1000;
     control.fail(Call::send, EAGAIN, 900);
@@ -112,7 +112,7 @@
     }));
     c.give_up(seq);
     ASSERT_TRUE(until([&] {
-        return log.find(a.trace + " lookup given up") != std::string::npos;
+        return log.find(a.trace + " lookup cancelled") != std::string::npos;
     }));
     control.heal();
     auto& after = client();
@@ -125,7 +125,7 @@
         EXPECT_FALSE(r.entry.event == "arrived" && r.entry.trace == a.trace)
             << "began for a client that had gone";
     ASSERT_TRUE(until([&] {
-        return node->requests() == 0;
+        return node->active_requests() == 0;
     }));
 }
 
@@ -139,7 +139,7 @@
     a.sql += std::string(20'000, 'x');
     c.ask(a);
     ASSERT_TRUE(until([&] {
-        return log.find(a.trace + " lookup taken") != std::string::npos;
+        return log.find(a.trace + " lookup accepted") != std::string::npos;
     }));
     control.short_per_mille = 1000;
     control.fail(Call::send, ENOBUFS, 900);
--- a/tests/node/config_test.cpp
+++ b/tests/node/config_test.cpp
@@ -26,13 +26,13 @@
     const auto s = read_config(good().dump());
     ASSERT_TRUE(s) << s.error();
     EXPECT_EQ(s->seed, 0x8c1f30d27a5be964u);
-    EXPECT_EQ(s->known_number, 3u);
-    ASSERT_EQ(s->known.size(), 1u);
-    EXPECT_EQ(s->known[0].name, "s-1");
-    EXPECT_EQ(s->known[0].state, EndpointState::draining);
+    EXPECT_EQ(s->known_serial, 3u);
+    ASSERT_EQ(s->known_endpoints.size(), 1u);
+    EXPECT_EQ(s->known_endpoints[0].name, "s-1");
+    EXPECT_EQ(s->known_endpoints[0].state, EndpointState::draining);
     EXPECT_EQ(s->dns.text(), "127.2.0.1:1053");
-    EXPECT_EQ(s->idle_close, 30 * kSecondMicros);
-    EXPECT_EQ(s->module.classes.size(), 1u);
+    EXPECT_EQ(s->idle_timeout, 30 * kSecondMicros);
+    EXPECT_EQ(s->policy.classes.size(), 1u);
 }
 
 TEST(NodeConfig, WhatIsWrongIsNamed) {
--- a/tests/node/crossing_test.cpp
+++ b/tests/node/crossing_test.cpp
@@ -106,7 +106,7 @@
 class Crossing : public SocketRig {
 protected:
     Crossing() {
-        settings.connect_time_out = 20 * kSecondMicros;
+        settings.connect_timeout = 20 * kSecondMicros;
     }
 
     // What a client's request is, by its bytes.
@@ -172,8 +172,8 @@
 
 TEST_F(Crossing, ARequestWhoseClientLeavesWhileItsConnectionComesUpIsNeverSent) {
     for (const bool may_cancel : {true, false}) {
-        settings.module.can_cancel = may_cancel;
-        node.reset(), clients.clear(), settings.known.clear();
+        settings.policy.can_cancel = may_cancel;
+        node.reset(), clients.clear(), settings.known_endpoints.clear();
         settings.listen = at("");
         HeldEngine held;
         ASSERT_TRUE(until([&] {
@@ -186,7 +186,7 @@
         request_waits(leaves, left);
         leaves.give_up(1);
         ASSERT_TRUE(until([&] {
-            return node->requests() == 0;
+            return node->active_requests() == 0;
         }));
         // Another one over the same connection is the first that the engine hears of.
         auto& stays = client();
@@ -215,7 +215,7 @@
     auto& stays = client();
     const auto seq = stays.ask(ask());
     ASSERT_TRUE(until([&] {
-        return stays.open() == 0 && node->requests() == 0;
+        return stays.open() == 0 && node->active_requests() == 0;
     }));
     EXPECT_EQ(stays.got().at(seq).how, "served");
     for (const auto& r : records.engines)
@@ -272,9 +272,9 @@
         ::nanosleep(&stall, nullptr);
     });
     ASSERT_TRUE(until([&] {
-        return log.find(a.trace + " lookup taken") != std::string::npos;
+        return log.find(a.trace + " lookup accepted") != std::string::npos;
     }));
-    const auto left_at = log.find("left_ms=", log.find(a.trace + " lookup taken"));
+    const auto left_at = log.find("left_ms=", log.find(a.trace + " lookup accepted"));
     EXPECT_LE(std::stoll(log.substr(left_at + 8)), a.patience / kMillisecond - 150);
 }
 
@@ -423,8 +423,8 @@
 class UnacknowledgedRequest : public Crossing {
 protected:
     UnacknowledgedRequest() {
-        settings.module.can_cancel = false;
-        settings.module.drain_grace = 300 * kMillisecond;
+        settings.policy.can_cancel = false;
+        settings.policy.drain_grace = 300 * kMillisecond;
         raw.receive_little();
         address = raw.listen(16);
     }
@@ -470,7 +470,7 @@
     ASSERT_TRUE(until([&] {
         return log.find("engine s-raw drains") != std::string::npos;
     }));
-    expect_discarded_by(settings.module.drain_grace + 50 * kMillisecond);
+    expect_discarded_by(settings.policy.drain_grace + 50 * kMillisecond);
     auto& c = *clients.back();
     ASSERT_TRUE(until([&] {
         return c.open() == 0;
@@ -484,7 +484,7 @@
     clients.back()->give_up(seq);
     expect_discarded_by(100 * kMillisecond);
     ASSERT_TRUE(until([&] {
-        return node->requests() == 0;
+        return node->active_requests() == 0;
     }));
 }
 
@@ -552,7 +552,7 @@
 
 // A class that may not be repeated is tried again where its first connection ended before it was written.
 TEST_F(Crossing, OnceIsTriedAgainOnlyWhereItWasProvablyNeverSent) {
-    settings.module.classes[1].idempotency = Idempotency::non_idempotent;
+    settings.policy.classes[1].idempotency = Idempotency::non_idempotent;
     HeldEngine held;
     ASSERT_TRUE(until([&] {
         return held.full();
@@ -574,7 +574,7 @@
 
 // A repeat must arrive while the engines still know its key: not when its connection at last comes up.
 TEST_F(Crossing, ARepeatThatWaitsPastItsWindowIsTakenBack) {
-    settings.module.classes[1].key_window = 1'500 * kMillisecond;
+    settings.policy.classes[1].key_window = 1'500 * kMillisecond;
     HeldEngine held;
     ASSERT_TRUE(until([&] {
         return held.full();
@@ -789,7 +789,7 @@
     node->drain([&] {
         over = true;
     });
-    const auto times = decide::derive_shutdown_schedule(settings.module);
+    const auto times = decide::derive_shutdown_schedule(settings.policy);
     ASSERT_TRUE(until([&] {
         return loop.now() - since > times.listen_until + 100 * kMillisecond;
     }));
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -44,7 +44,7 @@
         return e.open() == 0;
     }));
     ASSERT_TRUE(until([&] {
-        return node->requests() == 0;
+        return node->active_requests() == 0;
     }));
     EXPECT_TRUE(told(e, "undo " + a.trace));
     EXPECT_FALSE(c.got().contains(seq));
@@ -93,7 +93,7 @@
 }
 
 TEST_F(NodeRig, ARefusalNeverHidesAnAttemptThatMayHaveRun) {
-    settings.module.classes[1].idempotency = Idempotency::non_idempotent;
+    settings.policy.classes[1].idempotency = Idempotency::non_idempotent;
     for (int i = 1; i <= 3; ++i)
         engine("s-" + std::to_string(i))
             .set({.shed = 0.2, .fault = 0.2, .spoilt = 0.1, .reset = 0.2, .silent = 0.1});
@@ -193,8 +193,8 @@
     names.put({"s-1", "z", "std", {{"n0", *net::Address::parse("127.1.0.1:5050")}}, true});
     auto moved = settings;
     moved.dns = *names.listen("n0", *net::Address::parse("127.2.0.2:1053"));
-    moved.known_number = names.number();
-    for (auto& e : moved.known)
+    moved.known_serial = names.number();
+    for (auto& e : moved.known_endpoints)
         if (e.name == "s-1")
             e.state = EndpointState::draining;
     node->reload(moved);
@@ -202,7 +202,7 @@
     // An older one changes nothing.
     node->reload(settings);
     EXPECT_EQ(log.find("engine s-1 is on"), std::string::npos) << log;
-    EXPECT_NE(node->status().find("list=" + std::to_string(moved.known_number)), std::string::npos);
+    EXPECT_NE(node->status().find("list=" + std::to_string(moved.known_serial)), std::string::npos);
 }
 
 // Each line of the platform's list of bad clients; none may be served, none may reach an engine, all end
@@ -273,7 +273,7 @@
         },
         3 * kSecondMicros));
     ASSERT_TRUE(until([&] {
-        return node->requests() == 0;
+        return node->active_requests() == 0;
     }));
     // Hundreds that say nothing take no room from those that ask.
     for (int i = 0; i < 400; ++i)
@@ -389,13 +389,13 @@
             pass(30 * kMillisecond);
         }
         // At rest both sides must come to nothing; while busy, the module's count is the sockets'.
-        for (const auto& [module, sockets] : node->out_by_engine())
+        for (const auto& [module, sockets] : node->in_flight_by_engine())
             EXPECT_EQ(module, sockets);
     }
     ASSERT_TRUE(until([&] {
-        return c.open() == 0 && node->requests() == 0;
+        return c.open() == 0 && node->active_requests() == 0;
     }));
-    for (const auto& [module, sockets] : node->out_by_engine())
+    for (const auto& [module, sockets] : node->in_flight_by_engine())
         EXPECT_EQ(std::pair(module, sockets), std::pair(std::size_t{0}, std::size_t{0}));
     ASSERT_TRUE(until([&] {
         return std::all_of(engines.begin(), engines.end(), [](const auto& e) {
@@ -437,7 +437,7 @@
 }
 
 TEST_F(NodeRig, WhatMayHaveRunOnceIsNotRefusedAtARestart) {
-    settings.module.classes[1].idempotency = Idempotency::non_idempotent;
+    settings.policy.classes[1].idempotency = Idempotency::non_idempotent;
     auto& e = engine("s-1");
     start();
     auto& c = client();
--- a/tests/node/rig.hpp
+++ b/tests/node/rig.hpp
@@ -32,9 +32,9 @@
         settings.name = "n0";
         settings.listen = at("127.0.0.4:5050");
         settings.sockets = 256, settings.memory_mb = 32, settings.cores = 0.5;
-        settings.idle_close = 30 * kSecondMicros, settings.streams = 100;
-        settings.connect_time_out = 250 * kMillisecond;
-        PolicySettings& m = settings.module;
+        settings.idle_timeout = 30 * kSecondMicros, settings.max_streams = 100;
+        settings.connect_timeout = 250 * kMillisecond;
+        PolicySettings& m = settings.policy;
         ClassSettings lookup, load;
         lookup.name = "lookup", lookup.idempotency = Idempotency::idempotent,
         lookup.latency_objective = kSecondMicros, lookup.deadline = 4 * kSecondMicros,
@@ -83,13 +83,13 @@
             return;
         decide::DiscoveredEndpoint e;
         e.name = name, e.address = place.text(), e.zone = "z", e.kind = "std";
-        settings.known.push_back(std::move(e));
+        settings.known_endpoints.push_back(std::move(e));
     }
     void start() {
         const auto dns = names.listen("n0", at("127.2.0.1:1053"));
         ASSERT_TRUE(dns);
         settings.dns = *dns;
-        settings.known_number = names.number();
+        settings.known_serial = names.number();
         node = std::make_unique<node::Node>(loop, settings,
                                             node::NodeDeps{[this](const std::string& t) {
                                                                log += t + "\n";
@@ -142,9 +142,9 @@
             span + 1);
     }
     lab::Judgement judged() {
-        records.facts.classes = settings.module.classes;
-        records.facts.answer_grace = settings.module.response_grace;
-        records.facts.drain_grace = settings.module.drain_grace + 50 * kMillisecond;
+        records.facts.classes = settings.policy.classes;
+        records.facts.answer_grace = settings.policy.response_grace;
+        records.facts.drain_grace = settings.policy.drain_grace + 50 * kMillisecond;
         records.sort();
         return lab::judge(records);
     }
--- a/tests/soak/oracle.cpp
+++ b/tests/soak/oracle.cpp
@@ -97,8 +97,8 @@
             fleet_.find("leak", node.name + " ended with " + nothing + " left: " + last_drained);
     if (figure(last_drained, "timers").value_or(kTimersMost + 1) > kTimersMost)
         fleet_.find("leak", node.name + " ended with timers left: " + last_drained);
-    if (figure(last_drained, "attempts_out").value_or(1) != 0)
-        fleet_.find("leak", node.name + " ended with attempts out: " + last_drained);
+    if (figure(last_drained, "attempts_in_flight").value_or(1) != 0)
+        fleet_.find("leak", node.name + " ended with attempts in flight: " + last_drained);
 }
 
 // ---- The rules
