--- a/src/front/engine_registry.cpp
+++ b/src/front/engine_registry.cpp
@@ -1,6 +1,8 @@
 #include "front/engine_registry.hpp"
 
+#include <algorithm>
 #include <set>
+#include <utility>
 
 #include "base/units.hpp"
 #include "statement/json.hpp"
@@ -9,259 +11,320 @@
 namespace gatetiller::front {
 namespace {
 
-constexpr Micros kKeepAgain = kSecondMicros;  // a last list that could not be written
-constexpr Micros kFirstWord =
-    100 * kMillisecond;  // that an engine has for telling its state, before it counts as on
+constexpr Micros kCacheRetryInterval = kSecondMicros;  // after a cached list that could not be written
+constexpr Micros kStatusTimeout = 100 * kMillisecond;  // for a status before an engine counts as ready
+constexpr Micros kMinStatusRequestTimeout = kSecondMicros;
+constexpr Micros kHealthCheckTimeout = kSecondMicros;
+constexpr int kStatusOk = 200;
+
+const char* log_name_of(EndpointState state) {
+    switch (state) {
+        case EndpointState::ready:
+            return "on";
+        case EndpointState::draining:
+            return "draining";
+        case EndpointState::removed:
+            return "off";
+    }
+    return "off";
+}
+
+bool is_ok(const http::Answer& answer) {
+    return answer.reached == http::Reached::answered && answer.response.status == kStatusOk;
+}
+
+AttemptOutcome health_outcome_of(const http::Answer& answer) {
+    switch (answer.reached) {
+        case http::Reached::answered:
+            return is_ok(answer) ? AttemptOutcome::succeeded : AttemptOutcome::failed;
+        case http::Reached::late:
+            return AttemptOutcome::timed_out;
+        case http::Reached::broken:
+            return AttemptOutcome::connection_reset;
+        case http::Reached::lacked_here:
+            return AttemptOutcome::not_sent;
+        case http::Reached::never_sent:
+        case http::Reached::connect_late:
+        case http::Reached::withdrawn:
+            break;
+    }
+    return AttemptOutcome::connection_refused;
+}
 
 }  // namespace
 
-Engines::Engines(net::Loop& loop, const config::FrontSettings& s, Events events)
+EngineRegistry::EngineRegistry(net::Loop& loop, const config::FrontSettings& settings, Events events)
     : loop_(loop),
-      roster_(s.roster),
-      own_(s.engines),
-      client_options_(s.client),
-      name_(s.name),
+      source_settings_(settings.roster),
+      configured_engines_(settings.engines),
+      client_options_(settings.client),
+      front_name_(settings.name),
       events_(std::move(events)),
-      warm_up_(s.module.slow_start_window) {}
+      slow_start_window_(settings.module.slow_start_window) {}
 
-Engines::~Engines() {
-    loop_.cancel(watching_);
-    loop_.cancel(holding_);
-    loop_.cancel(first_word_);
-    loop_.cancel(keeping_);
+EngineRegistry::~EngineRegistry() {
+    loop_.cancel(status_poll_timer_);
+    loop_.cancel(hold_timer_);
+    loop_.cancel(pending_status_timer_);
+    loop_.cancel(cache_retry_timer_);
 }
 
-void Engines::start() {
-    // Until a source's first list comes the last one is what is known, or else the configuration's engines.
-    auto known = own_;
-    if (!roster_.keep.empty()) {
-        auto last = discovery::load_cached_endpoints(roster_.keep);
-        if (last)
-            known = std::move(*last);
+void EngineRegistry::start() {
+    // Until the source's first list comes, the cached list is in force, or else the configured engines.
+    auto known = configured_engines_;
+    if (!source_settings_.keep.empty()) {
+        auto cached = discovery::load_cached_endpoints(source_settings_.keep);
+        if (cached)
+            known = std::move(*cached);
         else
-            events_.log("starting without a last list: " + last.error());
+            events_.log("starting without a last list: " + cached.error());
     }
-    take_list(known, EndpointUpdateKind::cached);
+    apply_list(known, EndpointUpdateKind::cached);
     open_source();
-    if (roster_.watch_every > 0)
-        watch();
+    if (source_settings_.watch_every > 0)
+        poll_statuses_periodically();
 }
 
-void Engines::open_source() {
-    source_ = discovery::make_endpoint_source(loop_, roster_, name_);
-    if (source_)
-        source_->start({[this](auto list) {
-                            take_list(list, EndpointUpdateKind::full);
-                            to_keep_ = std::move(list);
-                            keep_last_list();
-                        },
-                        [this](const std::string& why) {
-                            events_.log("the list of engines is lost: " + why);
-                            events_.changed({EndpointUpdateKind::source_lost, {}});
-                        }});
-    else
-        take_list(own_, EndpointUpdateKind::full);
+void EngineRegistry::open_source() {
+    source_ = discovery::make_endpoint_source(loop_, source_settings_, front_name_);
+    if (!source_)
+        return apply_list(configured_engines_, EndpointUpdateKind::full);
+    source_->start({[this](auto list) {
+                        apply_list(list, EndpointUpdateKind::full);
+                        source_list_ = std::move(list);
+                        save_cached_endpoints();
+                    },
+                    [this](const std::string& reason) {
+                        events_.log("the list of engines is lost: " + reason);
+                        events_.on_update({EndpointUpdateKind::source_lost, {}});
+                    }});
 }
 
-// A disk that is full or broken for a while is tried again: the same list may not come again for long.
-void Engines::keep_last_list() {
-    const bool again = keeping_ != 0;
-    loop_.cancel(std::exchange(keeping_, 0));
-    if (roster_.keep.empty())
+// Retries while the disk is full or broken: the source reports a list only when it changes.
+void EngineRegistry::save_cached_endpoints() {
+    const bool is_retry = cache_retry_timer_ != 0;
+    loop_.cancel(std::exchange(cache_retry_timer_, 0));
+    if (source_settings_.keep.empty())
         return;
-    const auto kept = discovery::save_cached_endpoints(roster_.keep, to_keep_);
-    if (kept)
+    const auto saved = discovery::save_cached_endpoints(source_settings_.keep, source_list_);
+    if (saved)
         return;
-    if (!again)
-        events_.log(kept.error());
-    keeping_ = loop_.after(kKeepAgain, [this] {
-        keep_last_list();
+    if (!is_retry)
+        events_.log(saved.error());
+    cache_retry_timer_ = loop_.after(kCacheRetryInterval, [this] {
+        save_cached_endpoints();
     });
 }
 
-void Engines::ask() {
+void EngineRegistry::poll_source() {
     if (source_)
         source_->poll();
     else
-        events_.changed({EndpointUpdateKind::incremental, {}});
+        events_.on_update({EndpointUpdateKind::incremental, {}});
 }
 
-void Engines::reload(const config::FrontSettings& s) {
-    own_ = s.engines, roster_ = s.roster;
+void EngineRegistry::reload(const config::FrontSettings& settings) {
+    configured_engines_ = settings.engines;
+    source_settings_ = settings.roster;
     open_source();
 }
 
-Engine* Engines::find(EngineId id) {
+Engine* EngineRegistry::find(EngineId id) {
     const auto found = engines_.find(id);
     return found == engines_.end() ? nullptr : found->second.get();
 }
 
-void Engines::take_list(const std::vector<config::EngineSettings>& list, EndpointUpdateKind form) {
-    EndpointUpdate change{form, {}};
-    std::set<EngineId> named;
-    std::vector<Engine*> coming;  // new, or back after it was off: its process may be a cold one
+Engine& EngineRegistry::find_or_create(const config::EngineSettings& settings) {
+    auto& id = ids_[settings.name + " " + settings.address.text()];
+    if (id == 0)
+        id = ++last_id_;
+    auto& engine = engines_[id];
+    if (!engine) {
+        engine = std::make_unique<Engine>();
+        engine->id = id;
+        engine->client = std::make_unique<http::Client>(loop_, settings.address, client_options_);
+        engine->client->on_all_lost([this, created = engine.get()] {
+            on_connections_lost(*created);
+        });
+    }
+    return *engine;
+}
+
+void EngineRegistry::apply_list(const std::vector<config::EngineSettings>& list, EndpointUpdateKind kind) {
+    EndpointUpdate update{kind, {}};
+    std::vector<Engine*> to_poll;  // new ones and those that return
     for (const auto& settings : list) {
-        auto& id = ids_[settings.name + " " + settings.address.text()];
-        if (id == 0)
-            id = ++last_id_;
-        auto& engine = engines_[id];
-        const bool is_new = !engine;
-        if (is_new) {
-            engine = std::make_unique<Engine>();
-            engine->id = id;
-            engine->client = std::make_unique<http::Client>(loop_, settings.address, client_options_);
-            engine->client->on_all_lost([this, e = engine.get()] {
-                ask_before_more(*e);
-            });
-        }
-        const bool comes = is_new || engine->watch.endpoint().state == EndpointState::removed;
-        if (comes && settings.state != EndpointState::removed && roster_.watch_every > 0) {
-            engine->watch.await_status();
-            coming.push_back(engine.get());
+        const std::size_t engines_before = engines_.size();
+        Engine& engine = find_or_create(settings);
+        const bool is_new = engines_.size() > engines_before;
+        const bool joins = is_new || engine.state_tracker.endpoint().state == EndpointState::removed;
+        if (joins && settings.state != EndpointState::removed && source_settings_.watch_every > 0) {
+            engine.state_tracker.await_status();
+            to_poll.push_back(&engine);
         }
-        engine->settings = settings;
-        engine->watch.on_listed(
-            {id, settings.state, settings.zone, settings.kind, settings.cell, 0, settings.share});
-        named.insert(id);
-        change.endpoints.push_back(engine->watch.endpoint());
+        engine.settings = settings;
+        engine.state_tracker.on_listed(
+            {engine.id, settings.state, settings.zone, settings.kind, settings.cell, 0, settings.share});
+        update.endpoints.push_back(engine.state_tracker.endpoint());
     }
+    remove_unlisted(update.endpoints);
+    events_.on_update(std::move(update));
+    for (Engine* engine : to_poll)
+        poll_and_await_status(*engine);
+}
+
+void EngineRegistry::remove_unlisted(const std::vector<Endpoint>& listed) {
+    std::set<EngineId> listed_ids;
+    for (const Endpoint& endpoint : listed)
+        listed_ids.insert(endpoint.id);
     for (auto& [id, engine] : engines_) {
-        if (named.contains(id) || engine->watch.endpoint().state == EndpointState::removed)
+        Endpoint endpoint = engine->state_tracker.endpoint();
+        if (listed_ids.contains(id) || endpoint.state == EndpointState::removed)
             continue;
-        Endpoint gone = engine->watch.endpoint();
-        gone.state = EndpointState::removed;
-        engine->watch.on_listed(gone);
+        endpoint.state = EndpointState::removed;
+        engine->state_tracker.on_listed(endpoint);
     }
-    events_.changed(std::move(change));
-    for (Engine* e : coming)
-        ask_and_wait(*e);
 }
 
-void Engines::changed(Engine& e) {
-    events_.log("engine " + e.settings.name + " is " +
-                (e.watch.endpoint().state == EndpointState::ready      ? "on"
-                 : e.watch.endpoint().state == EndpointState::draining ? "draining"
-                                                                       : "off"));
-    events_.changed({EndpointUpdateKind::incremental, {e.watch.endpoint()}});
+void EngineRegistry::report_state(const Engine& engine) {
+    const Endpoint& endpoint = engine.state_tracker.endpoint();
+    events_.log("engine " + engine.settings.name + " is " + log_name_of(endpoint.state));
+    events_.on_update({EndpointUpdateKind::incremental, {endpoint}});
 }
 
-void Engines::watch() {
-    for (auto& [id, e] : engines_)
-        if (e->watch.endpoint().state != EndpointState::removed && !e->info.active() && !e->state.active())
-            ask_state(*e);
-    watching_ = loop_.after(roster_.watch_every, [this] {
-        watch();
+void EngineRegistry::poll_statuses_periodically() {
+    for (auto& [id, engine] : engines_) {
+        const bool poll_in_flight = engine->info_poll.active() || engine->state_poll.active();
+        if (engine->state_tracker.endpoint().state != EndpointState::removed && !poll_in_flight)
+            poll_status(*engine);
+    }
+    status_poll_timer_ = loop_.after(source_settings_.watch_every, [this] {
+        poll_statuses_periodically();
     });
 }
 
-// Its process may have ended and another, cold one stand in its place. Not more often than a word is waited
-// for: an engine that ends each connection at once would be asked without end.
-void Engines::ask_before_more(Engine& e) {
-    if (roster_.watch_every <= 0 || e.watch.endpoint().state == EndpointState::removed)
+// The lower bound on the interval keeps an engine that closes every connection at once from being polled
+// without end.
+void EngineRegistry::on_connections_lost(Engine& engine) {
+    if (source_settings_.watch_every <= 0 || engine.state_tracker.endpoint().state == EndpointState::removed)
         return;
-    if (e.lost_at > 0 && loop_.now() - e.lost_at < kFirstWord)
+    const Micros now = loop_.now();
+    if (engine.connections_lost_at > 0 && now - engine.connections_lost_at < kStatusTimeout)
         return;
-    e.lost_at = loop_.now();
-    if (e.watch.await_status())
-        changed(e);
-    ask_and_wait(e);
+    engine.connections_lost_at = now;
+    if (engine.state_tracker.await_status())
+        report_state(engine);
+    poll_and_await_status(engine);
 }
 
-// Of one that counts as unheard.
-void Engines::ask_and_wait(Engine& e) {
-    awaited_.push_back({e.id, loop_.now() + kFirstWord});
-    if (first_word_ == 0)
-        first_word_ = loop_.after(kFirstWord, [this] {
-            enough_waited();
+// The engine's tracker awaits a status, which counts as unavailable after kStatusTimeout.
+void EngineRegistry::poll_and_await_status(Engine& engine) {
+    pending_statuses_.push_back({engine.id, loop_.now() + kStatusTimeout});
+    if (pending_status_timer_ == 0)
+        pending_status_timer_ = loop_.after(kStatusTimeout, [this] {
+            expire_pending_statuses();
         });
-    ask_state(e);
+    poll_status(engine);
 }
 
-void Engines::ask_state(Engine& e) {
-    http::Headers headers;
-    headers.add("User-Agent", "gatetiller/" + name_);
-    const Micros limit = std::max(roster_.watch_every, kSecondMicros);
-    e.info = e.client->send(
-        {"GET", "/v1/info", 1, headers, {}, {}}, limit, [this, &e, headers, limit](http::Answer a) {
-            const auto unheard = [&] {
-                if (e.watch.on_status_unavailable())
-                    changed(e);
-            };
-            if (a.reached != http::Reached::answered || a.response.status != 200)
-                return unheard();
-            const auto found = statement::members(a.response.body);
-            if (!found)
-                return unheard();
-            e.starting = false, e.uptime.reset();
-            for (const auto& m : *found) {
-                if (m.key == "starting")
-                    e.starting = m.raw == "true";
-                if (m.key == "uptime")
-                    if (const auto span = parse_span(statement::as_string(m.raw).value_or("")))
-                        e.uptime = *span;
-            }
-            e.state = e.client->send(
-                {"GET", "/v1/info/state", 1, headers, {}, {}}, limit, [this, &e](http::Answer s) {
-                    const bool told = s.reached == http::Reached::answered && s.response.status == 200;
-                    if (!told) {
-                        if (e.watch.on_status_unavailable())
-                            changed(e);
-                        return;
-                    }
-                    const bool ends =
-                        statement::as_string(trimmed(s.response.body)).value_or("") == "SHUTTING_DOWN";
-                    const bool news = e.watch.on_status_reported(loop_.now(), ends, e.starting, e.uptime);
-                    const bool held = e.watch.hold_in_slow_start(loop_.now(), hold_until_, warm_up_);
-                    if (news || held)
-                        changed(e);
-                });
+void EngineRegistry::expire_pending_statuses() {
+    pending_status_timer_ = 0;
+    const Micros now = loop_.now();
+    while (!pending_statuses_.empty() && pending_statuses_.front().deadline <= now) {
+        Engine* engine = find(pending_statuses_.front().id);
+        if (engine)
+            on_status_unavailable(*engine);
+        pending_statuses_.pop_front();
+    }
+    if (!pending_statuses_.empty())
+        pending_status_timer_ = loop_.after(pending_statuses_.front().deadline - now, [this] {
+            expire_pending_statuses();
         });
 }
 
-void Engines::enough_waited() {
-    first_word_ = 0;
+http::Request EngineRegistry::status_request(const char* path) const {
+    http::Headers headers;
+    headers.add("User-Agent", "gatetiller/" + front_name_);
+    return {"GET", path, 1, std::move(headers), {}, {}};
+}
+
+Micros EngineRegistry::status_request_timeout() const {
+    return std::max(source_settings_.watch_every, kMinStatusRequestTimeout);
+}
+
+void EngineRegistry::poll_status(Engine& engine) {
+    engine.info_poll = engine.client->send(status_request("/v1/info"), status_request_timeout(),
+                                           [this, &engine](const http::Answer& answer) {
+                                               on_info(engine, answer);
+                                           });
+}
+
+void EngineRegistry::on_info(Engine& engine, const http::Answer& answer) {
+    if (!is_ok(answer))
+        return on_status_unavailable(engine);
+    const auto members = statement::members(answer.response.body);
+    if (!members)
+        return on_status_unavailable(engine);
+    engine.starting = false;
+    engine.uptime.reset();
+    for (const auto& member : *members) {
+        if (member.key == "starting")
+            engine.starting = member.raw == "true";
+        if (member.key == "uptime") {
+            const auto uptime = parse_span(statement::as_string(member.raw).value_or(""));
+            if (uptime)
+                engine.uptime = *uptime;
+        }
+    }
+    engine.state_poll = engine.client->send(status_request("/v1/info/state"), status_request_timeout(),
+                                            [this, &engine](const http::Answer& state) {
+                                                on_state(engine, state);
+                                            });
+}
+
+void EngineRegistry::on_state(Engine& engine, const http::Answer& answer) {
+    if (!is_ok(answer))
+        return on_status_unavailable(engine);
+    const std::string state = statement::as_string(trimmed(answer.response.body)).value_or("");
+    const bool shutting_down = state == "SHUTTING_DOWN";
     const Micros now = loop_.now();
-    for (; !awaited_.empty() && awaited_.front().until <= now; awaited_.pop_front())
-        if (Engine* e = find(awaited_.front().id); e && e->watch.on_status_unavailable())
-            changed(*e);
-    if (!awaited_.empty())
-        first_word_ = loop_.after(awaited_.front().until - now, [this] {
-            enough_waited();
-        });
+    const bool changed =
+        engine.state_tracker.on_status_reported(now, shutting_down, engine.starting, engine.uptime);
+    const bool hold_changed = engine.state_tracker.hold_in_slow_start(now, hold_until_, slow_start_window_);
+    if (changed || hold_changed)
+        report_state(engine);
+}
+
+void EngineRegistry::on_status_unavailable(Engine& engine) {
+    if (engine.state_tracker.on_status_unavailable())
+        report_state(engine);
 }
 
-void Engines::hold_cold(Micros until) {
+void EngineRegistry::hold_slow_start_until(Micros until) {
     hold_until_ = until;
-    loop_.cancel(std::exchange(holding_, 0));
-    for (auto& [id, e] : engines_)
-        if (e->watch.hold_in_slow_start(loop_.now(), until, warm_up_))
-            changed(*e);
+    loop_.cancel(std::exchange(hold_timer_, 0));
+    for (auto& [id, engine] : engines_)
+        if (engine->state_tracker.hold_in_slow_start(loop_.now(), until, slow_start_window_))
+            report_state(*engine);
     if (until > loop_.now())
-        holding_ = loop_.after(until - loop_.now(), [this] {
-            holding_ = 0;
-            hold_cold(0);
+        hold_timer_ = loop_.after(until - loop_.now(), [this] {
+            hold_timer_ = 0;
+            hold_slow_start_until(0);
         });
 }
 
-void Engines::probe(EngineId id,
-                    std::function<void(Micros, AttemptOutcome, std::optional<LoadReport>)> done) {
-    Engine* e = find(id);
-    if (!e)
+void EngineRegistry::check_health(EngineId id, HealthCheckHandler done) {
+    Engine* engine = find(id);
+    if (!engine)
         return done(0, AttemptOutcome::not_sent, std::nullopt);
-    const Micros began = loop_.now();
-    e->client
-        ->send({"GET", "/v1/status", 1, {}, {}, {}}, kSecondMicros,
-               [this, began, done = std::move(done)](const http::Answer& a) {
-                   const bool fine = a.reached == http::Reached::answered && a.response.status == 200;
-                   const AttemptOutcome how =
-                       fine                                      ? AttemptOutcome::succeeded
-                       : a.reached == http::Reached::answered    ? AttemptOutcome::failed
-                       : a.reached == http::Reached::late        ? AttemptOutcome::timed_out
-                       : a.reached == http::Reached::broken      ? AttemptOutcome::connection_reset
-                       : a.reached == http::Reached::lacked_here ? AttemptOutcome::not_sent
-                                                                 : AttemptOutcome::connection_refused;
-                   done(loop_.now() - began, how,
-                        fine ? statement::read_report(a.response.headers) : std::nullopt);
+    const Micros sent_at = loop_.now();
+    engine->client
+        ->send({"GET", "/v1/status", 1, {}, {}, {}}, kHealthCheckTimeout,
+               [this, sent_at, done = std::move(done)](const http::Answer& answer) {
+                   std::optional<LoadReport> load;
+                   if (is_ok(answer))
+                       load = statement::read_report(answer.response.headers);
+                   done(loop_.now() - sent_at, health_outcome_of(answer), load);
                })
         .detach();
 }
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -165,7 +165,7 @@
     driver_.start();
     // Until the ledger tells whether a life before was killed, cold engines are not pushed by both.
     if (deps_.ledger)
-        engines_.hold_cold(loop_.now() + settings_.module.overload_window);
+        engines_.hold_slow_start_until(loop_.now() + settings_.module.overload_window);
     engines_.start();
     if (deps_.ledger)
         look_in_ledger();
@@ -383,7 +383,7 @@
 std::string Front::status_members() {
     std::string engines;
     for (const auto& [number, e] : engines_.all()) {
-        const auto state = e->watch.endpoint().state;
+        const auto state = e->state_tracker.endpoint().state;
         engines += (engines.empty() ? "" : ",") + ("{\"name\":" + statement::json_string(e->settings.name)) +
                    ",\"address\":" + statement::json_string(e->settings.address.text()) + ",\"state\":" +
                    (state == EndpointState::ready      ? "\"on\""
@@ -425,7 +425,7 @@
     }
     if (change.kind == EndpointUpdateKind::full)  // what it lacks is gone
         for (const auto& [id, engine] : engines_.all())
-            if (engine->watch.endpoint().state == EndpointState::removed)
+            if (engine->state_tracker.endpoint().state == EndpointState::removed)
                 draining_engines_.emplace(id, loop_.now());
     driver_.post(change);
     std::vector<Attempt*> waiting;
@@ -487,14 +487,14 @@
                 complete(attempt, AttemptOutcome::cancelled, r->life.finished());
             },
             [&](const CheckHealth& a) {
-                engines_.probe(a.engine, [this, id = a.engine](Micros taken, AttemptOutcome how,
-                                                               std::optional<LoadReport> report) {
+                engines_.check_health(a.engine, [this, id = a.engine](Micros taken, AttemptOutcome how,
+                                                                      std::optional<LoadReport> report) {
                     post(HealthCheckCompleted{id, taken, how, report});
                 });
             },
             [&](const BroadcastToPeers&) {},  // no peers here: the settings never allow it
             [&](const WatchEndpoints&) {
-                engines_.ask();
+                engines_.poll_source();
             },
             [&](const StartTimer&) {}},  // the driver keeps the timers
         action);
@@ -576,11 +576,11 @@
             decide::EarlierExecution run;
             run.sent_ago = a.sent - earlier->sent;
             if (ran)
-                run.zone = ran->watch.endpoint().zone, run.cell = ran->watch.endpoint().cell;
+                run.zone = ran->state_tracker.endpoint().zone, run.cell = ran->state_tracker.endpoint().cell;
             facts.earlier_execution = run;
         }
     if (const Engine* const engine = engines_.find(a.engine)) {
-        const Endpoint& entry = engine->watch.endpoint();
+        const Endpoint& entry = engine->state_tracker.endpoint();
         facts.target.listed = true;
         facts.target.kind = entry.kind, facts.target.zone = entry.zone, facts.target.cell = entry.cell;
         if (const auto drains = draining_engines_.find(a.engine); drains != draining_engines_.end())
@@ -751,7 +751,7 @@
         deps_.log(text);
     if (const auto before = deps_.ledger->before(); before.known && !std::exchange(before_known_, true)) {
         // What was sent after its last commit may be as young as this life.
-        engines_.hold_cold(before.killed ? loop_.now() + settings_.module.overload_window : 0);
+        engines_.hold_slow_start_until(before.killed ? loop_.now() + settings_.module.overload_window : 0);
     }
     for (const auto& p : deps_.ledger->take_past())
         quota_.restore(teams_.of({p.who->user, p.who->source, p.who->tags, "", p.who->tenant}, 0),
--- a/src/front/front.hpp
+++ b/src/front/front.hpp
@@ -43,7 +43,7 @@
     Result<std::vector<net::Address>> start();
     // Takes nothing new, ends what it has; `done` once all is over, or the patience of the settings is.
     void drain(std::function<void()> done);
-    // Engines, roster and routes of new settings; the rest needs a restart.
+    // EngineRegistry, roster and routes of new settings; the rest needs a restart.
     void reload(const config::FrontSettings& settings);
     double alpha() const {
         return driver_.alpha();
@@ -51,7 +51,7 @@
     std::size_t statements() const {
         return running_.size();
     }
-    Engines& engines() {
+    EngineRegistry& engines() {
         return engines_;
     }
 
@@ -105,7 +105,7 @@
     decide::Quota quota_;
     Metrics metrics_;
     core::PolicyDriver driver_;
-    Engines engines_;
+    EngineRegistry engines_;
     statement::ServerSide statements_;
     http::Server server_;
     std::map<EngineId, Micros> draining_engines_;  // those that take nothing new, since this front was told
--- a/tests/faults/durable_test.cpp
+++ b/tests/faults/durable_test.cpp
@@ -86,13 +86,13 @@
     net::PollLoop loop;
     std::string log;
     int lists = 0;
-    front::Engines engines(loop, settings,
-                           {[&](EndpointUpdate c) {
-                                lists += c.kind == EndpointUpdateKind::full;
-                            },
-                            [&](const std::string& text) {
-                                log += text + "\n";
-                            }});
+    front::EngineRegistry engines(loop, settings,
+                                  {[&](EndpointUpdate c) {
+                                       lists += c.kind == EndpointUpdateKind::full;
+                                   },
+                                   [&](const std::string& text) {
+                                       log += text + "\n";
+                                   }});
     control.fail(Call::write, ENOSPC);
     engines.start();
     ASSERT_TRUE(await(loop, [&] {
--- a/tests/front/hard_cases_test.cpp
+++ b/tests/front/hard_cases_test.cpp
@@ -199,7 +199,7 @@
     // Told within a period of watching; the rule's grace is two seconds.
     ASSERT_TRUE(w.until([&] {
         for (const auto& [id, e] : w.front().engines().all())
-            if (e->settings.name == "e0" && e->watch.endpoint().state == EndpointState::draining)
+            if (e->settings.name == "e0" && e->state_tracker.endpoint().state == EndpointState::draining)
                 return true;
         return false;
     }));
@@ -295,7 +295,8 @@
         return !told.empty() && told.back() == EndpointState::ready;
     }));
     EXPECT_EQ(told.front(), EndpointState::draining);
-    EXPECT_GT(w.front().engines().all().at(2)->watch.endpoint().started_at, 0) << "its uptime is not known";
+    EXPECT_GT(w.front().engines().all().at(2)->state_tracker.endpoint().started_at, 0)
+        << "its uptime is not known";
 }
 
 TEST(HardCases, ALargeResultToASlowReaderIsHeldInBoundedPieces) {
--- a/tests/front/whole.hpp
+++ b/tests/front/whole.hpp
@@ -239,7 +239,7 @@
     bool all_engines_on() const {
         const auto& all = front_->engines().all();
         return std::all_of(all.begin(), all.end(), [](const auto& e) {
-            return e.second->watch.endpoint().state == EndpointState::ready;
+            return e.second->state_tracker.endpoint().state == EndpointState::ready;
         });
     }
     int count(const std::string& event, const std::string& trace = "") const {
--- a/tests/lab/broken_front_test.cpp
+++ b/tests/lab/broken_front_test.cpp
@@ -117,7 +117,7 @@
         [](Whole& w) {
             // The engine's uptime is known before the first statement comes.
             ASSERT_TRUE(w.until([&] {
-                return w.front().engines().all().begin()->second->watch.endpoint().started_at > 0;
+                return w.front().engines().all().begin()->second->state_tracker.endpoint().started_at > 0;
             }));
             for (int i = 0; i < 40; ++i)
                 w.ask("SELECT 1 /* gt: work_ms=100 */");
