--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -24,23 +24,23 @@
 }
 
 // One line for each finished statement: who, what, how long in each phase, and which side ended it.
-std::string line_of(const std::string& format, const front::Finished& f) {
+std::string line_of(const std::string& format, const front::FinishedStatement& f) {
     const auto ms = [](Micros span) {
         return static_cast<double>(span) / 1000;
     };
     if (format == "json")
         return fmt::format(
-            R"("message":"statement","id":{},"trace":{},"user":{},"class":{},"tenant":{},"engine":{},"attempts":{},"ended":"{}","held_ms":{:.3f},"running_ms":{:.3f},"fetching_ms":{:.3f},"total_ms":{:.3f},"cpu_ms":{},"peak_bytes":{},"spilled_bytes":{},"error":{})",
-            json_string(f.id), json_string(f.trace), json_string(f.user), json_string(f.cls),
-            json_string(f.tenant), json_string(f.engine), f.attempts, name_of(f.ended), ms(f.held),
+            R"("message":"statement","id":{},"trace":{},"user":{},"class":{},"tenant":{},"engine":{},"attempts":{},"ended":"{}","queued_ms":{:.3f},"running_ms":{:.3f},"fetching_ms":{:.3f},"total_ms":{:.3f},"cpu_ms":{},"peak_bytes":{},"spilled_bytes":{},"error":{})",
+            json_string(f.id), json_string(f.trace_token), json_string(f.user), json_string(f.class_name),
+            json_string(f.tenant), json_string(f.engine), f.attempts, name_of(f.outcome), ms(f.queued),
             ms(f.running), ms(f.fetching), ms(f.total), f.cpu_ms, f.peak_memory_bytes, f.spilled_bytes,
             json_string(f.error));
     return fmt::format(
-        "statement {} {} user={} class={} tenant={} engine={} attempts={} held={:.1f}ms running={:.1f}ms "
+        "statement {} {} user={} class={} tenant={} engine={} attempts={} queued={:.1f}ms running={:.1f}ms "
         "fetching={:.1f}ms total={:.1f}ms cpu={}ms peak={}B spilled={}B{}",
-        f.id, name_of(f.ended), f.user, f.cls, f.tenant.empty() ? "-" : f.tenant,
-        f.engine.empty() ? "-" : f.engine, f.attempts, ms(f.held), ms(f.running), ms(f.fetching), ms(f.total),
-        f.cpu_ms, f.peak_memory_bytes, f.spilled_bytes,
+        f.id, name_of(f.outcome), f.user, f.class_name, f.tenant.empty() ? "-" : f.tenant,
+        f.engine.empty() ? "-" : f.engine, f.attempts, ms(f.queued), ms(f.running), ms(f.fetching),
+        ms(f.total), f.cpu_ms, f.peak_memory_bytes, f.spilled_bytes,
         f.error.empty() ? "" : " error=" + json_string(f.error));
 }
 
@@ -57,15 +57,15 @@
     return ledger;
 }
 
-front::Deps deps_of(const config::FrontSettings& s, std::shared_ptr<spdlog::logger> log,
-                    store::LedgerWriter* ledger = nullptr) {
+front::FrontDeps deps_of(const config::FrontSettings& s, std::shared_ptr<spdlog::logger> log,
+                         store::LedgerWriter* ledger = nullptr) {
     const std::string format = s.log.format;
     return {entropy,
             s.seed.value_or(random_seed()),
             [log, format](const std::string& t) {
                 log->info(say(format, t));
             },
-            [log, format](const front::Finished& f) {
+            [log, format](const front::FinishedStatement& f) {
                 log->info(line_of(format, f));
             },
             nullptr,
--- a/src/front/metrics.cpp
+++ b/src/front/metrics.cpp
@@ -5,98 +5,84 @@
 #include "decide/attempt_end.hpp"
 
 namespace gatetiller::front {
+namespace {
 
-const char* name_of(Ended ended) {
-    switch (ended) {
-        case Ended::served:
-            return "served";
-        case Ended::refused:
-            return "refused";
-        case Ended::failed:
-            return "failed";
-        case Ended::cut:
-            return "cut";
-        case Ended::cancelled:
-            return "cancelled";
-        case Ended::abandoned:
-            return "abandoned";
-    }
-    return "?";
+// Upper bounds in seconds.
+const prometheus::Histogram::BucketBoundaries& statement_seconds_buckets() {
+    static const prometheus::Histogram::BucketBoundaries buckets = {0.005, 0.02, 0.05, 0.1, 0.25, 0.5,
+                                                                    1,     2,    4,    8,   16,   32};
+    return buckets;
 }
 
-namespace {
-
-const prometheus::Histogram::BucketBoundaries kSeconds = {0.005, 0.02, 0.05, 0.1, 0.25, 0.5,
-                                                          1,     2,    4,    8,   16,   32};
+prometheus::Family<prometheus::Counter>& add_counter(prometheus::Registry& registry, const char* name,
+                                                     const char* help) {
+    return prometheus::BuildCounter().Name(name).Help(help).Register(registry);
+}
 
 }  // namespace
 
 Metrics::Metrics()
     : registry_(std::make_shared<prometheus::Registry>()),
-      taken_(prometheus::BuildCounter()
-                 .Name("gatetiller_statements_taken_total")
-                 .Help("Statements taken, by class.")
-                 .Register(*registry_)),
-      turned_away_(prometheus::BuildCounter()
-                       .Name("gatetiller_statements_turned_away_total")
-                       .Help("Statements not taken, by reason.")
-                       .Register(*registry_)),
-      attempts_(prometheus::BuildCounter()
-                    .Name("gatetiller_attempts_total")
-                    .Help("Attempts that ended, by outcome.")
-                    .Register(*registry_)),
-      finished_(prometheus::BuildCounter()
-                    .Name("gatetiller_statements_finished_total")
-                    .Help("Statements that ended, by class and how.")
-                    .Register(*registry_)),
-      violations_(prometheus::BuildCounter()
-                      .Name("gatetiller_violations_prevented_total")
-                      .Help("Actions that a guard refused, by invariant; zero in a sound front.")
-                      .Register(*registry_)),
+      accepted_(
+          add_counter(*registry_, "gatetiller_statements_accepted_total", "Statements accepted, by class.")),
+      rejected_(add_counter(*registry_, "gatetiller_statements_rejected_total",
+                            "Statements not accepted, by reason.")),
+      attempts_(add_counter(*registry_, "gatetiller_attempts_total", "Attempts that ended, by outcome.")),
+      finished_(add_counter(*registry_, "gatetiller_statements_finished_total",
+                            "Statements that ended, by class and how.")),
+      violations_(add_counter(*registry_, "gatetiller_violations_prevented_total",
+                              "Actions that a guard refused, by invariant; zero in a sound front.")),
       seconds_(prometheus::BuildHistogram()
                    .Name("gatetiller_statement_seconds")
-                   .Help("From taking a statement to its final answer.")
+                   .Help("From accepting a statement until its client has the final document.")
                    .Register(*registry_)),
       gauges_(prometheus::BuildGauge()
                   .Name("gatetiller_now")
-                  .Help("Statements in hand, bytes of rows waiting, connections, alpha, finished ones kept, "
-                        "the ledger's state.")
+                  .Help("Active statements, bytes of rows waiting, connections, alpha, finished statements "
+                        "cached, the ledger's state.")
                   .Register(*registry_)) {}
 
-void Metrics::taken(const std::string& cls) {
-    taken_.Add({{"class", cls}}).Increment();
+void Metrics::accepted(const std::string& class_name) {
+    accepted_.Add({{"class", class_name}}).Increment();
 }
-void Metrics::turned_away(const char* why) {
-    turned_away_.Add({{"why", why}}).Increment();
+
+void Metrics::rejected(RejectionReason reason) {
+    rejected_.Add({{"reason", name_of(reason)}}).Increment();
 }
+
 void Metrics::attempt(AttemptOutcome outcome) {
     attempts_.Add({{"outcome", decide::name_of(outcome)}}).Increment();
 }
 
-void Metrics::violation(decide::Invariant i) {
-    violations_.Add({{"invariant", decide::name_of(i)}}).Increment();
+void Metrics::violation(decide::Invariant invariant) {
+    violations_.Add({{"invariant", decide::name_of(invariant)}}).Increment();
+}
+
+void Metrics::finished(const FinishedStatement& statement) {
+    const std::string& class_name = statement.class_name;
+    finished_.Add({{"class", class_name}, {"ended", name_of(statement.outcome)}}).Increment();
+    seconds_.Add({{"class", class_name}}, statement_seconds_buckets())
+        .Observe(static_cast<double>(statement.total) / kSecondMicros);
 }
 
-void Metrics::finished(const Finished& f) {
-    finished_.Add({{"class", f.cls}, {"ended", name_of(f.ended)}}).Increment();
-    seconds_.Add({{"class", f.cls}}, kSeconds).Observe(static_cast<double>(f.total) / kSecondMicros);
+void Metrics::set_gauge(const char* what, double value) {
+    gauges_.Add({{"what", what}}).Set(value);
 }
 
-void Metrics::ledger(const store::WriterStatus& s) {
-    gauges_.Add({{"what", "ledger_written"}}).Set(s.trouble == decide::StoreError::none ? 1 : 0);
-    gauges_.Add({{"what", "ledger_rows_waiting"}}).Set(static_cast<double>(s.waiting));
-    gauges_.Add({{"what", "ledger_rows_lost"}}).Set(static_cast<double>(s.lost));
-    gauges_.Add({{"what", "ledger_rows_committed"}}).Set(static_cast<double>(s.committed));
-    gauges_.Add({{"what", "ledger_written_until_seconds"}})
-        .Set(static_cast<double>(s.written_until) / kSecondMicros);
+void Metrics::ledger(const store::WriterStatus& status) {
+    set_gauge("ledger_written", status.trouble == decide::StoreError::none ? 1 : 0);
+    set_gauge("ledger_rows_waiting", static_cast<double>(status.waiting));
+    set_gauge("ledger_rows_lost", static_cast<double>(status.lost));
+    set_gauge("ledger_rows_committed", static_cast<double>(status.committed));
+    set_gauge("ledger_written_until_seconds", static_cast<double>(status.written_until) / kSecondMicros);
 }
 
-std::string Metrics::page(const Now& now) {
-    gauges_.Add({{"what", "statements"}}).Set(now.statements);
-    gauges_.Add({{"what", "waiting_bytes"}}).Set(now.waiting_bytes);
-    gauges_.Add({{"what", "connections"}}).Set(now.connections);
-    gauges_.Add({{"what", "alpha"}}).Set(now.alpha);
-    gauges_.Add({{"what", "finished_kept"}}).Set(now.kept);
+std::string Metrics::page(const Gauges& gauges) {
+    set_gauge("statements", gauges.statements);
+    set_gauge("waiting_bytes", gauges.waiting_bytes);
+    set_gauge("connections", gauges.connections);
+    set_gauge("alpha", gauges.alpha);
+    set_gauge("finished_kept", gauges.finished_statements);
     return prometheus::TextSerializer().Serialize(registry_->Collect());
 }
 
--- a/src/front/metrics.hpp
+++ b/src/front/metrics.hpp
@@ -1,4 +1,4 @@
-// What an operator sees of a front: one record for each finished statement, and the page at /metrics.
+// The metrics page of a front, GET /metrics in the Prometheus text format.
 #pragma once
 
 #include <prometheus/counter.h>
@@ -6,55 +6,52 @@
 #include <prometheus/histogram.h>
 #include <prometheus/registry.h>
 
-#include <map>
 #include <memory>
 #include <string>
 
-#include "base/time.hpp"
 #include "decide/invariants.hpp"
+#include "front/statement_outcome.hpp"
 #include "policy/gateway_policy.hpp"
 #include "store/writer.hpp"
 
 namespace gatetiller::front {
 
-// How a statement ended, and so which side ended it.
-enum class Ended {
-    served,     // rows, or an error that was its own fault, from an engine
-    refused,    // by this front: trying again is harmless
-    failed,     // by this front: it may have run
-    cut,        // its rows had begun when the engine failed
-    cancelled,  // by the client
-    abandoned,  // the client stopped asking
-};
-const char* name_of(Ended ended);
-
-struct Finished {
-    std::string id, trace, user, cls, tenant, engine, error;
-    int attempts = 0;
-    Ended ended = Ended::served;
-    // Phases, in microseconds: held before the first attempt, from there to the end of the last one, and
-    // until the client had fetched the final document.
-    Micros held = 0, running = 0, fetching = 0, total = 0;
-    std::int64_t cpu_ms = 0, peak_memory_bytes = 0, spilled_bytes = 0;
-};
-
 class Metrics {
 public:
+    // Values of the moment at which the page is read.
+    struct Gauges {
+        double statements = 0;           // active ones
+        double waiting_bytes = 0;        // of rows that wait for clients
+        double connections = 0;          // of clients
+        double alpha = 0;                // admission level of the policy
+        double finished_statements = 0;  // whose final document is cached for another poll
+    };
+
     Metrics();
-    void taken(const std::string& cls);
-    void turned_away(const char* why);
+    // gatetiller_statements_accepted_total{class}
+    void accepted(const std::string& class_name);
+    // gatetiller_statements_rejected_total{reason}
+    void rejected(RejectionReason reason);
+    // gatetiller_attempts_total{outcome}: an attempt ended.
     void attempt(AttemptOutcome outcome);
-    void violation(decide::Invariant invariant);  // prevented by a guard
-    void finished(const Finished& f);
-    struct Now {
-        double statements, waiting_bytes, connections, alpha, kept;
-    };
+    // gatetiller_violations_prevented_total{invariant}: a guard refused an action.
+    void violation(decide::Invariant invariant);
+    // gatetiller_statements_finished_total{class,ended} and gatetiller_statement_seconds{class}
+    void finished(const FinishedStatement& statement);
+    // gatetiller_now{what="ledger_..."}: sets the ledger's gauges.
     void ledger(const store::WriterStatus& status);
-    std::string page(const Now& now);
+    // The page, with these values as gatetiller_now{what}.
+    std::string page(const Gauges& gauges);
 
 private:
+    void set_gauge(const char* what, double value);
+
     std::shared_ptr<prometheus::Registry> registry_;
-    prometheus::Family<prometheus::Counter>&taken_, &turned_away_, &attempts_, &finished_, &violations_;
+    prometheus::Family<prometheus::Counter>& accepted_;
+    prometheus::Family<prometheus::Counter>& rejected_;
+    prometheus::Family<prometheus::Counter>& attempts_;
+    prometheus::Family<prometheus::Counter>& finished_;
+    prometheus::Family<prometheus::Counter>& violations_;
     prometheus::Family<prometheus::Histogram>& seconds_;
     prometheus::Family<prometheus::Gauge>& gauges_;
 };
--- /dev/null
+++ b/src/front/status.cpp
@@ -0,0 +1,41 @@
+#include "front/status.hpp"
+
+#include "statement/json.hpp"
+
+namespace gatetiller::front {
+namespace {
+
+// As the status API and the endpoint lists spell it.
+const char* api_name_of(EndpointState state) {
+    switch (state) {
+        case EndpointState::ready:
+            return "on";
+        case EndpointState::draining:
+            return "fading";
+        case EndpointState::removed:
+            return "off";
+    }
+    return "off";
+}
+
+std::string json_of(const Engine& engine) {
+    return "{\"name\":" + statement::json_string(engine.settings.name) +
+           ",\"address\":" + statement::json_string(engine.settings.address.text()) + ",\"state\":\"" +
+           api_name_of(engine.state_tracker.endpoint().state) +
+           "\",\"connections\":" + std::to_string(engine.client->open()) + "}";
+}
+
+}  // namespace
+
+std::string status_members(const EngineRegistry& engines, const StatusFigures& figures,
+                           const std::string& ledger_member) {
+    std::string list;
+    for (const auto& [id, engine] : engines.all())
+        list += (list.empty() ? "" : ",") + json_of(*engine);
+    return ",\"engines\":[" + list + "],\"statements\":" + std::to_string(figures.statements) +
+           ",\"waitingBytes\":" + std::to_string(figures.waiting_bytes) +
+           ",\"connections\":" + std::to_string(figures.connections) +
+           ",\"alpha\":" + std::to_string(figures.alpha) + ledger_member;
+}
+
+}  // namespace gatetiller::front
--- a/src/lab/virtual_day.cpp
+++ b/src/lab/virtual_day.cpp
@@ -190,10 +190,10 @@
         f.ledger = std::make_unique<store::LedgerWriter>(w);
         f.front = std::make_unique<front::Front>(
             *f.tap, f.settings,
-            front::Deps{[this] {
-                            return names_.hex(32);
-                        },
-                        random_.next(), [](const std::string&) {}, nullptr, nullptr, f.ledger.get()});
+            front::FrontDeps{[this] {
+                                 return names_.hex(32);
+                             },
+                             random_.next(), [](const std::string&) {}, nullptr, nullptr, f.ledger.get()});
         auto bound = f.front->start();
         if (!bound)
             return Error{bound.error()};
--- a/tests/front/hard_cases_test.cpp
+++ b/tests/front/hard_cases_test.cpp
@@ -30,7 +30,7 @@
         return w.front().statements() == 0;
     }));
     ASSERT_EQ(w.finished.size(), 1u);
-    EXPECT_EQ(w.finished[0].ended, front::Ended::served);
+    EXPECT_EQ(w.finished[0].outcome, front::StatementOutcome::served);
     w.expect_rules_kept();
 }
 
@@ -46,7 +46,7 @@
     ASSERT_TRUE(w.until([&] {
         return w.front().statements() == 0;
     }));
-    EXPECT_EQ(w.finished.at(0).ended, front::Ended::abandoned);
+    EXPECT_EQ(w.finished.at(0).outcome, front::StatementOutcome::abandoned);
     EXPECT_EQ(w.engine(0).machine().jobs(), 0u);
     w.expect_rules_kept();
 }
@@ -142,7 +142,7 @@
     ASSERT_TRUE(w.until([&] {
         return w.front().statements() == 0;
     }));
-    EXPECT_EQ(w.finished.at(0).ended, front::Ended::cut);
+    EXPECT_EQ(w.finished.at(0).outcome, front::StatementOutcome::truncated);
     w.expect_rules_kept();
 }
 
--- a/tests/front/whole.hpp
+++ b/tests/front/whole.hpp
@@ -130,12 +130,13 @@
         addresses_.push_back(*engines_.back()->start());
     }
     std::unique_ptr<front::Front> make_front() {
-        auto f = std::make_unique<front::Front>(tap_, settings,
-                                                front::Deps{[this] {
+        auto f =
+            std::make_unique<front::Front>(tap_, settings,
+                                           front::FrontDeps{[this] {
                                                                 return random_.hex(32);
                                                             },
                                                             7, [](const std::string&) {},
-                                                            [this](const front::Finished& done) {
+                                                            [this](const front::FinishedStatement& done) {
                                                                 finished.push_back(done);
                                                             },
                                                             drop_event, ledger});
@@ -266,7 +267,7 @@
     lab::Records records;
     std::vector<engine::Entry> journal;
     std::string events;  // what the engines' own listeners told, a line each
-    std::vector<front::Finished> finished;
+    std::vector<front::FinishedStatement> finished;
     std::vector<std::unique_ptr<Asked>> asked;
     std::unique_ptr<http::Client> http;
 
