--- a/src/front/engine_registry.cpp
+++ b/src/front/engine_registry.cpp
@@ -186,7 +186,7 @@
     }
 }
 
-void EngineRegistry::report_state(const Engine& engine) {
+void EngineRegistry::report_state(const Engine& engine) const {
     const Endpoint& endpoint = engine.state_tracker.endpoint();
     events_.log("engine " + engine.settings.name + " is " + log_name_of(endpoint.state));
     events_.on_update({EndpointUpdateKind::incremental, {endpoint}});
@@ -295,7 +295,7 @@
         report_state(engine);
 }
 
-void EngineRegistry::on_status_unavailable(Engine& engine) {
+void EngineRegistry::on_status_unavailable(Engine& engine) const {
     if (engine.state_tracker.on_status_unavailable())
         report_state(engine);
 }
--- a/src/front/engine_registry.hpp
+++ b/src/front/engine_registry.hpp
@@ -83,11 +83,11 @@
     void poll_status(Engine& engine);
     void on_info(Engine& engine, const http::Answer& answer);
     void on_state(Engine& engine, const http::Answer& answer);
-    void on_status_unavailable(Engine& engine);
+    void on_status_unavailable(Engine& engine) const;
     void on_connections_lost(Engine& engine);
     void poll_and_await_status(Engine& engine);
     void expire_pending_statuses();
-    void report_state(const Engine& engine);
+    void report_state(const Engine& engine) const;
     http::Request status_request(const char* path) const;
     Micros status_request_timeout() const;
 
--- a/src/front/engine_responses.cpp
+++ b/src/front/engine_responses.cpp
@@ -84,19 +84,19 @@
 }
 
 // False where the policy cancelled the attempt upon it.
-bool EngineResponses::report_progress(StatementAttempt& attempt, const statement::Stats& stats) {
+bool EngineResponses::report_progress(StatementAttempt& attempt, const statement::Stats& stats) const {
     const decide::QueryStats query{stats.progress,      stats.queued,         stats.scheduled,
                                    stats.queued_splits, stats.running_splits, stats.spilled_bytes};
     for (const auto& report : attempt.progress.observe(services_.loop.now(), query)) {
         services_.post_event(
             AttemptProgress{attempt.statement.id, attempt.number, attempt.engine, report.kind, report.value});
         if (attempt.completed)
-            return false;
+            break;
     }
-    return true;
+    return !attempt.completed;
 }
 
-void EngineResponses::fetch_next(StatementAttempt& attempt) {
+void EngineResponses::fetch_next(StatementAttempt& attempt) const {
     const auto& api = services_.statement_api;
     if (services_.intake.can_fetch_more(api.waiting_bytes(attempt.statement.id), api.waiting_in_all()))
         attempt.call->next();
--- a/src/front/engine_responses.hpp
+++ b/src/front/engine_responses.hpp
@@ -16,7 +16,7 @@
                              const http::Headers& headers) override;
     void on_attempt_call_ended(StatementAttempt& attempt, const statement::CallEnd& end) override;
     // Asks the engine for the next document, where the limits on waiting rows allow it.
-    void fetch_next(StatementAttempt& attempt);
+    void fetch_next(StatementAttempt& attempt) const;
 
 private:
     void on_final_document(StatementAttempt& attempt, statement::Document document,
@@ -26,7 +26,7 @@
     void serve(StatementAttempt& attempt, AttemptOutcome outcome, statement::Document document,
                const http::Headers& headers);
     void truncate(StatementAttempt& attempt, AttemptOutcome outcome, statement::Document document);
-    bool report_progress(StatementAttempt& attempt, const statement::Stats& stats);
+    bool report_progress(StatementAttempt& attempt, const statement::Stats& stats) const;
     void push(const StatementAttempt& attempt, statement::Document document, const http::Headers& headers);
 
     FrontServices& services_;
--- a/src/front/ledger_recorder.cpp
+++ b/src/front/ledger_recorder.cpp
@@ -101,9 +101,8 @@
         return "";
     const auto status = writer_->status();
     const char* state = status.trouble == decide::StoreError::none ? "written" : name_of(status.trouble);
-    return ",\"ledger\":{\"state\":" + statement::json_string(state) +
-           ",\"waiting\":" + std::to_string(status.waiting) + ",\"lost\":" + std::to_string(status.lost) +
-           "}";
+    return R"(,"ledger":{"state":)" + statement::json_string(state) + R"(,"waiting":)" +
+           std::to_string(status.waiting) + R"(,"lost":)" + std::to_string(status.lost) + "}";
 }
 
 }  // namespace gatetiller::front
--- a/src/front/metrics.cpp
+++ b/src/front/metrics.cpp
@@ -9,9 +9,9 @@
 
 // Upper bounds in seconds.
 const prometheus::Histogram::BucketBoundaries& statement_seconds_buckets() {
-    static const prometheus::Histogram::BucketBoundaries buckets = {0.005, 0.02, 0.05, 0.1, 0.25, 0.5,
-                                                                    1,     2,    4,    8,   16,   32};
-    return buckets;
+    static const prometheus::Histogram::BucketBoundaries kBuckets = {0.005, 0.02, 0.05, 0.1, 0.25, 0.5,
+                                                                     1,     2,    4,    8,   16,   32};
+    return kBuckets;
 }
 
 prometheus::Family<prometheus::Counter>& add_counter(prometheus::Registry& registry, const char* name,
--- a/src/front/status.cpp
+++ b/src/front/status.cpp
@@ -19,10 +19,10 @@
 }
 
 std::string json_of(const Engine& engine) {
-    return "{\"name\":" + statement::json_string(engine.settings.name) +
-           ",\"address\":" + statement::json_string(engine.settings.address.text()) + ",\"state\":\"" +
-           api_name_of(engine.state_tracker.endpoint().state) +
-           "\",\"connections\":" + std::to_string(engine.client->open()) + "}";
+    return R"({"name":)" + statement::json_string(engine.settings.name) + R"(,"address":)" +
+           statement::json_string(engine.settings.address.text()) + R"(,"state":")" +
+           api_name_of(engine.state_tracker.endpoint().state) + R"(","connections":)" +
+           std::to_string(engine.client->open()) + "}";
 }
 
 }  // namespace
@@ -32,10 +32,10 @@
     std::string list;
     for (const auto& [id, engine] : engines.all())
         list += (list.empty() ? "" : ",") + json_of(*engine);
-    return ",\"engines\":[" + list + "],\"statements\":" + std::to_string(figures.statements) +
-           ",\"waitingBytes\":" + std::to_string(figures.waiting_bytes) +
-           ",\"connections\":" + std::to_string(figures.connections) +
-           ",\"alpha\":" + std::to_string(figures.alpha) + ledger_member;
+    return R"(,"engines":[)" + list + R"(],"statements":)" + std::to_string(figures.statements) +
+           R"(,"waitingBytes":)" + std::to_string(figures.waiting_bytes) + R"(,"connections":)" +
+           std::to_string(figures.connections) + R"(,"alpha":)" + std::to_string(figures.alpha) +
+           ledger_member;
 }
 
 }  // namespace gatetiller::front
