--- a/src/decide/attempt_guard.hpp
+++ b/src/decide/attempt_guard.hpp
@@ -1,72 +1,102 @@
-// The one guard of sending and repeating: whether an attempt may begin, from facts that the front holds
-// itself and not from what the module that chose it believes. An engine connection sends only what carries a
-// permit, and only this guard gives permits.
+// Guard of attempts: decides whether one attempt may be sent to one engine.
+//
+// Inputs are what the gateway itself observes at the moment of sending (AttemptContext), not what the policy
+// that chose the attempt assumes. All spans are in microseconds. The verdict is the first violated invariant
+// (invariants.hpp), or none.
+//
+// Invariant: an engine connection sends a request only against an AttemptPermit, and only AttemptGuard
+// creates permits. The limits are those of PolicySettings and ClassSettings; the slow-start budget is that of
+// the platform's terms (docs/design/front-node.md).
 #pragma once
 
+#include <cstdint>
 #include <optional>
+#include <string>
 
 #include "decide/invariants.hpp"
 #include "policy/gateway_policy.hpp"
 
 namespace gatetiller::decide {
 
-// An engine as the lists have it at the moment of the attempt.
+// The target of an attempt at the moment of sending.
 struct EndpointSnapshot {
-    bool listed = false;      // by any list since it was last gone
-    Micros draining_for = 0;  // since this front was told that it drains or is gone; 0: it does not
+    // Whether the endpoint list contains it.
+    bool listed = false;
+    // Time since this gateway learnt that the engine drains or was removed; 0: neither.
+    Micros draining_for = 0;
+    // Whether the engine is within its slow-start window.
     bool in_slow_start = false;
-    double slow_start_attempts =
-        0;  // attempts that this front alone sent to it in the window of the settings
-    std::string kind, zone;
+    // Attempts that this gateway sent to it within PolicySettings::overload_window.
+    double slow_start_attempts = 0;
+    std::string kind;
+    std::string zone;
     std::int64_t cell = 0;
 };
 
-// An earlier attempt that may have run.
+// An earlier attempt of the same request that may have executed.
 struct EarlierExecution {
-    Micros sent_ago = 0;  // so long ago
+    // Time since it was sent.
+    Micros sent_ago = 0;
     std::string zone;
     std::int64_t cell = 0;
 };
 
+// Everything that AttemptGuard considers about one attempt.
 struct AttemptContext {
-    bool final_response_sent = false, client_disconnected = false, attempt_in_flight = false;
-    Micros time_left = 0;      // of the client's time
-    int earlier_attempts = 0;  // before this one
+    // The client was sent its final response.
+    bool final_response_sent = false;
+    // The client disconnected or cancelled the request.
+    bool client_disconnected = false;
+    // Another attempt of the same request is in flight.
+    bool attempt_in_flight = false;
+    // Time until the request's deadline; 0 or less: the deadline has passed.
+    Micros time_left = 0;
+    // Attempts of this request before this one.
+    int earlier_attempts = 0;
+    // The first of them that may have executed, if any.
     std::optional<EarlierExecution> earlier_execution;
     EndpointSnapshot target;
 };
 
-// Of the slow start's budget: how many requests of mean work a cold engine may get within the window, from
-// all fronts together, where `n` fit its share of capacity.
-double slow_start_budget(double n);
+// The number of requests of mean work that an engine in slow start may receive within the overload window
+// from all gateways together, where `share_requests` of them fit its share of capacity. The allowance above
+// `share_requests` covers random variation: 2 * sqrt(n) + 2, or 3 * sqrt(n) + 3 below 30 requests.
+double slow_start_budget(double share_requests);
 
-// How many requests of mean work (`mean_work` on one thread) the settings allow a cold engine of so many
-// cores within the window; nothing where no work is known.
+// The number of requests that fit the slow-start share of an engine's capacity within the overload window.
+// `cores`: of the engine; `mean_work`: core time of the mean request in microseconds. Nothing where the mean
+// work is not known (0 or less) or no overload window is set.
 std::optional<double> slow_start_share_requests(const PolicySettings& settings, double cores,
                                                 Micros mean_work);
 
+// Proof that AttemptGuard admitted one attempt.
 class AttemptPermit {
     AttemptPermit() = default;
     friend class AttemptGuard;
 };
 
+// Checks attempts against the settings. Keeps a reference to `settings`, which must outlive it.
 class AttemptGuard {
 public:
     // `enforcing`: false only under fault injection, where permits are granted in spite of violations.
     explicit AttemptGuard(const PolicySettings& settings, bool enforcing = true)
         : settings_(settings), enforcing_(enforcing) {}
-    // What forbids the attempt, if anything does. `cold_requests`: what cold_share_requests() gave.
-    std::optional<Invariant> find_violation(const AttemptContext& facts, const ClassSettings& cls,
-                                            std::optional<double> cold_requests) const;
-    // A permit, where nothing does.
-    std::optional<AttemptPermit> permit(const AttemptContext& facts, const ClassSettings& cls,
-                                        std::optional<double> cold_requests) const;
+
+    // The first invariant that the attempt would violate, or nothing. `cls`: the request's class;
+    // `share_requests`: from slow_start_share_requests(), nothing where the slow-start budget is not checked.
+    std::optional<Invariant> find_violation(const AttemptContext& context, const ClassSettings& cls,
+                                            std::optional<double> share_requests) const;
+
+    // A permit where find_violation() finds nothing; nothing otherwise.
+    std::optional<AttemptPermit> permit(const AttemptContext& context, const ClassSettings& cls,
+                                        std::optional<double> share_requests) const;
 
 private:
-    std::optional<Invariant> find_retry_violation(const AttemptContext& facts,
-                                                  const ClassSettings& cls) const;
+    std::optional<Invariant> find_request_violation(const AttemptContext& context) const;
+    static std::optional<Invariant> find_retry_violation(const AttemptContext& context,
+                                                         const ClassSettings& cls);
     std::optional<Invariant> find_endpoint_violation(const EndpointSnapshot& target, const ClassSettings& cls,
-                                                     std::optional<double> cold_requests) const;
+                                                     std::optional<double> share_requests) const;
 
     const PolicySettings& settings_;
     bool enforcing_;
--- a/src/decide/close_guard.cpp
+++ b/src/decide/close_guard.cpp
@@ -5,26 +5,26 @@
 const char* name_of(CloseReason reason) {
     switch (reason) {
         case CloseReason::evicted:
-            return "made_room";
+            return "evicted";
         case CloseReason::request_timeout:
-            return "overdue";
+            return "request_timeout";
         case CloseReason::shutdown:
-            return "wind_down";
+            return "shutdown";
         case CloseReason::malformed:
             return "malformed";
         case CloseReason::peer_closed:
-            return "peer_ended";
+            return "peer_closed";
         case CloseReason::slow_reader:
-            return "reads_nothing";
+            return "slow_reader";
         case CloseReason::linger_timeout:
-            return "lingered";
+            return "linger_timeout";
         case CloseReason::process_exit:
-            return "process_ends";
+            return "process_exit";
     }
     return "unknown";
 }
 
-std::optional<Invariant> CloseGuard::find_violation(const ClosingContext& facts, CloseReason reason) {
+std::optional<Invariant> CloseGuard::find_violation(const ClosingContext& context, CloseReason reason) {
     switch (reason) {
         case CloseReason::peer_closed:
         case CloseReason::slow_reader:
@@ -32,24 +32,25 @@
         case CloseReason::process_exit:
             return std::nullopt;
         case CloseReason::malformed:
-            // What is unsent goes out, and nothing unread could be understood; what was taken is owed.
-            return facts.open_requests > 0 ? std::optional(Invariant::close_with_request_open) : std::nullopt;
+            // Unsent bytes are still written before the close, and unread bytes cannot be parsed.
+            return context.open_requests > 0 ? std::optional(Invariant::close_with_request_open)
+                                             : std::nullopt;
         case CloseReason::evicted:
         case CloseReason::request_timeout:
         case CloseReason::shutdown:
             break;
     }
-    if (facts.open_requests > 0)
+    if (context.open_requests > 0)
         return Invariant::close_with_request_open;
-    if (facts.has_unsent)
+    if (context.has_unsent)
         return Invariant::close_with_response_unsent;
-    if (facts.has_unread)
+    if (context.has_unread)
         return Invariant::close_over_unread_bytes;
     return std::nullopt;
 }
 
-std::optional<ClosePermit> CloseGuard::permit(const ClosingContext& facts, CloseReason reason) {
-    if (find_violation(facts, reason))
+std::optional<ClosePermit> CloseGuard::permit(const ClosingContext& context, CloseReason reason) {
+    if (find_violation(context, reason))
         return std::nullopt;
     return ClosePermit();
 }
--- a/src/decide/close_guard.hpp
+++ b/src/decide/close_guard.hpp
@@ -1,5 +1,12 @@
-// The one guard of closing client connections: only a permit closes one, and only this guard gives permits. A
-// connection with something unread, unsent or unanswered is closed for a named reason alone.
+// Guard of closing client connections: decides whether this side may close one now, and for which reason.
+//
+// A connection on which a response is owed, a response is partly written or received bytes are unread is
+// closed only for a reason that makes all three pointless (peer_closed, slow_reader, linger_timeout,
+// process_exit); for `malformed` only the requests read before must have been answered. The verdict is the
+// violated invariant (invariants.hpp), or none.
+//
+// Invariant: this side closes a client connection only against a ClosePermit, and only CloseGuard creates
+// permits.
 #pragma once
 
 #include <cstddef>
@@ -10,25 +17,42 @@
 
 namespace gatetiller::decide {
 
+// Why this side closes a client connection.
 enum class CloseReason : std::uint8_t {
-    evicted,          // at rest, and the table is full
-    request_timeout,  // no whole request in time
-    shutdown,         // at rest, at a planned restart
-    malformed,        // told so, and what was taken before is answered; nothing else that comes could be read
-    peer_closed,      // nobody is there
-    slow_reader,      // more answers unread than one client may hold
-    linger_timeout,   // had its time to read the last words
-    process_exit,     // the planned restart is over
+    // Idle, and closed to make room for another client (client_eviction.hpp).
+    evicted,
+    // No complete request arrived in time (ClientTimeouts).
+    request_timeout,
+    // Idle at a graceful shutdown.
+    shutdown,
+    // The client sent what cannot be parsed; it was sent an error.
+    malformed,
+    // The client closed the connection, or it broke.
+    peer_closed,
+    // The client leaves more response bytes unread than ResourceLimits::unsent_bytes.
+    slow_reader,
+    // The client did not close within ClientTimeouts::linger_timeout after its last response.
+    linger_timeout,
+    // The process exits at the end of a graceful shutdown.
+    process_exit,
 };
+// Number of values of CloseReason.
 constexpr std::size_t kCloseReasons = static_cast<std::size_t>(CloseReason::process_exit) + 1;
+
+// The enumerator's name, as it stands in logs and in the status.
 const char* name_of(CloseReason reason);
 
+// What CloseGuard considers about a client connection.
 struct ClosingContext {
-    std::size_t open_requests = 0;  // requests without a final answer
-    bool has_unsent = false;        // part of an answer has not gone out
-    bool has_unread = false;        // bytes have come that were not looked at
+    // Requests without a final response.
+    std::size_t open_requests = 0;
+    // Part of a response is not written.
+    bool has_unsent = false;
+    // Bytes were received and not read.
+    bool has_unread = false;
 };
 
+// Proof that CloseGuard admitted the close of one connection.
 class ClosePermit {
     ClosePermit() = default;
     friend class CloseGuard;
@@ -36,10 +60,10 @@
 
 class CloseGuard {
 public:
-    // What forbids closing it, if anything does. Reasons for which a connection must go all the same forbid
-    // nothing.
-    static std::optional<Invariant> find_violation(const ClosingContext& facts, CloseReason reason);
-    static std::optional<ClosePermit> permit(const ClosingContext& facts, CloseReason reason);
+    // The first invariant that closing for `reason` would violate, or nothing.
+    static std::optional<Invariant> find_violation(const ClosingContext& context, CloseReason reason);
+    // A permit where find_violation() finds nothing; nothing otherwise.
+    static std::optional<ClosePermit> permit(const ClosingContext& context, CloseReason reason);
 };
 
 }  // namespace gatetiller::decide
--- a/src/decide/endpoint_list.cpp
+++ b/src/decide/endpoint_list.cpp
@@ -7,195 +7,228 @@
 
 namespace {
 
-// A wall clock may be off by an hour when the process starts: an engine that looks older than this is not
-// young.
-constexpr Micros kTrustedAge = 2 * 3'600 * kSecondMicros;
+// An engine of the first list that appears to be younger may have started just now: the wall clock may be
+// wrong by an hour when the process starts.
+constexpr Micros kTrustedAge = Micros{2} * 3'600 * kSecondMicros;
 
-// After a numbering has started anew: what drained or went so shortly before counts as draining for so long.
-constexpr Micros kGoneLately = 60 * kSecondMicros;
-constexpr Micros kSuspectFor = 10 * kSecondMicros;
+// After a restart of the numbering: removals so recent count, and endpoints are reported as draining so long.
+constexpr Micros kRecentRemoval = 60 * kSecondMicros;
+constexpr Micros kForcedDraining = 10 * kSecondMicros;
 
-}  // namespace
+std::optional<EndpointUpdate> unless_empty(EndpointUpdate update) {
+    if (update.endpoints.empty() && update.kind == EndpointUpdateKind::incremental)
+        return std::nullopt;
+    return update;
+}
 
-Micros EndpointList::came_up(const DiscoveredEndpoint& e, Micros latest_start, Micros now,
-                             Micros wall) const {
-    if (e.started_at <= 0)
-        return 0;
-    // Both starts are told by the platform's clock, and the list is no older than the later one.
-    const Micros at_latest = now - (latest_start - e.started_at);
-    const Micros by_wall = now - std::max<Micros>(0, wall - e.started_at);
-    const bool first_list = !any_;
-    const bool old_by_wall = now - by_wall >= kTrustedAge;
-    Micros estimate = first_list && !old_by_wall ? now : by_wall;
-    if (!first_list)
-        estimate = std::max(estimate, heard_);
-    return std::max<Micros>(1, std::min(estimate, at_latest));
+EndpointUpdate incremental_update() {
+    EndpointUpdate update;
+    update.kind = EndpointUpdateKind::incremental;
+    return update;
+}
+
+Micros latest_start_of(const std::vector<DiscoveredEndpoint>& list) {
+    Micros latest_start = 0;
+    for (const DiscoveredEndpoint& endpoint : list)
+        latest_start = std::max(latest_start, endpoint.started_at);
+    return latest_start;
 }
 
+}  // namespace
+
 std::optional<EndpointUpdate> EndpointList::take(std::uint64_t number,
-                                                 const std::vector<DiscoveredEndpoint>& heard, Micros now,
-                                                 Micros wall, Micros asked) {
+                                                 const std::vector<DiscoveredEndpoint>& list, Micros now,
+                                                 Micros wall, Micros requested_at) {
     const auto serial = static_cast<std::uint32_t>(number);
-    const auto verdict = numbering_.classify(serial, asked, now);
+    const auto verdict = serials_.classify(serial, requested_at, now);
     if (verdict == UpdateVerdict::restarted)
-        suspect_all_drained(now);
-    const auto list = without_suspects(heard, now);
+        force_draining_after_restart(now);
+    const auto effective = with_forced_draining(list, now);
     switch (verdict) {
         case UpdateVerdict::newer:
         case UpdateVerdict::restarted:
-            return adopt(serial, list, now, wall);
+            return accept(serial, effective, now, wall);
         case UpdateVerdict::outdated:
             return std::nullopt;
         case UpdateVerdict::older:
-            return mark_suspect(list);
+            return mark_suspects(effective);
         case UpdateVerdict::current:
             break;
     }
-    heard_ = now;
-    if (holds(list))
+    confirmed_at_ = now;
+    if (is_accepted_list(effective))
         return clear_suspects();
-    if (list == other_)
-        return adopt(serial, list, now, wall);
-    other_ = list;
-    return mark_suspect(list);
+    if (effective == conflicting_list_)
+        return accept(serial, effective, now, wall);
+    conflicting_list_ = effective;
+    return mark_suspects(effective);
 }
 
 std::optional<EndpointUpdate> EndpointList::take(std::uint64_t number,
                                                  const std::vector<DiscoveredEndpoint>& list, Micros now,
                                                  Micros wall) {
     const auto serial = static_cast<std::uint32_t>(number);
-    if (!numbering_.advances(serial))
+    if (!serials_.advances(serial))
         return std::nullopt;
-    return adopt(serial, list, now, wall);
+    return accept(serial, list, now, wall);
 }
 
 bool EndpointList::confirm(std::uint64_t number, Micros now) {
-    const bool held = any_ && static_cast<std::uint32_t>(number) == numbering_.current();
-    if (!held || !doubted_.empty() || !other_.empty() || !suspects_.empty())
+    const bool is_current = has_list_ && static_cast<std::uint32_t>(number) == serials_.current();
+    const bool is_settled = suspects_.empty() && conflicting_list_.empty() && forced_draining_until_.empty();
+    if (!is_current || !is_settled)
         return false;
-    (void)numbering_.classify(numbering_.current(), now, now);
-    heard_ = now;
+    (void)serials_.classify(serials_.current(), now, now);
+    confirmed_at_ = now;
     return true;
 }
 
-void EndpointList::suspect_all_drained(Micros now) {
-    std::erase_if(gone_, [&](const auto& gone) {
-        return gone.second < now - kGoneLately;
-    });
-    for (const auto& [name, since] : gone_)
-        suspects_[name] = now + kSuspectFor;
-    for (const auto& [id, e] : engines_)
-        if (e.state != EndpointState::ready)
-            suspects_[e.name] = now + kSuspectFor;
-}
-
-std::vector<DiscoveredEndpoint> EndpointList::without_suspects(std::vector<DiscoveredEndpoint> list,
-                                                               Micros now) {
-    std::erase_if(suspects_, [&](const auto& suspect) {
-        return suspect.second <= now;
-    });
-    for (DiscoveredEndpoint& e : list)
-        if (suspects_.contains(e.name) && e.state == EndpointState::ready)
-            e.state = EndpointState::draining;
-    return list;
-}
-
 EndpointState EndpointList::state(EngineId id) const {
-    const auto found = engines_.find(id);
-    if (found == engines_.end())
+    const auto found = endpoints_.find(id);
+    if (found == endpoints_.end())
         return EndpointState::removed;
-    return doubted_.contains(id) ? EndpointState::draining : found->second.state;
+    return suspects_.contains(id) ? EndpointState::draining : found->second.state;
 }
 
-bool EndpointList::holds(const std::vector<DiscoveredEndpoint>& list) const {
-    if (list.size() != engines_.size())
-        return false;
-    return std::all_of(list.begin(), list.end(), [&](const DiscoveredEndpoint& e) {
-        const auto id = ids_.find(e.name);
-        return id != ids_.end() && engines_.at(id->second) == e;
-    });
+std::optional<EndpointUpdate> EndpointList::accept(std::uint32_t serial,
+                                                   const std::vector<DiscoveredEndpoint>& list, Micros now,
+                                                   Micros wall) {
+    EndpointUpdate update;
+    update.kind = has_list_ ? EndpointUpdateKind::incremental : EndpointUpdateKind::cached;
+    serials_.accept(serial, now);
+    conflicting_list_.clear();
+    const auto was_suspect = std::exchange(suspects_, {});
+    upsert_listed(list, was_suspect, now, wall, update);
+    remove_unlisted(list, now, update);
+    forget_old_removals(now);
+    has_list_ = true;
+    confirmed_at_ = now;
+    return unless_empty(std::move(update));
 }
 
-Endpoint EndpointList::entry(EngineId id, EndpointState state) const {
-    const DiscoveredEndpoint& e = engines_.at(id);
-    return {id, state, e.zone, e.kind, e.cell, came_up_.at(id), e.share};
+// Adds and changes endpoints as the list has them, and reports those that differ from what the policy knows.
+void EndpointList::upsert_listed(const std::vector<DiscoveredEndpoint>& list,
+                                 const std::set<EngineId>& was_suspect, Micros now, Micros wall,
+                                 EndpointUpdate& update) {
+    const Micros latest_start = latest_start_of(list);
+    std::set<std::string> seen;
+    for (const DiscoveredEndpoint& endpoint : list) {
+        // Of two entries with one name the first counts.
+        if (!seen.insert(endpoint.name).second)
+            continue;
+        const auto [known, is_new] = ids_.try_emplace(endpoint.name, last_id_ + 1);
+        if (is_new)
+            ++last_id_;
+        const EngineId id = known->second;
+        DiscoveredEndpoint& accepted = endpoints_[id];
+        if (!is_new && accepted == endpoint && !was_suspect.contains(id))
+            continue;
+        // A start is converted once: a later step of the wall clock must not change an engine's age.
+        if (is_new || accepted.started_at != endpoint.started_at)
+            started_at_[id] = estimate_start(endpoint.started_at, latest_start, now, wall);
+        accepted = endpoint;
+        update.endpoints.push_back(policy_entry(id, endpoint.state));
+    }
 }
 
-// Only what makes the front more careful: what drains there, or is not there.
-std::optional<EndpointUpdate> EndpointList::mark_suspect(const std::vector<DiscoveredEndpoint>& list) {
-    std::set<std::string> on;
-    for (const DiscoveredEndpoint& e : list)
-        if (e.state == EndpointState::ready)
-            on.insert(e.name);
-    EndpointUpdate change;
-    change.kind = EndpointUpdateKind::incremental;
-    for (const auto& [id, e] : engines_) {
-        if (on.contains(e.name) || state(id) != EndpointState::ready)
+void EndpointList::remove_unlisted(const std::vector<DiscoveredEndpoint>& list, Micros now,
+                                   EndpointUpdate& update) {
+    std::set<std::string> listed;
+    for (const DiscoveredEndpoint& endpoint : list)
+        listed.insert(endpoint.name);
+    for (auto known = ids_.begin(); known != ids_.end();) {
+        const auto& [name, id] = *known;
+        if (listed.contains(name)) {
+            ++known;
             continue;
-        doubted_.insert(id);
-        change.endpoints.push_back(entry(id, EndpointState::draining));
+        }
+        update.endpoints.push_back(policy_entry(id, EndpointState::removed));
+        removed_at_[name] = now;
+        endpoints_.erase(id);
+        started_at_.erase(id);
+        known = ids_.erase(known);
     }
-    if (change.endpoints.empty())
-        return std::nullopt;
-    return change;
 }
 
-// The list held came again.
+// Reports as draining what is ready in the accepted list and is not in `list`: an answer that is not accepted
+// may withdraw an endpoint, but neither add one nor remove it.
+std::optional<EndpointUpdate> EndpointList::mark_suspects(const std::vector<DiscoveredEndpoint>& list) {
+    std::set<std::string> ready;
+    for (const DiscoveredEndpoint& endpoint : list)
+        if (endpoint.state == EndpointState::ready)
+            ready.insert(endpoint.name);
+    EndpointUpdate update = incremental_update();
+    for (const auto& [id, endpoint] : endpoints_) {
+        if (ready.contains(endpoint.name) || state(id) != EndpointState::ready)
+            continue;
+        suspects_.insert(id);
+        update.endpoints.push_back(policy_entry(id, EndpointState::draining));
+    }
+    return unless_empty(std::move(update));
+}
+
+// The accepted list is confirmed: suspects are reported as it has them.
 std::optional<EndpointUpdate> EndpointList::clear_suspects() {
-    EndpointUpdate change;
-    change.kind = EndpointUpdateKind::incremental;
-    other_.clear();
-    for (const EngineId id : std::exchange(doubted_, {}))
-        change.endpoints.push_back(entry(id, engines_.at(id).state));
-    if (change.endpoints.empty())
-        return std::nullopt;
-    return change;
+    conflicting_list_.clear();
+    EndpointUpdate update = incremental_update();
+    for (const EngineId id : std::exchange(suspects_, {}))
+        update.endpoints.push_back(policy_entry(id, endpoints_.at(id).state));
+    return unless_empty(std::move(update));
 }
 
-std::optional<EndpointUpdate> EndpointList::adopt(std::uint32_t number,
-                                                  const std::vector<DiscoveredEndpoint>& list, Micros now,
-                                                  Micros wall) {
-    EndpointUpdate change;
-    change.kind = any_ ? EndpointUpdateKind::incremental : EndpointUpdateKind::cached;
-    numbering_.accept(number, now);
-    const auto doubted = std::exchange(doubted_, {});
-    other_.clear();
-    Micros latest_start = 0;
-    for (const DiscoveredEndpoint& e : list)
-        latest_start = std::max(latest_start, e.started_at);
-    std::map<std::string, EngineId> ids;
-    for (const DiscoveredEndpoint& e : list) {
-        if (ids.contains(e.name))
-            continue;  // one name twice: the first counts
-        const auto known = ids_.find(e.name);
-        const EngineId id = known != ids_.end() ? known->second : ++last_;
-        ids.emplace(e.name, id);
-        DiscoveredEndpoint& held = engines_[id];
-        if (known != ids_.end() && held == e && !doubted.contains(id))
-            continue;
-        // A start counts by the clocks of the moment it is first heard of: a later step of the wall clock
-        // must not make an engine colder or warmer.
-        if (known == ids_.end() || held.started_at != e.started_at)
-            came_up_[id] = came_up(e, latest_start, now, wall);
-        held = e;
-        change.endpoints.push_back(entry(id, e.state));
-    }
-    for (const auto& [name, id] : ids_) {
-        if (ids.contains(name))
-            continue;
-        change.endpoints.push_back(entry(id, EndpointState::removed));
-        gone_[name] = now;
-        engines_.erase(id), came_up_.erase(id);
-    }
-    std::erase_if(gone_, [&](const auto& gone) {
-        return gone.second < now - kGoneLately;
+bool EndpointList::is_accepted_list(const std::vector<DiscoveredEndpoint>& list) const {
+    if (list.size() != endpoints_.size())
+        return false;
+    return std::all_of(list.begin(), list.end(), [&](const DiscoveredEndpoint& endpoint) {
+        const auto known = ids_.find(endpoint.name);
+        return known != ids_.end() && endpoints_.at(known->second) == endpoint;
     });
-    ids_ = std::move(ids);
-    any_ = true;
-    heard_ = now;
-    if (change.endpoints.empty() && change.kind == EndpointUpdateKind::incremental)
-        return std::nullopt;
-    return change;
+}
+
+void EndpointList::force_draining_after_restart(Micros now) {
+    forget_old_removals(now);
+    for (const auto& [name, removed_at] : removed_at_)
+        forced_draining_until_[name] = now + kForcedDraining;
+    for (const auto& [id, endpoint] : endpoints_)
+        if (endpoint.state != EndpointState::ready)
+            forced_draining_until_[endpoint.name] = now + kForcedDraining;
+}
+
+std::vector<DiscoveredEndpoint> EndpointList::with_forced_draining(std::vector<DiscoveredEndpoint> list,
+                                                                   Micros now) {
+    std::erase_if(forced_draining_until_, [&](const auto& forced) {
+        return forced.second <= now;
+    });
+    for (DiscoveredEndpoint& endpoint : list)
+        if (endpoint.state == EndpointState::ready && forced_draining_until_.contains(endpoint.name))
+            endpoint.state = EndpointState::draining;
+    return list;
+}
+
+void EndpointList::forget_old_removals(Micros now) {
+    std::erase_if(removed_at_, [&](const auto& removal) {
+        return removal.second < now - kRecentRemoval;
+    });
+}
+
+Endpoint EndpointList::policy_entry(EngineId id, EndpointState state) const {
+    const DiscoveredEndpoint& endpoint = endpoints_.at(id);
+    return {id, state, endpoint.zone, endpoint.kind, endpoint.cell, started_at_.at(id), endpoint.share};
+}
+
+// A start on the monotonic clock, from `started_at` on the wall clock; 0 where it is unknown. `latest_start`:
+// the latest of the same list, which is no later than `now` and was read from the same clock.
+Micros EndpointList::estimate_start(Micros started_at, Micros latest_start, Micros now, Micros wall) const {
+    if (started_at <= 0)
+        return 0;
+    const Micros latest_possible = now - (latest_start - started_at);
+    const Micros by_wall_clock = now - std::max<Micros>(0, wall - started_at);
+    const bool is_first_list = !has_list_;
+    const bool looks_old = now - by_wall_clock >= kTrustedAge;
+    Micros estimate = is_first_list && !looks_old ? now : by_wall_clock;
+    if (!is_first_list)
+        estimate = std::max(estimate, confirmed_at_);
+    return std::max<Micros>(1, std::min(estimate, latest_possible));
 }
 
 }  // namespace gatetiller::decide
--- a/src/decide/endpoint_list.hpp
+++ b/src/decide/endpoint_list.hpp
@@ -1,6 +1,27 @@
-// The list of engines as a front node keeps it: by the name service's ids, in the order of the service's
-// numbers (serial_tracker.hpp). What changed is handed to the module; what a good whole list no longer holds
-// is gone.
+// The endpoint list of a front node: which engines exist, their states and their start times.
+//
+// A discovery source answers with complete lists, each with a serial (serial_tracker.hpp). EndpointList
+// decides which answer becomes the accepted list, gives each name of the source an EngineId of its own, and
+// returns the difference as an EndpointUpdate for the policy.
+//
+// Rules:
+// - A newer list is accepted. An endpoint that it lacks is removed.
+// - An answer that is older, or has the accepted serial with other content, is not accepted at once, as a
+//   source may now and then answer with an outdated list. Until the accepted list is confirmed, endpoints
+//   that the answer lacks or has as draining are reported as draining (suspects). Other content under the
+//   accepted serial is accepted when the same content comes twice in a row.
+// - Once the numbering has restarted, the answer is accepted. Endpoints that were draining then, or were
+// removed
+//   within the last 60 s, are reported as draining for 10 s more, as the source may only be lagging behind.
+// - A start time is converted to the monotonic clock once, when it first appears (estimate_start() below).
+// The
+//   wall clock alone never makes an engine old: it is no older than the last confirmation of a list without
+//   that start; in the first list it counts as just started unless it appears to be at least two hours old;
+//   and it is always older than the list's latest start by the difference of the two.
+//
+// Invariants: an EngineId belongs to one name for ever while the name is listed, and is never reused; an
+// address may pass from one name to another. Times are microseconds: `now` of the monotonic clock, `wall` of
+// the wall clock since 1970, both read at the same moment.
 #pragma once
 
 #include <cstdint>
@@ -15,75 +36,86 @@
 
 namespace gatetiller::decide {
 
+// One entry of a discovery source's list.
 struct DiscoveredEndpoint {
-    std::string name;     // the service's id; never used for another engine
-    std::string address;  // host:port; one that is gone may hand it on
+    // The source's identifier, which is never given to another engine.
+    std::string name;
+    // host:port. That of a removed endpoint may be given to another.
+    std::string address;
     EndpointState state = EndpointState::ready;
-    std::string zone, kind;
+    std::string zone;
+    std::string kind;
     std::int64_t cell = 0;
+    // Share of the engine's capacity, passed on to the policy as Endpoint::share.
     double share = 1;
-    Micros started_at = 0;  // wall clock, microseconds since 1970; 0: long ago
+    // Wall clock, microseconds since 1970; 0: unknown, which counts as long ago.
+    Micros started_at = 0;
     friend bool operator==(const DiscoveredEndpoint&, const DiscoveredEndpoint&) = default;
 };
 
 class EndpointList {
 public:
     // `follows_restarts`: see SerialTracker.
-    explicit EndpointList(bool follows_restarts = true) : numbering_(follows_restarts) {}
-    // A whole list with its number, heard at `now` while the wall clock stood at `wall`, asked for at
-    // `asked`. Nothing where it tells nothing new. The first one is told as the copy of the start.
-    //
-    // A list of an older number, or of the number held with other content, is not taken at once: a service
-    // may answer with an older list now and then. The engines that drain there, or are not there, count as
-    // draining until the list held is heard again. It is taken once the same comes twice under the number
-    // held, or once the numbering has started anew; what was draining or gone until then counts as draining
-    // for some time after, as it may be a service that lags behind.
-    //
-    // The wall clock alone never makes a start old: an engine is no older than the last good list that lacked
-    // its start, and one of the first list counts as new unless it looks hours old. It is older, though, by
-    // what the list's latest start is later.
+    explicit EndpointList(bool follows_restarts = true) : serials_(follows_restarts) {}
+
+    // Applies an answer of a discovery source: the complete `list` with its serial `number`, requested at
+    // `requested_at` and received at `now`. Returns what changes for the policy, or nothing; the first
+    // accepted list is an update of kind `cached`, every other one `incremental`.
     std::optional<EndpointUpdate> take(std::uint64_t number, const std::vector<DiscoveredEndpoint>& list,
-                                       Micros now, Micros wall, Micros asked);
-    // The list of a configuration: taken where its number is newer.
+                                       Micros now, Micros wall, Micros requested_at);
+    // Applies the list of a configuration: accepted where its serial is newer, ignored otherwise.
     std::optional<EndpointUpdate> take(std::uint64_t number, const std::vector<DiscoveredEndpoint>& list,
                                        Micros now, Micros wall);
-    // Whether the list of that number is the one held and nothing is in doubt, so that its content need not
-    // be read again where the same answer has come again.
+    // Confirms the accepted list by an answer of which only the serial was read. False where its content must
+    // be applied by take(): it is another serial, or some endpoint is suspect.
     bool confirm(std::uint64_t number, Micros now);
+
+    // The serial of the accepted list; 0 where there is none.
     std::uint64_t serial() const {
-        return numbering_.current();
+        return serials_.current();
     }
+    // When the accepted list was last received; 0 where there is none.
     Micros confirmed_at() const {
-        return heard_;
-    }  // when the list held was last confirmed
+        return confirmed_at_;
+    }
+    // The endpoints of the accepted list.
     const std::map<EngineId, DiscoveredEndpoint>& endpoints() const {
-        return engines_;
-    }                                        // those not gone
-    EndpointState state(EngineId id) const;  // off: gone, or never heard of
+        return endpoints_;
+    }
+    // The state that was reported to the policy; `removed` for an id that is not listed.
+    EndpointState state(EngineId id) const;
 
 private:
-    std::optional<EndpointUpdate> adopt(std::uint32_t number, const std::vector<DiscoveredEndpoint>& list,
-                                        Micros now, Micros wall);
-    std::optional<EndpointUpdate> mark_suspect(const std::vector<DiscoveredEndpoint>& list);
+    std::optional<EndpointUpdate> accept(std::uint32_t serial, const std::vector<DiscoveredEndpoint>& list,
+                                         Micros now, Micros wall);
+    void upsert_listed(const std::vector<DiscoveredEndpoint>& list, const std::set<EngineId>& was_suspect,
+                       Micros now, Micros wall, EndpointUpdate& update);
+    void remove_unlisted(const std::vector<DiscoveredEndpoint>& list, Micros now, EndpointUpdate& update);
+    std::optional<EndpointUpdate> mark_suspects(const std::vector<DiscoveredEndpoint>& list);
     std::optional<EndpointUpdate> clear_suspects();
-    bool holds(const std::vector<DiscoveredEndpoint>& list) const;
-    void suspect_all_drained(Micros now);
-    std::vector<DiscoveredEndpoint> without_suspects(std::vector<DiscoveredEndpoint> list, Micros now);
-    Endpoint entry(EngineId id, EndpointState state) const;
-    Micros came_up(const DiscoveredEndpoint& e, Micros latest_start, Micros now, Micros wall) const;
+    bool is_accepted_list(const std::vector<DiscoveredEndpoint>& list) const;
+    void force_draining_after_restart(Micros now);
+    std::vector<DiscoveredEndpoint> with_forced_draining(std::vector<DiscoveredEndpoint> list, Micros now);
+    void forget_old_removals(Micros now);
+    Endpoint policy_entry(EngineId id, EndpointState state) const;
+    Micros estimate_start(Micros started_at, Micros latest_start, Micros now, Micros wall) const;
 
-    SerialTracker numbering_;
-    Micros heard_ = 0;
-    bool any_ = false;
-    EngineId last_ = 0;
-    std::map<std::string, EngineId> ids_;  // of those not gone
-    std::map<EngineId, DiscoveredEndpoint> engines_;
-    std::map<EngineId, Micros> came_up_;  // on the loop's clock, reckoned once for each start
-    std::set<EngineId> doubted_;  // on by the list held, draining or gone by an answer that was not taken
-    std::map<std::string, Micros> gone_;      // lately, and since when
-    std::map<std::string, Micros> suspects_;  // that count as draining whatever a list says, and until when
-    std::vector<DiscoveredEndpoint>
-        other_;  // the last one that came under the number held with other content
+    SerialTracker serials_;
+    Micros confirmed_at_ = 0;
+    bool has_list_ = false;
+    EngineId last_id_ = 0;
+    // The accepted list: ids by name, and by id the entry and its start on the monotonic clock.
+    std::map<std::string, EngineId> ids_;
+    std::map<EngineId, DiscoveredEndpoint> endpoints_;
+    std::map<EngineId, Micros> started_at_;
+    // Endpoints that are ready in the accepted list and reported as draining because of another answer.
+    std::set<EngineId> suspects_;
+    // The last answer with the accepted serial and other content; empty: none since the list was confirmed.
+    std::vector<DiscoveredEndpoint> conflicting_list_;
+    // Names that were removed lately, and when.
+    std::map<std::string, Micros> removed_at_;
+    // Names that count as draining whatever an answer has, and until when.
+    std::map<std::string, Micros> forced_draining_until_;
 };
 
 }  // namespace gatetiller::decide
--- a/src/decide/readiness_guard.hpp
+++ b/src/decide/readiness_guard.hpp
@@ -1,4 +1,8 @@
-// The one guard of starting: a process says that it is ready only with a permit of this guard.
+// Guard of readiness: decides whether a process may report that it is ready to serve clients.
+//
+// The verdict is the violated invariant (invariants.hpp), or none.
+//
+// Invariant: readiness is reported only against a ReadyPermit, and only ReadinessGuard creates permits.
 #pragma once
 
 #include <optional>
@@ -7,12 +11,17 @@
 
 namespace gatetiller::decide {
 
+// What ReadinessGuard considers about the process.
 struct ReadinessContext {
-    bool has_endpoints = false;    // of engines, from the configuration or a source
-    bool is_listening = false;     // for clients
-    bool handles_signals = false;  // to end, to reload
+    // An endpoint list is loaded, from the configuration or from a discovery source.
+    bool has_endpoints = false;
+    // Clients can connect.
+    bool is_listening = false;
+    // The signals for shutdown and reload are handled.
+    bool handles_signals = false;
 };
 
+// Proof that ReadinessGuard admitted the report.
 class ReadyPermit {
     ReadyPermit() = default;
     friend class ReadinessGuard;
@@ -20,17 +29,19 @@
 
 class ReadinessGuard {
 public:
-    static std::optional<Invariant> find_violation(const ReadinessContext& facts) {
-        if (!facts.has_endpoints)
+    // The first invariant that reporting readiness would violate, or nothing.
+    static std::optional<Invariant> find_violation(const ReadinessContext& context) {
+        if (!context.has_endpoints)
             return Invariant::ready_without_endpoints;
-        if (!facts.is_listening)
+        if (!context.is_listening)
             return Invariant::ready_without_listener;
-        if (!facts.handles_signals)
+        if (!context.handles_signals)
             return Invariant::ready_without_signals;
         return std::nullopt;
     }
-    static std::optional<ReadyPermit> permit(const ReadinessContext& facts) {
-        return find_violation(facts) ? std::nullopt : std::optional(ReadyPermit());
+    // A permit where find_violation() finds nothing; nothing otherwise.
+    static std::optional<ReadyPermit> permit(const ReadinessContext& context) {
+        return find_violation(context) ? std::nullopt : std::optional(ReadyPermit());
     }
 };
 
--- a/src/decide/serial_tracker.hpp
+++ b/src/decide/serial_tracker.hpp
@@ -1,6 +1,12 @@
-// The numbers of a name service's lists: which answer is newer than what is held, and when the numbering
-// itself has started anew. Numbers are serials (RFC 1982): they wrap, and only their distance tells which is
-// newer.
+// Order of endpoint lists by their serial numbers, and detection of a restarted numbering.
+//
+// Serials compare by serial number arithmetic (RFC 1982): they wrap at 2^32, and a serial is newer where the
+// signed 32-bit distance to it is positive. A name service that restarts may begin its numbering anew with
+// serials that compare as older. A single older answer is a common fault of a service, so a restart is
+// assumed only after 8 older answers in a row over at least 2 s, without an answer of the accepted serial in
+// between, and only for a serial that is no older than the newest of them.
+//
+// Times are microseconds of one monotonic clock.
 #pragma once
 
 #include <cstdint>
@@ -10,36 +16,47 @@
 
 namespace gatetiller::decide {
 
-// What an answer with some number is to the list held.
+// How an answer relates to the accepted list.
 enum class UpdateVerdict {
+    // Its serial is newer, or no list was accepted yet.
     newer,
-    current,    // the number held, again
-    older,      // asked for after the list held had come, and yet it counts less far
-    outdated,   // asked for before that: it says nothing of now
-    restarted,  // answers have counted less far for so long that the numbering has started anew: it is the
-                // newest
+    // It has the accepted serial.
+    current,
+    // It was requested after the accepted list had arrived, and its serial is older.
+    older,
+    // Its serial is older, and it was requested before the accepted list had arrived: it says nothing about
+    // the present.
+    outdated,
+    // Its serial is older, and the numbering has restarted: it is the newest list.
+    restarted,
 };
 
 class SerialTracker {
 public:
     // `follows_restarts`: false only under fault injection, where a restarted numbering is never adopted.
     explicit SerialTracker(bool follows_restarts = true) : follows_restarts_(follows_restarts) {}
-    // An answer that came at `now` to a question of `asked`.
-    UpdateVerdict classify(std::uint32_t number, Micros asked, Micros now);
-    bool advances(std::uint32_t number) const;  // than what is held, by its number alone
-    void accept(std::uint32_t number, Micros now);
+
+    // Classifies an answer with `serial` that was requested at `requested_at` and arrived at `now`, and
+    // counts older answers. Doesn't accept the serial.
+    UpdateVerdict classify(std::uint32_t serial, Micros requested_at, Micros now);
+    // Whether `serial` is newer than the accepted one by its number alone; true where none was accepted.
+    bool advances(std::uint32_t serial) const;
+    // Makes `serial` the accepted one; its list arrived at `now`.
+    void accept(std::uint32_t serial, Micros now);
+    // The accepted serial; 0 where none was accepted.
     std::uint32_t current() const {
-        return held_.value_or(0);
+        return accepted_.value_or(0);
     }
 
 private:
     bool follows_restarts_;
-    std::optional<std::uint32_t> held_;
-    Micros held_since_ = 0;
-    int older_answers_ = 0;   // in a row, none of the number held or above between them
-    Micros older_since_ = 0;  // the first of them
-    std::uint32_t newest_older_ =
-        0;  // the newest of them: where the numbering has started anew, what is older than that is old
+    std::optional<std::uint32_t> accepted_;
+    Micros accepted_at_ = 0;
+    // Older answers since the last one of the accepted serial: their number, the first one's arrival, and the
+    // newest serial among them.
+    int older_answers_ = 0;
+    Micros older_since_ = 0;
+    std::uint32_t newest_older_ = 0;
 };
 
 }  // namespace gatetiller::decide
--- a/tests/decide/attempt_guard_test.cpp
+++ b/tests/decide/attempt_guard_test.cpp
@@ -36,9 +36,9 @@
 
 TEST_F(AttemptGuardTest, NothingIsSentOnceTheClientHasItsAnswerOrIsGone) {
     facts.final_response_sent = true;
-    EXPECT_EQ(forbidden(), Invariant::send_after_final);
+    EXPECT_EQ(forbidden(), Invariant::send_after_final_response);
     facts.client_disconnected = true;
-    EXPECT_EQ(forbidden(), Invariant::send_after_client_left);
+    EXPECT_EQ(forbidden(), Invariant::send_after_client_disconnected);
 }
 
 TEST_F(AttemptGuardTest, NothingIsSentWithoutTimeOrTriesLeft) {
@@ -52,7 +52,7 @@
 
 TEST_F(AttemptGuardTest, OneAttemptAtATimeUnlessTheSettingsAllowTwo) {
     facts.attempt_in_flight = true;
-    EXPECT_EQ(forbidden(), Invariant::send_while_attempt_out);
+    EXPECT_EQ(forbidden(), Invariant::send_while_attempt_in_flight);
     settings.can_hedge = true;
     EXPECT_EQ(forbidden(), std::nullopt);
 }
@@ -105,6 +105,12 @@
     EXPECT_EQ(forbidden(4.0), std::nullopt);
 }
 
+TEST_F(AttemptGuardTest, PermitsViolationsOnlyUnderFaultInjection) {
+    facts.client_disconnected = true;
+    EXPECT_FALSE(AttemptGuard(settings).permit(facts, cls, std::nullopt));
+    EXPECT_TRUE(AttemptGuard(settings, false).permit(facts, cls, std::nullopt));
+}
+
 // The terms: N + 2 x root of N + 2, and under 30 N + 3 x root of N + 3. All fronts share it: the sum of what
 // a fleet of any size sends is bounded by it only if each front's part and its draws keep below.
 TEST(ColdBudget, IsThatOfTheTerms) {
--- /dev/null
+++ b/tests/decide/serial_tracker_test.cpp
@@ -0,0 +1,49 @@
+// Serial numbers of endpoint lists: their order, and the detection of a restarted numbering.
+#include "decide/serial_tracker.hpp"
+
+#include <gtest/gtest.h>
+
+namespace gatetiller::decide {
+namespace {
+
+TEST(SerialTracker, OrdersBySerialNumberArithmetic) {
+    SerialTracker tracker;
+    EXPECT_TRUE(tracker.advances(0));
+    tracker.accept(0xffffffff, kSecondMicros);
+    EXPECT_TRUE(tracker.advances(0));
+    EXPECT_TRUE(tracker.advances(0x7ffffffe));
+    EXPECT_FALSE(tracker.advances(0xfffffffe));
+    EXPECT_EQ(tracker.classify(0xffffffff, kSecondMicros, kSecondMicros), UpdateVerdict::current);
+    EXPECT_EQ(tracker.classify(0xfffffffe, 0, kSecondMicros), UpdateVerdict::outdated);
+    EXPECT_EQ(tracker.classify(0xfffffffe, kSecondMicros, kSecondMicros), UpdateVerdict::older);
+}
+
+TEST(SerialTracker, ARestartNeedsEightOlderAnswersOverTwoSeconds) {
+    for (const Micros interval : {100 * kMillisecond, 250 * kMillisecond, kSecondMicros}) {
+        SerialTracker tracker;
+        Micros now = kSecondMicros;
+        tracker.accept(100, now);
+        for (int answers = 1; answers <= 40; ++answers) {
+            now += interval;
+            const bool expected = answers >= 8 && (answers - 1) * interval >= 2 * kSecondMicros;
+            EXPECT_EQ(tracker.classify(5, now, now),
+                      expected ? UpdateVerdict::restarted : UpdateVerdict::older)
+                << interval << " " << answers;
+            if (expected)
+                break;
+        }
+    }
+}
+
+TEST(SerialTracker, FollowsNoRestartUnderFaultInjection) {
+    SerialTracker tracker(false);
+    Micros now = kSecondMicros;
+    tracker.accept(100, now);
+    for (int answers = 0; answers < 40; ++answers) {
+        now += kSecondMicros;
+        EXPECT_EQ(tracker.classify(5, now, now), UpdateVerdict::outdated);
+    }
+}
+
+}  // namespace
+}  // namespace gatetiller::decide
