--- a/tests/front/hard_cases_test.cpp
+++ b/tests/front/hard_cases_test.cpp
@@ -30,7 +30,7 @@
         return w.front().statements() == 0;
     }));
     ASSERT_EQ(w.finished.size(), 1u);
-    EXPECT_EQ(w.finished[0].ended, front::Ended::served);
+    EXPECT_EQ(w.finished[0].outcome, front::StatementOutcome::served);
     w.expect_rules_kept();
 }
 
@@ -46,7 +46,7 @@
     ASSERT_TRUE(w.until([&] {
         return w.front().statements() == 0;
     }));
-    EXPECT_EQ(w.finished.at(0).ended, front::Ended::abandoned);
+    EXPECT_EQ(w.finished.at(0).outcome, front::StatementOutcome::abandoned);
     EXPECT_EQ(w.engine(0).machine().jobs(), 0u);
     w.expect_rules_kept();
 }
@@ -142,7 +142,7 @@
     ASSERT_TRUE(w.until([&] {
         return w.front().statements() == 0;
     }));
-    EXPECT_EQ(w.finished.at(0).ended, front::Ended::cut);
+    EXPECT_EQ(w.finished.at(0).outcome, front::StatementOutcome::truncated);
     w.expect_rules_kept();
 }
 
@@ -199,7 +199,7 @@
     // Told within a period of watching; the rule's grace is two seconds.
     ASSERT_TRUE(w.until([&] {
         for (const auto& [id, e] : w.front().engines().all())
-            if (e->settings.name == "e0" && e->watch.endpoint().state == EndpointState::draining)
+            if (e->settings.name == "e0" && e->state_tracker.endpoint().state == EndpointState::draining)
                 return true;
         return false;
     }));
@@ -295,7 +295,8 @@
         return !told.empty() && told.back() == EndpointState::ready;
     }));
     EXPECT_EQ(told.front(), EndpointState::draining);
-    EXPECT_GT(w.front().engines().all().at(2)->watch.endpoint().started_at, 0) << "its uptime is not known";
+    EXPECT_GT(w.front().engines().all().at(2)->state_tracker.endpoint().started_at, 0)
+        << "its uptime is not known";
 }
 
 TEST(HardCases, ALargeResultToASlowReaderIsHeldInBoundedPieces) {
--- a/tests/node/crossing_test.cpp
+++ b/tests/node/crossing_test.cpp
@@ -106,7 +106,7 @@
 class Crossing : public SocketRig {
 protected:
     Crossing() {
-        settings.connect_time_out = 20 * kSecondMicros;
+        settings.connect_timeout = 20 * kSecondMicros;
     }
 
     // What a client's request is, by its bytes.
@@ -172,8 +172,8 @@
 
 TEST_F(Crossing, ARequestWhoseClientLeavesWhileItsConnectionComesUpIsNeverSent) {
     for (const bool may_cancel : {true, false}) {
-        settings.module.can_cancel = may_cancel;
-        node.reset(), clients.clear(), settings.known.clear();
+        settings.policy.can_cancel = may_cancel;
+        node.reset(), clients.clear(), settings.known_endpoints.clear();
         settings.listen = at("");
         HeldEngine held;
         ASSERT_TRUE(until([&] {
@@ -186,7 +186,7 @@
         request_waits(leaves, left);
         leaves.give_up(1);
         ASSERT_TRUE(until([&] {
-            return node->requests() == 0;
+            return node->active_requests() == 0;
         }));
         // Another one over the same connection is the first that the engine hears of.
         auto& stays = client();
@@ -215,7 +215,7 @@
     auto& stays = client();
     const auto seq = stays.ask(ask());
     ASSERT_TRUE(until([&] {
-        return stays.open() == 0 && node->requests() == 0;
+        return stays.open() == 0 && node->active_requests() == 0;
     }));
     EXPECT_EQ(stays.got().at(seq).how, "served");
     for (const auto& r : records.engines)
@@ -272,22 +272,22 @@
         ::nanosleep(&stall, nullptr);
     });
     ASSERT_TRUE(until([&] {
-        return log.find(a.trace + " lookup taken") != std::string::npos;
+        return log.find(a.trace + " lookup accepted") != std::string::npos;
     }));
-    const auto left_at = log.find("left_ms=", log.find(a.trace + " lookup taken"));
+    const auto left_at = log.find("left_ms=", log.find(a.trace + " lookup accepted"));
     EXPECT_LE(std::stoll(log.substr(left_at + 8)), a.patience / kMillisecond - 150);
 }
 
 // ---- What an end proves
 
 struct Ends final : node::Exchange::Events {
-    void on_note(ProgressKind, double) override {}
+    void on_progress(ProgressKind, double) override {}
     void on_end(decide::ExchangeResult e) override {
         how = e.status, why = e.detail;
     }
     std::string why;
-    std::optional<Request> request() override {
-        return Request{"-", body};
+    std::optional<node::Exchange::Request> current_request() override {
+        return node::Exchange::Request{"-", body};
     }
     bool may_begin(std::uint64_t) override {
         return allowed;
@@ -317,11 +317,11 @@
         raw.receive_little();
         const auto address = raw.listen(16);
         decide::ConnectionLimits limits{.max_connections = 1, .max_streams = 10'000};
-        pool.most = 1;
-        link = std::make_unique<node::EngineLink>(loop, address, limits, pool);
+        pool.max_connections = 1;
+        link = std::make_unique<node::EngineConnections>(loop, address, limits, pool);
         for (int i = 0; i < 300; ++i) {
             ends.push_back(std::make_unique<Ends>());
-            exchanges.push_back(link->ask(permit(), "id-" + std::to_string(i) + ".", *ends.back()));
+            exchanges.push_back(link->send_request(permit(), "id-" + std::to_string(i) + ".", *ends.back()));
         }
         ASSERT_TRUE(await(loop, [&] {
             return (peer = raw.accept()) != nullptr;
@@ -332,18 +332,18 @@
     net::PollLoop loop;
     RawSocket raw;
     std::unique_ptr<RawSocket> peer;
-    node::LinkPool pool;
+    node::ConnectionPool pool;
     std::vector<std::unique_ptr<Ends>> ends;
     std::vector<std::unique_ptr<node::Exchange>> exchanges;
-    std::unique_ptr<node::EngineLink> link;
+    std::unique_ptr<node::EngineConnections> link;
 };
 
 TEST_F(DeafEngine, WhatWaitsBehindOneThatReadsNothingIsTakenBackWithoutAWord) {
-    EXPECT_FALSE(exchanges.front()->take_back());  // with the kernel
-    EXPECT_TRUE(exchanges[298]->take_back());
-    exchanges[299]->priority(3);
+    EXPECT_FALSE(exchanges.front()->withdraw_unsent());  // with the kernel
+    EXPECT_TRUE(exchanges[298]->withdraw_unsent());
+    exchanges[299]->set_priority(3);
     exchanges[299].reset();  // given up: neither it nor what was said of it goes out
-    exchanges[297]->priority(2);
+    exchanges[297]->set_priority(2);
     ASSERT_TRUE(await(loop, [&] {
         peer->read();
         return peer->got.find("bump") != std::string::npos;
@@ -360,11 +360,11 @@
     // The first that a look at the buffer can't take back is either whole with the kernel or partly so: all
     // of those.
     for (auto& e : exchanges)
-        if (!e->take_back())
+        if (!e->withdraw_unsent())
             e.reset();
     ASSERT_TRUE(await(loop, [&] {
         const bool open = peer->read();
-        return !open || link->connections() == 0;
+        return !open || link->size() == 0;
     }));
     for (int i = 0; i < 50; ++i)
         loop.turn(kMillisecond);
@@ -377,7 +377,7 @@
         rest.remove_prefix(size);
     EXPECT_EQ(rest.find("undo"), std::string_view::npos);
     EXPECT_EQ(rest.find("\r\n*"), std::string_view::npos) << "something followed a request cut in its middle";
-    EXPECT_EQ(link->connections(), 0u);
+    EXPECT_EQ(link->size(), 0u);
 }
 
 // What the kernel still holds of requests given up, for an engine that has acknowledged nothing of it, would
@@ -386,7 +386,7 @@
     for (auto& e : exchanges)
         e.reset();
     ASSERT_TRUE(await(loop, [&] {
-        return link->connections() == 0;
+        return link->size() == 0;
     }));
     ASSERT_TRUE(await(loop, [&] {
         return !peer->read();
@@ -400,10 +400,11 @@
 TEST(EngineLinkTest, ARequestThatMayNotBeginAnyMoreWhenItsConnectionComesUpNeverDoes) {
     net::PollLoop loop;
     RawSocket raw;
-    node::LinkPool pool;
-    node::EngineLink link(loop, raw.listen(16), {.max_connections = 1, .max_streams = 10}, pool);
+    node::ConnectionPool pool;
+    node::EngineConnections link(loop, raw.listen(16), {.max_connections = 1, .max_streams = 10}, pool);
     Ends first, second;
-    const auto a = link.ask(permit(), "id-a.", first), b = link.ask(permit(), "id-b.", second);
+    const auto a = link.send_request(permit(), "id-a.", first),
+               b = link.send_request(permit(), "id-b.", second);
     first.allowed = false;
     std::unique_ptr<RawSocket> peer;
     ASSERT_TRUE(await(loop, [&] {
@@ -422,8 +423,8 @@
 class UnacknowledgedRequest : public Crossing {
 protected:
     UnacknowledgedRequest() {
-        settings.module.can_cancel = false;
-        settings.module.drain_grace = 300 * kMillisecond;
+        settings.policy.can_cancel = false;
+        settings.policy.drain_grace = 300 * kMillisecond;
         raw.receive_little();
         address = raw.listen(16);
     }
@@ -469,7 +470,7 @@
     ASSERT_TRUE(until([&] {
         return log.find("engine s-raw drains") != std::string::npos;
     }));
-    expect_discarded_by(settings.module.drain_grace + 50 * kMillisecond);
+    expect_discarded_by(settings.policy.drain_grace + 50 * kMillisecond);
     auto& c = *clients.back();
     ASSERT_TRUE(until([&] {
         return c.open() == 0;
@@ -483,7 +484,7 @@
     clients.back()->give_up(seq);
     expect_discarded_by(100 * kMillisecond);
     ASSERT_TRUE(until([&] {
-        return node->requests() == 0;
+        return node->active_requests() == 0;
     }));
 }
 
@@ -509,7 +510,7 @@
         EXPECT_EQ(peer->got.find("id-299."), std::string::npos);
         return;
     }
-    EXPECT_GT(pool.renewed, 0u);
+    EXPECT_GT(pool.rewritten, 0u);
     const auto last = peer->got.rfind("id-299.");
     EXPECT_EQ(peer->got.find('x', last), std::string::npos);
     // In their order, each once.
@@ -551,7 +552,7 @@
 
 // A class that may not be repeated is tried again where its first connection ended before it was written.
 TEST_F(Crossing, OnceIsTriedAgainOnlyWhereItWasProvablyNeverSent) {
-    settings.module.classes[1].idempotency = Idempotency::non_idempotent;
+    settings.policy.classes[1].idempotency = Idempotency::non_idempotent;
     HeldEngine held;
     ASSERT_TRUE(until([&] {
         return held.full();
@@ -573,7 +574,7 @@
 
 // A repeat must arrive while the engines still know its key: not when its connection at last comes up.
 TEST_F(Crossing, ARepeatThatWaitsPastItsWindowIsTakenBack) {
-    settings.module.classes[1].key_window = 1'500 * kMillisecond;
+    settings.policy.classes[1].key_window = 1'500 * kMillisecond;
     HeldEngine held;
     ASSERT_TRUE(until([&] {
         return held.full();
@@ -788,7 +789,7 @@
     node->drain([&] {
         over = true;
     });
-    const auto times = decide::derive_shutdown_schedule(settings.module);
+    const auto times = decide::derive_shutdown_schedule(settings.policy);
     ASSERT_TRUE(until([&] {
         return loop.now() - since > times.listen_until + 100 * kMillisecond;
     }));
