--- a/tests/front/whole.hpp
+++ b/tests/front/front_test_bed.hpp
@@ -18,23 +18,23 @@
 
 namespace gatetiller::testing {
 
-struct Asked {  // one client's view of one statement
+struct ClientStatement {  // one client's view of one statement
     std::unique_ptr<statement::StatementClient> client;
     std::vector<std::string> pages;
-    int finals = 0;
+    int final_documents = 0;
     bool ended = false;
     statement::ClientResult result;
     std::string trace;
-    bool taken = false;
+    bool accepted = false;
     std::string error() const {
         return result.last.error ? result.last.error->name : "";
     }
 };
 
 // The real loop with a wall clock that a test sets.
-class SteppedLoop final : public net::Loop {
+class LoopWithWallClockStep final : public net::Loop {
 public:
-    explicit SteppedLoop(net::Loop& below) : below_(below) {}
+    explicit LoopWithWallClockStep(net::Loop& below) : below_(below) {}
     Micros now() const override {
         return below_.now();
     }
@@ -71,13 +71,13 @@
     net::Loop& below_;
 };
 
-class Whole {
+class FrontTestBed {
 public:
     static constexpr Micros kLimit = 30 * kSecondMicros;  // generous: reached only by a failure
 
     // `break_it` changes what the front is told, against what the rules are judged by.
-    explicit Whole(int engines, const std::string& more = "", engine::MachineSettings machine = {},
-                   const std::function<void(config::FrontSettings&)>& break_it = nullptr) {
+    explicit FrontTestBed(int engines, const std::string& more = "", engine::MachineSettings machine = {},
+                          const std::function<void(config::FrontSettings&)>& break_it = nullptr) {
         for (int i = 0; i < engines; ++i)
             add_engine(machine);
         std::string list;
@@ -153,12 +153,12 @@
         records.lab.push_back({loop.now(), "front_killed", "tested", ""});
         front_ = make_front();
     }
-    Asked& ask(const std::string& sql, const std::string& source = "test", const std::string& trace = "",
-               const std::string& tag = "") {
-        asked.push_back(std::make_unique<Asked>());
-        Asked& a = *asked.back();
+    ClientStatement& submit(const std::string& sql, const std::string& source = "test",
+                            const std::string& trace = "", const std::string& tag = "") {
+        submitted.push_back(std::make_unique<ClientStatement>());
+        ClientStatement& a = *submitted.back();
         a.client = std::make_unique<statement::StatementClient>(loop, *http, statement::EngineCallOptions{});
-        a.trace = trace.empty() ? "a" + std::to_string(asked.size()) + ".0" : trace;
+        a.trace = trace.empty() ? "a" + std::to_string(submitted.size()) + ".0" : trace;
         const auto note = [this, &a](const char* event, const std::string& detail) {
             records.clients.push_back({loop.now(), event, a.trace, "tested", "", "", "", 0, 0, detail});
         };
@@ -173,11 +173,11 @@
             r.key = tag.substr(4);
         a.client->start(headers(source, a.trace, tag), sql,
                         {[&a, note](const statement::Document& d) {
-                             if (!std::exchange(a.taken, true))
+                             if (!std::exchange(a.accepted, true))
                                  note("taken", "");
                              if (d.has_rows())
                                  a.pages.push_back(d.data);
-                             a.finals += d.final();
+                             a.final_documents += d.final();
                          },
                          [&a, note](const statement::ClientResult& done) {
                              a.ended = true, a.result = done;
@@ -203,7 +203,7 @@
         records.sort();
         return lab::judge(records);
     }
-    void expect_rules_kept() {
+    void expect_no_violations() {
         const auto j = judged();
         for (const auto& v : j.violations)
             ADD_FAILURE() << "rule " << v.rule << ": " << v.trace << ": " << v.what << "\n" << v.story;
@@ -221,7 +221,7 @@
         return h;
     }
     template <typename Condition>
-    [[nodiscard]] bool until(Condition condition) {
+    [[nodiscard]] bool wait_until(Condition condition) {
         return await(loop, condition, kLimit);
     }
     // One exchange, awaited.
@@ -232,12 +232,12 @@
         auto call = http->send({method, target, 1, std::move(h), body, {}}, kLimit, [&](http::Answer a) {
             got = std::move(a), done = true;
         });
-        EXPECT_TRUE(until([&] {
+        EXPECT_TRUE(wait_until([&] {
             return done;
         }));
         return got;
     }
-    bool all_engines_on() const {
+    bool all_engines_ready() const {
         const auto& all = front_->engines().all();
         return std::all_of(all.begin(), all.end(), [](const auto& e) {
             return e.second->state_tracker.endpoint().state == EndpointState::ready;
@@ -260,7 +260,7 @@
     }
 
     net::PollLoop loop;
-    SteppedLoop clock{loop};
+    LoopWithWallClockStep clock{loop};
     config::FrontSettings settings;
     std::function<bool(const Event&)> drop_event;  // true: the module never hears of it
     store::LedgerWriter* ledger = nullptr;
@@ -268,7 +268,7 @@
     std::vector<engine::Entry> journal;
     std::string events;  // what the engines' own listeners told, a line each
     std::vector<front::FinishedStatement> finished;
-    std::vector<std::unique_ptr<Asked>> asked;
+    std::vector<std::unique_ptr<ClientStatement>> submitted;
     std::unique_ptr<http::Client> http;
 
 private:
--- a/tests/front/ledger_test.cpp
+++ b/tests/front/ledger_test.cpp
@@ -5,7 +5,7 @@
 #include <filesystem>
 #include <sstream>
 
-#include "front/whole.hpp"
+#include "front/front_test_bed.hpp"
 #include "store/books.hpp"
 
 namespace gatetiller::testing {
@@ -26,7 +26,7 @@
         std::filesystem::remove_all(folder);
     }
 
-    void keep(Whole& w, int life) {
+    void keep(FrontTestBed& w, int life) {
         store::WriterSettings s;
         s.file = folder + "/front.ledger", s.front = "tested";
         s.life = "00000000000000" + std::to_string(10 + life), s.flush_every = 20 * kMillisecond;
@@ -100,26 +100,26 @@
 TEST_F(LedgerTest, EveryQueryReconcilesThroughFaultsAndAKilledFront) {
     engine::MachineSettings machine;
     machine.cores = 4;
-    Whole w(3, "rules+: { warm_up: '10ms' }", machine);
+    FrontTestBed w(3, "rules+: { warm_up: '10ms' }", machine);
     keep(w, 1);
     w.restart();  // with the ledger
     Random random(11);
     engine::Faults faults;
     faults.fast_errors = 0.1, faults.answer_lost = 0.1, faults.busy = 0.1, faults.lost_resets = true;
-    std::vector<Asked*> all;
+    std::vector<ClientStatement*> all;
     for (int life = 1; life <= 3; ++life) {
         for (std::size_t i = 0; i < 3; ++i)
             w.engine(i).set(faults);
         for (int i = 0; i < 60; ++i) {
             const char* source = std::array{"test", "unsafe", "long", "keyed"}[random.below(4)];
             const int n = static_cast<int>(all.size());
-            all.push_back(
-                &w.ask("SELECT " + std::to_string(n) + " /* gt: work_ms=" + std::to_string(random.below(60)) +
-                           " mem_mb=" + std::to_string(random.below(9000)) + " rows=2 */",
-                       source, "", "key=k" + std::to_string(n) + ",team=t" + std::to_string(n % 3)));
+            all.push_back(&w.submit(
+                "SELECT " + std::to_string(n) + " /* gt: work_ms=" + std::to_string(random.below(60)) +
+                    " mem_mb=" + std::to_string(random.below(9000)) + " rows=2 */",
+                source, "", "key=k" + std::to_string(n) + ",team=t" + std::to_string(n % 3)));
             if (random.chance(0.15)) {
                 const Micros until = w.loop.now() + static_cast<Micros>(random.below(20)) * kMillisecond;
-                (void)w.until([&] {
+                (void)w.wait_until([&] {
                     return w.loop.now() >= until;
                 });
                 all.back()->client->cancel();
@@ -127,7 +127,7 @@
             w.loop.turn(kMillisecond);
         }
         const Micros on = w.loop.now() + 300 * kMillisecond;
-        (void)w.until([&] {
+        (void)w.wait_until([&] {
             return w.loop.now() >= on;
         });
         if (life < 3) {  // a kill: what waits is not written, and the next life begins on the same file
@@ -139,7 +139,7 @@
     }
     for (std::size_t i = 0; i < 3; ++i)
         w.engine(i).set({});
-    ASSERT_TRUE(w.until([&] {
+    ASSERT_TRUE(w.wait_until([&] {
         return w.front().statements() == 0 &&
                w.engine(0).machine().jobs() + w.engine(1).machine().jobs() + w.engine(2).machine().jobs() ==
                    0;
@@ -163,25 +163,25 @@
     EXPECT_EQ(again.findings, s.findings);
     EXPECT_EQ(again.work, s.work);
     EXPECT_EQ(again.journal.events_known, again.journal.events);
-    w.expect_rules_kept();
+    w.expect_no_violations();
 }
 
 TEST_F(LedgerTest, WorkAfterLeavingAndSpillAreToldApart) {
     engine::MachineSettings machine;
     machine.cores = 2, machine.memory_mb = 100, machine.when_short = MemoryShortagePolicy::trim;
     machine.cancel_stops = false;  // an engine that doesn't heed
-    Whole w(1, "", machine);
+    FrontTestBed w(1, "", machine);
     keep(w, 1);
     w.restart();
-    auto& a = w.ask("SELECT 1 /* gt: work_ms=600 mem_mb=4000 rows=1 */", "long");
-    ASSERT_TRUE(w.until([&] {
+    auto& a = w.submit("SELECT 1 /* gt: work_ms=600 mem_mb=4000 rows=1 */", "long");
+    ASSERT_TRUE(w.wait_until([&] {
         return w.count("spilled") > 0;
     }));
     a.client->cancel();
-    ASSERT_TRUE(w.until([&] {
+    ASSERT_TRUE(w.wait_until([&] {
         return !w.events.empty();
     }));
-    ASSERT_TRUE(w.until([&] {
+    ASSERT_TRUE(w.wait_until([&] {
         return w.front().statements() == 0;
     }));
     writer->finish(w.loop.now(), w.loop.wall());
@@ -198,12 +198,12 @@
 
 // A client sends tags that look like the front's own, to have its work counted as another's.
 TEST_F(LedgerTest, AForgedNameIsTakenOut) {
-    Whole w(1);
+    FrontTestBed w(1);
     keep(w, 1);
     w.restart();
     auto& a =
-        w.ask("SELECT 1 /* gt: work_ms=5 */", "test", "", "gatetiller-attempt=0000000000000099.7.0,x=y");
-    ASSERT_TRUE(w.until([&] {
+        w.submit("SELECT 1 /* gt: work_ms=5 */", "test", "", "gatetiller-attempt=0000000000000099.7.0,x=y");
+    ASSERT_TRUE(w.wait_until([&] {
         return a.ended && w.front().statements() == 0;
     }));
     writer->finish(w.loop.now(), w.loop.wall());
@@ -216,7 +216,7 @@
 // Over its budget a team's statements are turned away at the door; another team's are not; and the front that
 // is started again knows it from the ledger.
 TEST_F(LedgerTest, ABudgetIsKeptThroughARestart) {
-    Whole w(
+    FrontTestBed w(
         1,
         "rules+: { warm_up: '10ms' }, tenants: { a: g.tenant(0.5), b: g.tenant(0.3), spent: g.tenant(0.2) },"
         "budgets: { window: '1h', over: 'spent', teams: {"
@@ -232,8 +232,8 @@
     with_past(1);
     w.restart();
     const auto served = [&](const char* tag) {
-        auto& a = w.ask("SELECT 1 /* gt: work_ms=80 */", "test", "", tag);
-        EXPECT_TRUE(w.until([&] {
+        auto& a = w.submit("SELECT 1 /* gt: work_ms=80 */", "test", "", tag);
+        EXPECT_TRUE(w.wait_until([&] {
             return a.ended;
         }));
         return a.result.how == statement::ClientResult::How::answered && a.error().empty();
@@ -244,32 +244,32 @@
     EXPECT_EQ(taken, 3);                           // 240 ms of the 200
     EXPECT_EQ(w.finished.back().tenant, "spent");  // over the soft one before
     EXPECT_TRUE(served("team=b"));
-    ASSERT_TRUE(w.until([&] {
+    ASSERT_TRUE(w.wait_until([&] {
         return writer->status().waiting == 0 && w.front().statements() == 0;
     }));
     auto killed = std::move(writer);
     with_past(2);
     w.restart();
     killed.reset();
-    ASSERT_TRUE(w.until([&] {
+    ASSERT_TRUE(w.wait_until([&] {
         return writer->status().batches > 1;
     }));
     EXPECT_FALSE(served("team=a"));
     EXPECT_TRUE(served("team=b"));
-    w.expect_rules_kept();
+    w.expect_no_violations();
 }
 
 // The disk fails for good: statements are served as ever, the trouble is told in the log's way and in status.
 TEST_F(LedgerTest, AFrontServesOnWithoutItsLedger) {
-    Whole w(1, "rules+: { warm_up: '10ms' }");
+    FrontTestBed w(1, "rules+: { warm_up: '10ms' }");
     store::WriterSettings s;
     s.file = "/proc/no/such/place/front.ledger", s.front = "tested", s.life = "0000000000000011";
     s.flush_every = 10 * kMillisecond;
     store::LedgerWriter broken(s);
     w.ledger = &broken;
     w.restart();
-    auto& a = w.ask("SELECT 1 /* gt: work_ms=5 */");
-    ASSERT_TRUE(w.until([&] {
+    auto& a = w.submit("SELECT 1 /* gt: work_ms=5 */");
+    ASSERT_TRUE(w.wait_until([&] {
         return a.ended && w.front().statements() == 0;
     }));
     EXPECT_TRUE(a.error().empty()) << a.error();
@@ -277,7 +277,7 @@
               std::string::npos);
     EXPECT_NE(w.exchange("GET", "/metrics").response.body.find("what=\"ledger_written\"} 0"),
               std::string::npos);
-    w.expect_rules_kept();
+    w.expect_no_violations();
 }
 
 }  // namespace
--- a/tests/lab/broken_front_test.cpp
+++ b/tests/lab/broken_front_test.cpp
@@ -1,13 +1,13 @@
 // Real fronts, deliberately broken one rule at a time, over real sockets: the checker must catch each, and
 // must find nothing in the same scene with a front that is whole.
-#include "front/whole.hpp"
+#include "front/front_test_bed.hpp"
 
 namespace gatetiller::testing {
 namespace {
 
 using Break = std::function<void(config::FrontSettings&)>;
 
-std::set<int> broken(Whole& w) {
+std::set<int> broken(FrontTestBed& w) {
     std::set<int> rules;
     for (const auto& v : w.judged().violations) {
         rules.insert(v.rule);
@@ -16,8 +16,8 @@
     return rules;
 }
 
-bool all_ended(Whole& w) {
-    return std::all_of(w.asked.begin(), w.asked.end(), [](const auto& a) {
+bool all_ended(FrontTestBed& w) {
+    return std::all_of(w.submitted.begin(), w.submitted.end(), [](const auto& a) {
         return a->ended;
     });
 }
@@ -27,11 +27,11 @@
 void caught(int rule, int engines, const std::string& more, engine::MachineSettings machine,
             const Break& break_it, Scene scene) {
     {
-        Whole whole(engines, more, machine);
+        FrontTestBed whole(engines, more, machine);
         scene(whole);
-        whole.expect_rules_kept();
+        whole.expect_no_violations();
     }
-    Whole with_fault(engines, more, machine, break_it);
+    FrontTestBed with_fault(engines, more, machine, break_it);
     scene(with_fault);
     EXPECT_TRUE(broken(with_fault).contains(rule)) << "rule " << rule << " was broken unseen";
 }
@@ -44,11 +44,11 @@
                 c.deadline = 20 * kSecondMicros, c.late_value_share = 1;
             s.calls.answer_time_out = 20 * kSecondMicros;
         },
-        [](Whole& w) {
+        [](FrontTestBed& w) {
             w.engine(0).set({.hang = true});
-            Asked& a = w.ask("SELECT 1 /* gt: work_ms=10 */", "unsafe");
+            ClientStatement& a = w.submit("SELECT 1 /* gt: work_ms=10 */", "unsafe");
             const Micros end = w.loop.now() + 5 * kSecondMicros + 20 * kMillisecond;
-            (void)w.until([&] {
+            (void)w.wait_until([&] {
                 return a.ended || w.loop.now() >= end;
             });
             if (!a.ended)
@@ -65,11 +65,11 @@
             for (auto& c : s.module.classes)
                 c.idempotency = Idempotency::idempotent;
         },
-        [](Whole& w) {
+        [](FrontTestBed& w) {
             for (std::size_t i = 0; i < 2; ++i)
                 w.engine(i).set({.fast_errors = 1});
-            w.ask("INSERT 1", "unsafe");
-            ASSERT_TRUE(w.until([&] {
+            w.submit("INSERT 1", "unsafe");
+            ASSERT_TRUE(w.wait_until([&] {
                 return all_ended(w);
             }));
         });
@@ -78,7 +78,7 @@
 TEST(BrokenFront, ThatDoesNotHearOfDrains) {
     bool deaf = false;
     for (const bool whole : {true, false}) {
-        Whole w(2, "rules+: { drain_grace: '200ms' }");
+        FrontTestBed w(2, "rules+: { drain_grace: '200ms' }");
         // Deaf to drains from then on: it still asks for the state, as the sockets show.
         w.drop_event = [&](const Event& e) {
             const auto* change = std::get_if<EndpointUpdate>(&e);
@@ -86,19 +86,19 @@
                    change->endpoints[0].state == EndpointState::draining;
         };
         w.restart();
-        ASSERT_TRUE(w.until([&] {
-            return w.all_engines_on();
+        ASSERT_TRUE(w.wait_until([&] {
+            return w.all_engines_ready();
         }));
         deaf = !whole;
         w.engine(0).drain();
         // Longer than an engine that turned something away is left alone.
-        w.ask("SELECT 1 /* gt: work_ms=1500 */", "long");
-        ASSERT_TRUE(w.until([&] {
+        w.submit("SELECT 1 /* gt: work_ms=1500 */", "long");
+        ASSERT_TRUE(w.wait_until([&] {
             return all_ended(w);
         }));
         for (int i = 0; i < 12; ++i)
-            w.ask("SELECT 1 /* gt: work_ms=5 */");
-        ASSERT_TRUE(w.until([&] {
+            w.submit("SELECT 1 /* gt: work_ms=5 */");
+        ASSERT_TRUE(w.wait_until([&] {
             return all_ended(w);
         }));
         EXPECT_EQ(broken(w).contains(3), !whole);
@@ -114,14 +114,14 @@
         [](auto& s) {
             s.module.slow_start_window = 0, s.module.kinds[0].cores = 100;
         },
-        [](Whole& w) {
+        [](FrontTestBed& w) {
             // The engine's uptime is known before the first statement comes.
-            ASSERT_TRUE(w.until([&] {
+            ASSERT_TRUE(w.wait_until([&] {
                 return w.front().engines().all().begin()->second->state_tracker.endpoint().started_at > 0;
             }));
             for (int i = 0; i < 40; ++i)
-                w.ask("SELECT 1 /* gt: work_ms=100 */");
-            ASSERT_TRUE(w.until([&] {
+                w.submit("SELECT 1 /* gt: work_ms=100 */");
+            ASSERT_TRUE(w.wait_until([&] {
                 return all_ended(w) || w.count("fallen") > 0;
             }));
         });
@@ -134,14 +134,14 @@
             for (auto& c : s.module.classes)
                 c.ordered_by_key = false;
         },
-        [](Whole& w) {
+        [](FrontTestBed& w) {
             for (int i = 0; i < 4; ++i) {
-                w.ask("SELECT 1 /* gt: work_ms=50 */", "test", "", "key=k");
-                ASSERT_TRUE(w.until([&] {
-                    return w.asked.back()->taken;
+                w.submit("SELECT 1 /* gt: work_ms=50 */", "test", "", "key=k");
+                ASSERT_TRUE(w.wait_until([&] {
+                    return w.submitted.back()->accepted;
                 }));
             }
-            ASSERT_TRUE(w.until([&] {
+            ASSERT_TRUE(w.wait_until([&] {
                 return all_ended(w);
             }));
         });
@@ -157,10 +157,10 @@
             for (auto& c : s.module.classes)
                 c.allowed_kinds.reset();
         },
-        [](Whole& w) {
+        [](FrontTestBed& w) {
             for (int i = 0; i < 12; ++i)
-                w.ask("SELECT 1 /* gt: work_ms=5 */");
-            ASSERT_TRUE(w.until([&] {
+                w.submit("SELECT 1 /* gt: work_ms=5 */");
+            ASSERT_TRUE(w.wait_until([&] {
                 return all_ended(w);
             }));
         });
@@ -172,12 +172,12 @@
         [](auto& s) {
             s.module.retry_budget_base.reset(), s.module.retry_budget_ratio.reset();
         },
-        [](Whole& w) {
+        [](FrontTestBed& w) {
             for (std::size_t i = 0; i < 2; ++i)
                 w.engine(i).set({.fast_errors = 0.8});
             for (int i = 0; i < 30; ++i)
-                w.ask("SELECT 1 /* gt: work_ms=5 */");
-            ASSERT_TRUE(w.until([&] {
+                w.submit("SELECT 1 /* gt: work_ms=5 */");
+            ASSERT_TRUE(w.wait_until([&] {
                 return all_ended(w);
             }));
         });
