--- a/src/front/front.hpp
+++ b/src/front/front.hpp
@@ -17,7 +17,7 @@
 #include "decide/request_lifecycle.hpp"
 #include "front/engines.hpp"
 #include "front/metrics.hpp"
-#include "store/writer.hpp"
+#include "store/ledger_writer.hpp"
 
 namespace gatetiller::front {
 
--- a/src/front/metrics.hpp
+++ b/src/front/metrics.hpp
@@ -13,7 +13,7 @@
 #include "base/time.hpp"
 #include "decide/invariants.hpp"
 #include "policy/gateway_policy.hpp"
-#include "store/writer.hpp"
+#include "store/ledger_writer.hpp"
 
 namespace gatetiller::front {
 
--- a/src/report/report.hpp
+++ b/src/report/report.hpp
@@ -7,7 +7,7 @@
 #include "decide/charge.hpp"
 #include "report/calendar.hpp"
 #include "report/settlement.hpp"
-#include "store/books.hpp"
+#include "store/accounting_store.hpp"
 
 namespace gatetiller::report {
 
--- a/src/store/books.cpp
+++ b/src/store/accounting_store.cpp
@@ -1,4 +1,4 @@
-#include "store/books.hpp"
+#include "store/accounting_store.hpp"
 
 #include <algorithm>
 #include <limits>
--- a/src/store/ledger.hpp
+++ b/src/store/ledger.hpp
@@ -1,6 +1,6 @@
 // The ledger in its file: every request's account as rows, written in batches, each batch whole or not at
 // all. The same file form serves a front (one life after another) and the settlement's books (rows of many
-// fronts and the engines' journals, see books.hpp). Not for use by two threads at once.
+// fronts and the engines' journals, see accounting_store.hpp). Not for use by two threads at once.
 //
 // A life is one run of a front, from its start to its end or its killing. A request is (life, number).
 #pragma once
--- a/src/store/writer.cpp
+++ b/src/store/ledger_writer.cpp
@@ -1,4 +1,4 @@
-#include "store/writer.hpp"
+#include "store/ledger_writer.hpp"
 
 #include <sys/resource.h>
 #include <unistd.h>
--- a/tests/front/ledger_test.cpp
+++ b/tests/front/ledger_test.cpp
@@ -6,7 +6,7 @@
 #include <sstream>
 
 #include "front/whole.hpp"
-#include "store/books.hpp"
+#include "store/accounting_store.hpp"
 
 namespace gatetiller::testing {
 namespace {
--- a/tests/report/report_test.cpp
+++ b/tests/report/report_test.cpp
@@ -8,7 +8,7 @@
 
 #include "base/random.hpp"
 #include "base/text.hpp"
-#include "store/writer.hpp"
+#include "store/ledger_writer.hpp"
 
 namespace gatetiller::report {
 namespace {
--- a/tests/store/books_test.cpp
+++ b/tests/store/accounting_store_test.cpp
@@ -1,5 +1,5 @@
 // Collecting ledgers and journals: in any order, several times over, from copies.
-#include "store/books.hpp"
+#include "store/accounting_store.hpp"
 
 #include <gtest/gtest.h>
 #include <unistd.h>
@@ -9,7 +9,7 @@
 
 #include "base/random.hpp"
 #include "statement/completed.hpp"
-#include "store/writer.hpp"
+#include "store/ledger_writer.hpp"
 
 namespace gatetiller::store {
 namespace {
--- a/tests/store/ledger_test.cpp
+++ b/tests/store/ledger_test.cpp
@@ -8,7 +8,7 @@
 #include <map>
 
 #include "store/fault_vfs.hpp"
-#include "store/writer.hpp"
+#include "store/ledger_writer.hpp"
 
 namespace gatetiller::store {
 namespace {
