--- a/src/cli/report.cpp
+++ b/src/cli/report.cpp
@@ -29,19 +29,19 @@
 }
 
 // Books kept in a file, or made for this one report.
-Result<bool> open_books(store::Books& books, const Options& o) {
+Result<bool> open_books(store::AccountingStore& books, const Options& o) {
     if (o.books.empty() && o.ledgers.empty())
         return Error{"nothing to report on: give --books, or --ledger and --journal files"};
     if (auto f = books.open(o.books.empty() ? ":memory:" : o.books))
         return Error{f.text};
-    const auto told = [](const std::string& file, const Result<store::Collected>& c) {
+    const auto told = [](const std::string& file, const Result<store::CollectResult>& c) {
         std::fprintf(stderr,
                      "%s: %lld requests and %lld attempts new or told more of, %lld known; %lld queries new, "
                      "%lld known\n",
                      file.c_str(), static_cast<long long>(c->requests), static_cast<long long>(c->attempts),
                      static_cast<long long>(c->known), static_cast<long long>(c->events),
                      static_cast<long long>(c->events_known));
-        for (const auto& t : c->troubles)
+        for (const auto& t : c->problems)
             std::fprintf(stderr, "%s\n", t.c_str());
     };
     for (const auto& file : o.ledgers) {
@@ -72,7 +72,7 @@
                                 : report::load_settlement(o.settlement);
 }
 
-Result<report::Report> report_of(store::Books& books, const Options& o) {
+Result<report::Report> report_of(store::AccountingStore& books, const Options& o) {
     const auto settlement = settlement_of(o);
     if (!settlement)
         return Error{settlement.error()};
@@ -106,7 +106,7 @@
     const auto by = report::read_columns(o.by);
     if (!by)
         return failed(by.error());
-    store::Books books;
+    store::AccountingStore books;
     if (const auto opened = open_books(books, o); !opened)
         return failed(opened.error());
     const auto r = report_of(books, o);
@@ -120,7 +120,7 @@
 }
 
 int reconcile(const Options& o) {
-    store::Books books;
+    store::AccountingStore books;
     if (const auto opened = open_books(books, o); !opened)
         return failed(opened.error());
     const auto r = report_of(books, o);
@@ -133,7 +133,7 @@
 int close(const Options& o) {
     if (o.books.empty())
         return failed("versions are kept with the books: give --books");
-    store::Books books;
+    store::AccountingStore books;
     if (const auto opened = open_books(books, o); !opened)
         return failed(opened.error());
     const auto r = report_of(books, o);
@@ -148,7 +148,7 @@
 }
 
 int diff(const Options& o) {
-    store::Books books;
+    store::AccountingStore books;
     if (const auto f = books.open(o.books, true))
         return failed(f.text);
     const auto settlement = settlement_of(o);
@@ -177,8 +177,8 @@
     if (const auto f = ledger.open(file, {"", true}))
         return failed(f.text);
     std::int64_t requests = 0, attempts = 0, damaged = 0;
-    const auto f = ledger.each(
-        [&](const store::Whole& w) {
+    const auto f = ledger.for_each(
+        [&](const store::RequestAccount& w) {
             ++requests;
             attempts += static_cast<std::int64_t>(w.attempts.size());
         },
@@ -188,9 +188,9 @@
         });
     if (f)
         return failed(f.text);
-    std::vector<store::Life> lives;
+    std::vector<store::Incarnation> lives;
     std::vector<std::pair<std::string, store::LedgerGap>> gaps;
-    if (const auto failure = ledger.lives(lives))
+    if (const auto failure = ledger.incarnations(lives))
         return failed(failure.text);
     if (const auto failure = ledger.gaps(gaps))
         return failed(failure.text);
@@ -216,7 +216,7 @@
     snapshot->footer("Example: gatetiller ledger snapshot front-1.ledger copies/front-1.ledger");
     snapshot->callback([=, &common] {
         store::Ledger from;
-        store::Failure f = from.open(*file, {"", true});
+        store::StoreFailure f = from.open(*file, {"", true});
         if (!f)
             f = from.snapshot(*to);
         common.code = f ? failed(f.text) : 0;
@@ -259,7 +259,7 @@
         [](const Options& options) {
             if (options.books.empty())
                 return failed("--books names the file to collect into");
-            store::Books books;
+            store::AccountingStore books;
             const auto opened = open_books(books, options);
             return opened ? 0 : failed(opened.error());
         },
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -47,10 +47,10 @@
 std::unique_ptr<store::LedgerWriter> ledger_of(const config::FrontSettings& s) {
     if (s.ledger.file.empty())
         return nullptr;
-    store::WriterSettings w;
-    w.file = s.ledger.file, w.front = s.name, w.life = entropy().substr(0, 16);
-    w.flush_every = s.ledger.flush_every, w.keep = s.ledger.keep,
-    w.past = s.budgets.budgets.empty() ? 0 : s.budgets.quota.window,
+    store::LedgerWriterSettings w;
+    w.file = s.ledger.file, w.front = s.name, w.incarnation = entropy().substr(0, 16);
+    w.flush_interval = s.ledger.flush_every, w.retention = s.ledger.keep,
+    w.history_window = s.budgets.budgets.empty() ? 0 : s.budgets.quota.window,
     w.limits.max_queued_rows = s.ledger.waiting;
     auto ledger = std::make_unique<store::LedgerWriter>(std::move(w));
     ledger->start_thread();
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -92,7 +92,7 @@
     decide::AttemptEndRecord facts;
     std::int64_t row_bytes = 0;
     std::string engine_id, engine_name, engine_kind;
-    store::LedgerWriter::Place place;
+    store::LedgerWriter::QueueSlot place;
     statement::Stats stats;
     std::string columns;
     std::optional<LoadReport> report;
@@ -114,7 +114,7 @@
     std::string last_error, last_engine;
     std::optional<decide::RequestRow> row;  // until its last one is given to the ledger
     bool in_ledger = false;
-    store::LedgerWriter::Place place;
+    store::LedgerWriter::QueueSlot place;
     statement::Stats stats;
 
     Attempt* out() {
@@ -261,7 +261,7 @@
         row.id = id, row.key = r->routed.key, row.taken = loop_.wall();
         if (cls->idempotency == Idempotency::keyed)
             row.key_window = cls->key_window;
-        r->in_ledger = deps_.ledger->taken(row, row.taken, r->place);
+        r->in_ledger = deps_.ledger->add_request(row, row.taken, r->place);
         r->number = row.number;
         r->row = std::move(row);
     }
@@ -376,8 +376,8 @@
         return "";
     const auto s = deps_.ledger->status();
     return ",\"ledger\":{\"state\":" +
-           statement::json_string(s.trouble == decide::StoreError::none ? "written" : name_of(s.trouble)) +
-           ",\"waiting\":" + std::to_string(s.waiting) + ",\"lost\":" + std::to_string(s.lost) + "}";
+           statement::json_string(s.error == decide::StoreError::none ? "written" : name_of(s.error)) +
+           ",\"waiting\":" + std::to_string(s.queued_rows) + ",\"lost\":" + std::to_string(s.lost_rows) + "}";
 }
 
 std::string Front::status_members() {
@@ -531,7 +531,7 @@
         set["query_priority"] = std::to_string(r->priority);
     std::string tag;
     if (deps_.ledger)
-        tag = decide::tag_of({deps_.ledger->life(), r->number, static_cast<std::uint32_t>(a.number)});
+        tag = decide::tag_of({deps_.ledger->incarnation(), r->number, static_cast<std::uint32_t>(a.number)});
     auto headers = statement::engine_headers(r->submission.context, set, tag);
     note_attempt(a, decide::AttemptState::in_flight);
     headers.add("User-Agent", "gatetiller/" + settings_.name);
@@ -747,16 +747,17 @@
 }
 
 void Front::look_in_ledger() {
-    for (const auto& text : deps_.ledger->look(loop_.now(), loop_.wall()))
+    for (const auto& text : deps_.ledger->poll(loop_.now(), loop_.wall()))
         deps_.log(text);
-    if (const auto before = deps_.ledger->before(); before.known && !std::exchange(before_known_, true)) {
+    if (const auto before = deps_.ledger->previous_incarnation();
+        before.known && !std::exchange(before_known_, true)) {
         // What was sent after its last commit may be as young as this life.
-        engines_.hold_cold(before.killed ? loop_.now() + settings_.module.overload_window : 0);
+        engines_.hold_cold(before.killed_from ? loop_.now() + settings_.module.overload_window : 0);
     }
-    for (const auto& p : deps_.ledger->take_past())
+    for (const auto& p : deps_.ledger->take_work_history())
         quota_.restore(teams_.of({p.who->user, p.who->source, p.who->tags, "", p.who->tenant}, 0),
                        loop_.now(), loop_.wall() - p.taken, p.work);
-    ledger_timer_ = loop_.after(deps_.ledger->flush_every(), [this] {
+    ledger_timer_ = loop_.after(deps_.ledger->flush_interval(), [this] {
         look_in_ledger();
     });
 }
--- a/src/front/metrics.cpp
+++ b/src/front/metrics.cpp
@@ -82,11 +82,11 @@
     seconds_.Add({{"class", f.cls}}, kSeconds).Observe(static_cast<double>(f.total) / kSecondMicros);
 }
 
-void Metrics::ledger(const store::WriterStatus& s) {
-    gauges_.Add({{"what", "ledger_written"}}).Set(s.trouble == decide::StoreError::none ? 1 : 0);
-    gauges_.Add({{"what", "ledger_rows_waiting"}}).Set(static_cast<double>(s.waiting));
-    gauges_.Add({{"what", "ledger_rows_lost"}}).Set(static_cast<double>(s.lost));
-    gauges_.Add({{"what", "ledger_rows_committed"}}).Set(static_cast<double>(s.committed));
+void Metrics::ledger(const store::LedgerWriterStatus& s) {
+    gauges_.Add({{"what", "ledger_written"}}).Set(s.error == decide::StoreError::none ? 1 : 0);
+    gauges_.Add({{"what", "ledger_rows_waiting"}}).Set(static_cast<double>(s.queued_rows));
+    gauges_.Add({{"what", "ledger_rows_lost"}}).Set(static_cast<double>(s.lost_rows));
+    gauges_.Add({{"what", "ledger_rows_committed"}}).Set(static_cast<double>(s.committed_rows));
     gauges_.Add({{"what", "ledger_written_until_seconds"}})
         .Set(static_cast<double>(s.written_until) / kSecondMicros);
 }
--- a/src/front/metrics.hpp
+++ b/src/front/metrics.hpp
@@ -49,7 +49,7 @@
     struct Now {
         double statements, waiting_bytes, connections, alpha, kept;
     };
-    void ledger(const store::WriterStatus& status);
+    void ledger(const store::LedgerWriterStatus& status);
     std::string page(const Now& now);
 
 private:
--- a/src/lab/books.cpp
+++ b/src/lab/books.cpp
@@ -64,16 +64,16 @@
              static_cast<double>(std::filesystem::file_size(file)) / static_cast<double>(o_.requests));
         t = seconds_now();
         store::Ledger ledger;
-        store::Taken taken;
+        store::RecoveredState taken;
         if (auto f = ledger.open(file, {}))
             return Error{f.text};
-        if (auto f =
-                ledger.begin_life("00000000000000ff", "front-1", from_ + 31 * 86'400 * kSecondMicros, taken))
+        if (auto f = ledger.begin_incarnation("00000000000000ff", "front-1",
+                                              from_ + 31 * 86'400 * kSecondMicros, taken))
             return Error{f.text};
         line("a front on it again after a kill", "%.3f s, %lld requests in hand marked as interrupted",
              seconds_now() - t, static_cast<long long>(taken.requests_interrupted));
         ledger.close();
-        store::Books books;
+        store::AccountingStore books;
         // Without journals the report is made of the ledger itself, which is of the books' form.
         const std::string books_file = o_.journal ? o_.folder + "/month.books" : file;
         if (o_.journal)
@@ -128,13 +128,13 @@
         s.prices.push_back(p);
         return s;
     }
-    store::Failure write(const std::string& file, const std::string& events) {
+    store::StoreFailure write(const std::string& file, const std::string& events) {
         store::Ledger ledger;
         if (auto f = ledger.open(file, {}))
             return f;
-        store::Taken taken;
+        store::RecoveredState taken;
         const std::string life = "00000000000000f1";
-        if (auto f = ledger.begin_life(life, "front-1", from_, taken))
+        if (auto f = ledger.begin_incarnation(life, "front-1", from_, taken))
             return f;
         std::ofstream journal;
         if (o_.journal)
--- a/src/lab/day.cpp
+++ b/src/lab/day.cpp
@@ -266,7 +266,7 @@
         report::Settlement agreed;
         agreed.clock_slack = 20 * kMillisecond;  // one machine, one clock
         for (int i = 0; i < 2; ++i) {
-            store::Books books;
+            store::AccountingStore books;
             if (auto f = books.open(":memory:"))
                 return Error{f.text};
             std::int64_t requests = 0, queries = 0;
--- a/src/lab/virtual_day.cpp
+++ b/src/lab/virtual_day.cpp
@@ -184,9 +184,9 @@
     }
 
     Result<bool> start(FrontNode& f) {
-        store::WriterSettings w;
-        w.file = f.file, w.front = f.settings.name, w.life = names_.hex(16);
-        w.flush_every = kFlush;
+        store::LedgerWriterSettings w;
+        w.file = f.file, w.front = f.settings.name, w.incarnation = names_.hex(16);
+        w.flush_interval = kFlush;
         f.ledger = std::make_unique<store::LedgerWriter>(w);
         f.front = std::make_unique<front::Front>(
             *f.tap, f.settings,
@@ -287,7 +287,7 @@
     Result<bool> settle() {
         if (!broken_.empty())
             return Error{"a front did not come up again: " + broken_};
-        store::Books books;
+        store::AccountingStore books;
         if (auto f = books.open(":memory:"))
             return Error{f.text};
         for (const auto& f : fronts_)
--- a/src/report/report.cpp
+++ b/src/report/report.cpp
@@ -53,18 +53,18 @@
 
 }  // namespace
 
-Result<Report> make_report(store::Books& books, const Settlement& settlement, Calendar calendar,
+Result<Report> make_report(store::AccountingStore& books, const Settlement& settlement, Calendar calendar,
                            const Ask& ask) {
     Report report{
         std::move(calendar), settlement.currency, settlement.decimals, {}, {}, {}, {}, {}, {}, {}, {}, {}};
     store::Ledger& ledger = books.ledger();
     std::map<std::string, decide::IncarnationRecord> records;
-    if (auto f = books.lives(records))
+    if (auto f = books.incarnations(records))
         return Error{f.text};
     for (auto& [name, record] : records)
         record.clock_slack += settlement.clock_slack;
-    std::vector<store::Life> lives;
-    if (auto f = ledger.lives(lives))
+    std::vector<store::Incarnation> lives;
+    if (auto f = ledger.incarnations(lives))
         return Error{f.text};
     std::map<std::string, std::uint32_t> number_of_life;  // the same whatever order the lives came in
     for (const auto& [name, record] : records)
@@ -80,7 +80,7 @@
     }
 
     decide::Repeats repeats;
-    if (auto f = ledger.each_keyed([&](const store::Life& life, const store::RequestRow& r) {
+    if (auto f = ledger.for_each_keyed([&](const store::Incarnation& life, const store::RequestRow& r) {
             repeats.add(r, number_of_life[life.name]);
         }))
         return Error{f.text};
@@ -113,27 +113,28 @@
             q.engine, q.id, q.created);
     };
     std::vector<decide::Settlement> settled;
-    const auto take = [&](const store::Entry& e) {
-        if (!e.whole)
+    const auto take = [&](const store::AccountEntry& e) {
+        if (!e.account)
             return alone(e.logged[0][0]);
-        for (const auto& q : e.alone)
+        for (const auto& q : e.unmatched)
             alone(q);
-        const auto& r = e.whole->request;
+        const auto& r = e.account->request;
         if (!days.holds(r.taken))
             return;
         settled.clear();
         for (std::size_t i = 0; i < e.logged.size(); ++i) {
-            const auto& a = e.whole->attempts[i];
+            const auto& a = e.account->attempts[i];
             settled.push_back(settle(r, a, e.logged[i]));
             odd(settled.back(),
-                e.whole->life->name + "." + std::to_string(r.number) + "." + std::to_string(a.number),
+                e.account->incarnation->name + "." + std::to_string(r.number) + "." +
+                    std::to_string(a.number),
                 a.engine, a.engine_id, r.taken);
         }
         charges.add({teams.of(*r.who, r.taken), r.who->cls, "", days.day_of(r.taken)}, r,
-                    repeats.repeat(number_of_life[e.whole->life->name], r.number), e.whole->attempts,
-                    settled);
+                    repeats.repeat(number_of_life[e.account->incarnation->name], r.number),
+                    e.account->attempts, settled);
     };
-    if (auto f = books.each(take, [&](std::string text) {
+    if (auto f = books.for_each(take, [&](std::string text) {
             report.troubles.push_back(std::move(text));
         }))
         return Error{f.text};
@@ -225,7 +226,7 @@
     return c.zone() + " " + c.dates().front() + " " + c.dates().back();
 }
 
-Result<std::vector<Version>> versions(store::Books& books, const std::string& period) {
+Result<std::vector<Version>> versions(store::AccountingStore& books, const std::string& period) {
     auto s = books.ledger().db().prepare("SELECT made,report FROM versions WHERE period=? ORDER BY row");
     s.bind(0, period);
     std::vector<Version> all;
@@ -236,7 +237,7 @@
     return all;
 }
 
-Result<Kept> keep_version(store::Books& books, const Report& report, Micros wall) {
+Result<Kept> keep_version(store::AccountingStore& books, const Report& report, Micros wall) {
     const std::string period = period_of(report.calendar);
     const auto before = versions(books, period);
     if (!before)
--- a/src/report/report.hpp
+++ b/src/report/report.hpp
@@ -38,7 +38,7 @@
         list;  // findings whose queries go into oddities, with those unexplained
     std::size_t most = 1000;
 };
-Result<Report> make_report(store::Books& books, const Settlement& settlement, Calendar calendar,
+Result<Report> make_report(store::AccountingStore& books, const Settlement& settlement, Calendar calendar,
                            const Ask& ask);
 
 // The whole report as JSON, amounts exact, the same text for the same books and settlement.
@@ -61,13 +61,13 @@
     Micros made = 0;
     std::string text;
 };
-Result<std::vector<Version>> versions(store::Books& books, const std::string& period);
+Result<std::vector<Version>> versions(store::AccountingStore& books, const std::string& period);
 struct Kept {
     std::int64_t number = 0;
     bool fresh = false;
     std::string difference;  // to the version before
 };
-Result<Kept> keep_version(store::Books& books, const Report& report, Micros wall);
+Result<Kept> keep_version(store::AccountingStore& books, const Report& report, Micros wall);
 std::string period_of(const Calendar& calendar);
 
 }  // namespace gatetiller::report
--- a/src/store/accounting_store.cpp
+++ b/src/store/accounting_store.cpp
@@ -26,24 +26,24 @@
         if (!failure_ && open_)
             (void)db_.exec("ROLLBACK");
     }
-    Failure one_more() {
+    StoreFailure one_more() {
         if (++rows_ % kRowsAtOnce != 0)
             return failure_;
         if (!(failure_ = db_.exec("COMMIT")))
             failure_ = db_.exec("BEGIN IMMEDIATE");
         return failure_;
     }
-    Failure end() {
+    StoreFailure end() {
         open_ = false;
         return failure_ ? failure_ : db_.exec("COMMIT");
     }
-    const Failure& failure() const {
+    const StoreFailure& failure() const {
         return failure_;
     }
 
 private:
     Db& db_;
-    Failure failure_;
+    StoreFailure failure_;
     bool open_ = true;
     std::int64_t rows_ = 0;
 };
@@ -94,7 +94,7 @@
         now_.peak_bytes = s.number(11), now_.spilled_bytes = s.number(12), now_.row_bytes = s.number(13);
         now_.error = s.text(14);
     }
-    const Failure& failure() const {
+    const StoreFailure& failure() const {
         return statement_.failure();
     }
 
@@ -106,23 +106,24 @@
 
 }  // namespace
 
-Failure Books::open(const std::string& file, bool read_only) {
+StoreFailure AccountingStore::open(const std::string& file, bool read_only) {
     if (auto f = ledger_.open(file, {"", read_only}))
         return f;
-    // Books can be collected again, so a loss of power may cost the last portions.
-    return read_only ? Failure{} : ledger_.db().exec("PRAGMA synchronous=NORMAL; PRAGMA cache_size=-64000");
+    // AccountingStore can be collected again, so a loss of power may cost the last portions.
+    return read_only ? StoreFailure{}
+                     : ledger_.db().exec("PRAGMA synchronous=NORMAL; PRAGMA cache_size=-64000");
 }
 
-Result<Collected> Books::collect_ledger(const std::string& file) {
+Result<CollectResult> AccountingStore::collect_ledger(const std::string& file) {
     Ledger from;
     if (auto f = from.open(file, {"", true}))
         return Error{f.text};
     // One view of the ledger for all that follows, while its front goes on writing.
     if (auto f = from.db().exec("BEGIN"))
         return Error{f.text};
-    Collected c;
-    std::vector<Life> lives;
-    if (auto f = from.lives(lives))
+    CollectResult c;
+    std::vector<Incarnation> lives;
+    if (auto f = from.incarnations(lives))
         return Error{f.text};
     Db& db = ledger_.db();
     Portions portions(db);
@@ -130,18 +131,18 @@
         return Error{portions.failure().text};
     std::map<std::string, std::int64_t> rows;
     std::map<std::int64_t, std::string> names;
-    for (const Life& l : lives) {
+    for (const Incarnation& l : lives) {
         if (auto f = ledger_.adopt(l, rows[l.name]))
             return Error{f.text};
         names[l.row] = l.name;
     }
     auto state_of = db.prepare("SELECT state FROM requests WHERE row=?");
     auto attempt_state = db.prepare("SELECT state FROM attempts WHERE request=? AND number=?");
-    Failure failed;
-    const auto take = [&](const Whole& w) {
+    StoreFailure failed;
+    const auto take = [&](const RequestAccount& w) {
         if (failed)
             return;
-        const std::int64_t life = rows.at(w.life->name), row = life << 32 | w.request.number;
+        const std::int64_t life = rows.at(w.incarnation->name), row = life << 32 | w.request.number;
         const bool there = state_of.bind(0, row).step();
         const auto before = there ? static_cast<RequestState>(state_of.number(0)) : RequestState::open;
         state_of.reset();
@@ -165,8 +166,8 @@
         }
         failed = portions.one_more();
     };
-    if (auto f = from.each(take, [&](std::string text) {
-            c.troubles.push_back(file + ": " + std::move(text));
+    if (auto f = from.for_each(take, [&](std::string text) {
+            c.problems.push_back(file + ": " + std::move(text));
         }))
         return Error{f.text};
     if (failed)
@@ -189,8 +190,8 @@
         if (auto f = put_gap.run())
             return Error{f.text};
     }
-    if (!c.troubles.empty())
-        for (const Life& l : lives) {
+    if (!c.problems.empty())
+        for (const Incarnation& l : lives) {
             put_gap.bind(0, rows[l.name]).bind(1, static_cast<int>(StoreError::corrupt));
             put_gap.bind(2, l.began).bind(3, l.last).bind(4, -1).bind(5, -1);
             if (auto f = put_gap.run())
@@ -208,7 +209,7 @@
     return c;
 }
 
-Failure Books::put_event(Statement& put, const LoggedQuery& q, std::int64_t& fresh) {
+StoreFailure AccountingStore::put_event(Statement& put, const LoggedQuery& q, std::int64_t& fresh) {
     const auto name = q.name.value_or(decide::AttemptTag{});
     put.bind(0, name.life).bind(1, name.request).bind(2, name.attempt).bind(3, q.engine).bind(4, q.id);
     put.bind(5, q.user).bind(6, q.source).bind(7, q.tags).bind(8, q.created).bind(9, q.ended);
@@ -219,8 +220,8 @@
     return f;
 }
 
-Result<Collected> Books::collect_journal(const std::string& name, std::istream& lines) {
-    Collected c;
+Result<CollectResult> AccountingStore::collect_journal(const std::string& name, std::istream& lines) {
+    CollectResult c;
     Db& db = ledger_.db();
     Portions portions(db);
     if (portions.failure())
@@ -236,7 +237,7 @@
             continue;
         const auto event = statement::read_completed(line);
         if (!event) {
-            c.troubles.push_back(name + ":" + std::to_string(n) +
+            c.problems.push_back(name + ":" + std::to_string(n) +
                                  ": not a query-completed event: " + event.error());
             continue;
         }
@@ -252,12 +253,12 @@
     return c;
 }
 
-Failure Books::lives(std::map<std::string, decide::IncarnationRecord>& to) {
-    std::vector<Life> all;
-    if (auto f = ledger_.lives(all))
+StoreFailure AccountingStore::incarnations(std::map<std::string, decide::IncarnationRecord>& to) {
+    std::vector<Incarnation> all;
+    if (auto f = ledger_.incarnations(all))
         return f;
     std::map<std::int64_t, decide::IncarnationRecord*> by_row;
-    for (const Life& l : all)
+    for (const Incarnation& l : all)
         by_row[l.row] = &to[l.name];
     auto gaps = ledger_.db().prepare("SELECT life,cause,since,until,requests,updates FROM gaps");
     while (gaps.step()) {
@@ -273,7 +274,7 @@
         return gaps.failure();
     // A life without an end, and with no later one that marked it: running still, or killed for good. What
     // came after its last write is not here.
-    for (const Life& l : all) {
+    for (const Incarnation& l : all) {
         auto& gaps_of = by_row[l.row]->gaps;
         const bool marked = std::any_of(gaps_of.begin(), gaps_of.end(), [](const LedgerGap& g) {
             return g.cause == StoreError::killed;
@@ -288,16 +289,16 @@
     return steps.failure();
 }
 
-Failure Books::each(const std::function<void(const Entry&)>& entry,
-                    const std::function<void(std::string)>& damaged) {
+StoreFailure AccountingStore::for_each(const std::function<void(const AccountEntry&)>& entry,
+                                       const std::function<void(std::string)>& damaged) {
     // Both sides are walked in the order of (life, number), once. Lives are walked in the order of their
     // names, which is that of the queries' index.
-    std::vector<Life> lives;
-    if (auto f = ledger_.lives(lives))
+    std::vector<Incarnation> lives;
+    if (auto f = ledger_.incarnations(lives))
         return f;
     Queries queries(ledger_.db());
     const auto alone = [&] {
-        Entry e;
+        AccountEntry e;
         e.logged.push_back({queries.now()});
         entry(e);
         queries.next();
@@ -305,30 +306,30 @@
     // Untagged queries stand first in the index.
     while (queries.more() && !queries.now().name)
         alone();
-    Entry e;
-    const auto take = [&](const Whole& w) {
+    AccountEntry e;
+    const auto take = [&](const RequestAccount& w) {
         const auto before = [&](const decide::AttemptTag& n) {
-            return std::tie(n.life, n.request) < std::tie(w.life->name, w.request.number);
+            return std::tie(n.life, n.request) < std::tie(w.incarnation->name, w.request.number);
         };
         while (queries.more() && before(*queries.now().name))
             alone();
-        e.whole = &w;
+        e.account = &w;
         e.logged.assign(w.attempts.size(), {});
-        e.alone.clear();
-        for (; queries.more() && queries.now().name->life == w.life->name &&
+        e.unmatched.clear();
+        for (; queries.more() && queries.now().name->life == w.incarnation->name &&
                queries.now().name->request == w.request.number;
              queries.next()) {
             const auto of = std::find_if(w.attempts.begin(), w.attempts.end(), [&](const AttemptRow& a) {
                 return a.number == queries.now().name->attempt;
             });
             if (of == w.attempts.end())
-                e.alone.push_back(queries.now());
+                e.unmatched.push_back(queries.now());
             else
                 e.logged[static_cast<std::size_t>(of - w.attempts.begin())].push_back(queries.now());
         }
         entry(e);
     };
-    if (auto f = ledger_.each(take, damaged))
+    if (auto f = ledger_.for_each(take, damaged))
         return f;
     while (queries.more())
         alone();
--- a/src/store/db.cpp
+++ b/src/store/db.cpp
@@ -7,7 +7,7 @@
 namespace gatetiller::store {
 namespace {
 
-StoreError trouble_of(int code) {
+StoreError error_of(int code) {
     switch (code & 0xff) {
         case SQLITE_OK:
         case SQLITE_ROW:
@@ -67,12 +67,12 @@
     const int code = sqlite3_step(held_);
     if (code == SQLITE_ROW)
         return true;
-    failure_ = code == SQLITE_DONE ? Failure{} : db_->failure_of(code);
+    failure_ = code == SQLITE_DONE ? StoreFailure{} : db_->failure_of(code);
     sqlite3_reset(held_);
     return false;
 }
 
-Failure Statement::run() {
+StoreFailure Statement::run() {
     while (step()) {}
     return failure_;
 }
@@ -102,7 +102,7 @@
     close();
 }
 
-Failure Db::open(const std::string& file, const OpenOptions& o) {
+StoreFailure Db::open(const std::string& file, const OpenOptions& o) {
     close();
     file_ = file;
     const int flags =
@@ -113,7 +113,7 @@
         sqlite3_busy_timeout(held_, 2000);
         return {};
     }
-    const Failure f = failure_of(code);
+    const StoreFailure f = failure_of(code);
     close();
     return f;
 }
@@ -123,16 +123,16 @@
     sqlite3_close_v2(std::exchange(held_, nullptr));
 }
 
-Failure Db::failure_of(int code) const {
-    if (trouble_of(code) == StoreError::none)
+StoreFailure Db::failure_of(int code) const {
+    if (error_of(code) == StoreError::none)
         return {};
     const int whole = held_ ? sqlite3_extended_errcode(held_) : code;
     std::string text = file_ + ": " + (held_ ? sqlite3_errmsg(held_) : sqlite3_errstr(code)) + " (" +
                        std::to_string(whole) + ")";
-    return {trouble_of(code), std::move(text)};
+    return {error_of(code), std::move(text)};
 }
 
-Failure Db::exec(const std::string& sql) {
+StoreFailure Db::exec(const std::string& sql) {
     if (!held_)
         return {StoreError::no_access, file_ + ": not open"};
     return failure_of(sqlite3_exec(held_, sql.c_str(), nullptr, nullptr, nullptr));
@@ -173,7 +173,7 @@
     return std::string();
 }
 
-Failure Db::copy_to(const std::string& file, int pages) {
+StoreFailure Db::copy_to(const std::string& file, int pages) {
     Db to;
     if (auto f = to.open(file, {}))
         return f;
@@ -186,7 +186,7 @@
         code = sqlite3_backup_step(backup, pages);
     while (code == SQLITE_OK || code == SQLITE_BUSY || code == SQLITE_LOCKED);
     sqlite3_backup_finish(backup);
-    return code == SQLITE_DONE ? Failure{} : to.failure_of(code);
+    return code == SQLITE_DONE ? StoreFailure{} : to.failure_of(code);
 }
 
 }  // namespace gatetiller::store
--- a/src/store/db.hpp
+++ b/src/store/db.hpp
@@ -18,11 +18,11 @@
 
 using decide::StoreError;
 
-struct Failure {
-    StoreError trouble = StoreError::none;
+struct StoreFailure {
+    StoreError error = StoreError::none;
     std::string text;  // what SQLite says, and of which file
     explicit operator bool() const {
-        return trouble != StoreError::none;
+        return error != StoreError::none;
     }
 };
 
@@ -42,8 +42,8 @@
     // be bound and stepped again.
     bool step();
     // Runs to the end, for what has no rows.
-    Failure run();
-    const Failure& failure() const {
+    StoreFailure run();
+    const StoreFailure& failure() const {
         return failure_;
     }
     std::int64_t number(int column) const;
@@ -54,7 +54,7 @@
     friend class Db;
     Db* db_ = nullptr;
     sqlite3_stmt* held_ = nullptr;
-    Failure failure_;
+    StoreFailure failure_;
 };
 
 struct OpenOptions {
@@ -70,25 +70,25 @@
     Db& operator=(Db&& other) noexcept;
     ~Db();
 
-    Failure open(const std::string& file, const OpenOptions& options);
+    StoreFailure open(const std::string& file, const OpenOptions& options);
     void close();
     bool is_open() const {
         return held_ != nullptr;
     }
-    Failure exec(const std::string& sql);
+    StoreFailure exec(const std::string& sql);
     Statement prepare(const std::string& sql);  // a failure shows in its failure() and at step()
     std::int64_t last_row() const;
-    std::int64_t changed() const;                         // rows by the last statement
-    Result<std::int64_t> number(const std::string& sql);  // of the first row; 0 where there is none
-    Result<std::string> text(const std::string& sql);     // the same as text
-    Failure copy_to(const std::string& file, int pages);  // a whole copy, while others write
+    std::int64_t changed() const;                              // rows by the last statement
+    Result<std::int64_t> number(const std::string& sql);       // of the first row; 0 where there is none
+    Result<std::string> text(const std::string& sql);          // the same as text
+    StoreFailure copy_to(const std::string& file, int pages);  // a whole copy, while others write
     const std::string& file() const {
         return file_;
     }
 
 private:
     friend class Statement;
-    Failure failure_of(int code) const;
+    StoreFailure failure_of(int code) const;
     sqlite3* held_ = nullptr;
     std::string file_;
 };
@@ -103,18 +103,18 @@
     }
     Transaction(const Transaction&) = delete;
     Transaction& operator=(const Transaction&) = delete;
-    const Failure& begun() const {
+    const StoreFailure& begun() const {
         return begun_;
     }
-    Failure commit() {
-        Failure f = db_.exec("COMMIT");
+    StoreFailure commit() {
+        StoreFailure f = db_.exec("COMMIT");
         done_ = !f;
         return f;
     }
 
 private:
     Db& db_;
-    Failure begun_;
+    StoreFailure begun_;
     bool done_ = false;
 };
 
--- a/src/store/ledger.cpp
+++ b/src/store/ledger.cpp
@@ -105,7 +105,7 @@
 
 // ---- Opening
 
-Failure Ledger::open(const std::string& file, const LedgerOptions& o) {
+StoreFailure Ledger::open(const std::string& file, const LedgerOptions& o) {
     close();
     if (auto f = db_.open(file, {o.read_only, !o.read_only, o.vfs}))
         return f;
@@ -118,17 +118,17 @@
             return f;
     if (auto f = migrate(o.read_only))
         return f;
-    return o.read_only ? Failure{} : prepare();
+    return o.read_only ? StoreFailure{} : prepare();
 }
 
-Failure Ledger::migrate(bool read_only) {
+StoreFailure Ledger::migrate(bool read_only) {
     const auto application = db_.number("PRAGMA application_id"), version = db_.number("PRAGMA user_version"),
                tables = db_.number("SELECT count(*) FROM sqlite_master");
     for (const auto* n : {&application, &version, &tables})
         if (!*n)
             return {StoreError::corrupt, n->error()};
     const auto foreign = [&](const std::string& what) {
-        return Failure{StoreError::foreign, db_.file() + ": " + what};
+        return StoreFailure{StoreError::foreign, db_.file() + ": " + what};
     };
     if (*tables > 0 && *application != kApplication)
         return foreign("is a database of another program; name another file for the ledger");
@@ -155,7 +155,7 @@
     return whole.commit();
 }
 
-Failure Ledger::prepare() {
+StoreFailure Ledger::prepare() {
     const std::pair<Statement*, const char*> all[] = {
         {&put_request_, "INSERT OR REPLACE INTO requests VALUES(?,?,?,?,?,?,?,?,?,?,?,?)"},
         {&put_attempt_, "INSERT OR REPLACE INTO attempts VALUES(?,?,?,?,?,?,?,?,?,?,?,?,?,?)"},
@@ -189,7 +189,7 @@
 
 // ---- A front's life
 
-Failure Ledger::adopt(const Life& l, std::int64_t& row) {
+StoreFailure Ledger::adopt(const Incarnation& l, std::int64_t& row) {
     auto add = db_.prepare("INSERT OR IGNORE INTO lives(name,front,began,last,ended) VALUES(?,?,?,?,?)");
     add.bind(0, l.name).bind(1, l.front).bind(2, l.began).bind(3, l.last).bind(4, l.ended);
     if (auto f = add.run())
@@ -204,12 +204,13 @@
     return find.failure();
 }
 
-Failure Ledger::begin_life(const std::string& name, const std::string& front, Micros wall, Taken& taken) {
+StoreFailure Ledger::begin_incarnation(const std::string& name, const std::string& front, Micros wall,
+                                       RecoveredState& taken) {
     Transaction whole(db_);
     if (whole.begun())
         return whole.begun();
-    std::vector<Life> before;
-    if (auto f = lives(before))
+    std::vector<Incarnation> before;
+    if (auto f = incarnations(before))
         return f;
     // The same life again: this front lost its file for a while, and has it back.
     const bool again = std::any_of(before.begin(), before.end(), [&](const auto& l) {
@@ -219,7 +220,8 @@
     if (auto f = adopt({0, name, front, wall, wall, 0}, row))
         return f;
     if (!again) {
-        const auto mark = [&](const char* table, const char* first, int state, std::int64_t& n) -> Failure {
+        const auto mark = [&](const char* table, const char* first, int state,
+                              std::int64_t& n) -> StoreFailure {
             // The row's checksum covers its state, so that each is written by way of its reading.
             std::vector<std::variant<RequestRow, AttemptRow>> rows;
             std::vector<std::int64_t> of;
@@ -260,7 +262,7 @@
                           taken.attempts_interrupted))
             return f;
         if (!before.empty() && before.back().ended == 0) {
-            const Life& last = before.back();
+            const Incarnation& last = before.back();
             taken.killed = decide::gap_after_kill(last.last, wall, kTail);
             put_gap_.bind(0, last.row).bind(1, static_cast<int>(StoreError::killed));
             put_gap_.bind(2, taken.killed->from).bind(3, taken.killed->to).bind(4, -1).bind(5, -1);
@@ -274,17 +276,17 @@
     return {};
 }
 
-Failure Ledger::end_life(Micros wall) {
+StoreFailure Ledger::end_incarnation(Micros wall) {
     auto s = db_.prepare("UPDATE lives SET last=?, ended=? WHERE row=?");
     s.bind(0, wall).bind(1, wall).bind(2, life_);
     return s.run();
 }
 
-Failure Ledger::write(const Batch& b) {
+StoreFailure Ledger::write(const Batch& b) {
     Transaction whole(db_);
     if (whole.begun())
         return whole.begun();
-    const auto failed = [this](Failure f) {
+    const auto failed = [this](StoreFailure f) {
         forget_names();  // those that this batch added go with it
         return f;
     };
@@ -314,7 +316,7 @@
     return {};
 }
 
-Failure Ledger::expire(Micros wall, int most, std::int64_t& removed) {
+StoreFailure Ledger::expire(Micros wall, int most, std::int64_t& removed) {
     removed = 0;
     Transaction whole(db_);
     if (whole.begun())
@@ -360,7 +362,7 @@
     return db_.exec("PRAGMA incremental_vacuum(" + std::to_string(kPagesBack) + ")");
 }
 
-Failure Ledger::work_since(Micros wall, Micros step, std::vector<Past>& to) {
+StoreFailure Ledger::work_samples_since(Micros wall, Micros step, std::vector<WorkSample>& to) {
     // Every row is looked at by its own time: steps of the clock may have put them out of order.
     auto s = db_.prepare(
         "SELECT who, taken/?2, sum(work) FROM requests JOIN attempts ON request=requests.row "
@@ -371,13 +373,13 @@
     return s.failure();
 }
 
-Failure Ledger::snapshot(const std::string& file) {
+StoreFailure Ledger::snapshot(const std::string& file) {
     return db_.copy_to(file, 500);
 }
 
 // ---- Rows
 
-std::int64_t Ledger::who_row(const Requester& w, Failure& failure) {
+std::int64_t Ledger::who_row(const Requester& w, StoreFailure& failure) {
     if (who_rows_.size() > kNamesHeld)
         who_rows_.clear();
     const auto [held, fresh] = who_rows_.try_emplace(name_key(w), 0);
@@ -395,7 +397,7 @@
     return held->second;
 }
 
-std::int64_t Ledger::engine_row(const std::string& name, const std::string& kind, Failure& failure) {
+std::int64_t Ledger::engine_row(const std::string& name, const std::string& kind, StoreFailure& failure) {
     if (engine_rows_.size() > kNamesHeld)
         engine_rows_.clear();
     const auto [held, fresh] = engine_rows_.try_emplace(name + '\0' + kind, 0);
@@ -411,8 +413,8 @@
     return held->second;
 }
 
-Failure Ledger::put(std::int64_t life, const RequestRow& r) {
-    Failure f;
+StoreFailure Ledger::put(std::int64_t life, const RequestRow& r) {
+    StoreFailure f;
     const std::int64_t row = row_of(life, r.number), who = who_row(*r.who, f);
     if (f)
         return f;
@@ -422,8 +424,8 @@
     return put_request_.run();
 }
 
-Failure Ledger::put(std::int64_t life, const AttemptRow& a) {
-    Failure f;
+StoreFailure Ledger::put(std::int64_t life, const AttemptRow& a) {
+    StoreFailure f;
     const std::int64_t request = row_of(life, a.request), engine = engine_row(a.engine, a.kind, f);
     if (f)
         return f;
@@ -487,14 +489,14 @@
 
 // ---- Reading
 
-Failure Ledger::lives(std::vector<Life>& to) {
+StoreFailure Ledger::incarnations(std::vector<Incarnation>& to) {
     auto s = db_.prepare("SELECT row,name,front,began,last,ended FROM lives ORDER BY row");
     while (s.step())
         to.push_back({s.number(0), s.text(1), s.text(2), s.number(3), s.number(4), s.number(5)});
     return s.failure();
 }
 
-Failure Ledger::gaps(std::vector<std::pair<std::string, LedgerGap>>& to) {
+StoreFailure Ledger::gaps(std::vector<std::pair<std::string, LedgerGap>>& to) {
     auto s = db_.prepare(
         "SELECT coalesce(front,''),cause,since,until,requests,updates FROM gaps "
         "LEFT JOIN lives ON lives.row=life ORDER BY since, until, cause, 1");
@@ -505,7 +507,7 @@
     return s.failure();
 }
 
-Failure Ledger::clock_steps(std::vector<std::pair<Micros, Micros>>& to) {
+StoreFailure Ledger::clock_steps(std::vector<std::pair<Micros, Micros>>& to) {
     auto s = db_.prepare("SELECT at,by FROM clock_steps ORDER BY at,by");
     while (s.step())
         to.emplace_back(s.number(0), s.number(1));
@@ -525,7 +527,7 @@
           statement_(db.prepare("SELECT * FROM " + table + " WHERE " + key + ">? AND " + key +
                                 "<? ORDER BY " + key + (key == "row" ? "" : ",number"))),
           damaged_(damaged) {}
-    void start(const Life& life) {
+    void start(const Incarnation& life) {
         life_ = &life;
         at_ = life.row << kLifeShift, end_ = (life.row + 1) << kLifeShift, step_ = 1;
         lost_from_.reset();
@@ -579,7 +581,7 @@
     std::string table_;
     Statement statement_;
     const std::function<void(std::string)>& damaged_;
-    const Life* life_ = nullptr;
+    const Incarnation* life_ = nullptr;
     std::int64_t at_ = 0, end_ = 0, step_ = 1;
     std::optional<std::int64_t> lost_from_;
     bool there_ = false;
@@ -587,18 +589,18 @@
 
 }  // namespace
 
-Failure Ledger::each(const std::function<void(const Whole&)>& row,
-                     const std::function<void(std::string)>& damaged) {
-    std::vector<Life> all;
-    if (auto f = lives(all))
+StoreFailure Ledger::for_each(const std::function<void(const RequestAccount&)>& row,
+                              const std::function<void(std::string)>& damaged) {
+    std::vector<Incarnation> all;
+    if (auto f = incarnations(all))
         return f;
-    std::sort(all.begin(), all.end(), [](const Life& a, const Life& b) {
+    std::sort(all.begin(), all.end(), [](const Incarnation& a, const Incarnation& b) {
         return a.name < b.name;
     });
     Cursor requests(db_, "requests", "row", damaged), attempts(db_, "attempts", "request", damaged);
-    Whole w;
-    for (const Life& life : all) {
-        w.life = &life;
+    RequestAccount w;
+    for (const Incarnation& life : all) {
+        w.incarnation = &life;
         const auto place = [&](std::int64_t key) {
             return life.name + "." + std::to_string(key & 0xffffffff);
         };
@@ -630,12 +632,12 @@
     return {};
 }
 
-Failure Ledger::each_keyed(const std::function<void(const Life&, const RequestRow&)>& row) {
-    std::vector<Life> all;
-    if (auto f = lives(all))
+StoreFailure Ledger::for_each_keyed(const std::function<void(const Incarnation&, const RequestRow&)>& row) {
+    std::vector<Incarnation> all;
+    if (auto f = incarnations(all))
         return f;
-    std::map<std::int64_t, const Life*> by_row;
-    for (const Life& l : all)
+    std::map<std::int64_t, const Incarnation*> by_row;
+    for (const Incarnation& l : all)
         by_row[l.row] = &l;
     auto s = db_.prepare("SELECT * FROM requests WHERE key_window>0");
     RequestRow r;
@@ -644,12 +646,12 @@
             read_request(s, r) && life != by_row.end())
             row(*life->second, r);
     // A damaged page is told by each(), which gets past it.
-    return s.failure().trouble == StoreError::corrupt ? Failure{} : s.failure();
+    return s.failure().error == StoreError::corrupt ? StoreFailure{} : s.failure();
 }
 
 // ---- The lock
 
-Failure FileLock::take(const std::string& file) {
+StoreFailure FileLock::take(const std::string& file) {
     release();
     const std::string name = file + ".lock";
     held_ = ::open(name.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644);
--- a/src/store/ledger.hpp
+++ b/src/store/ledger.hpp
@@ -31,21 +31,21 @@
     Micros wall = 0;                                     // all until here is in this batch or before
 };
 
-struct Life {
+struct Incarnation {
     std::int64_t row = 0;
     std::string name, front;                // name: 16 hex digits
     Micros began = 0, last = 0, ended = 0;  // wall clock; last: written until; ended 0: not in order
 };
 
-struct Taken {  // what a new life found
+struct RecoveredState {  // what a new life found
     std::int64_t requests_interrupted = 0, attempts_interrupted = 0;
     std::optional<LedgerGap>
         killed;  // the stretch at the end of the life before in which requests may be missing
 };
 
 // Rows of one request, wherever they come from.
-struct Whole {
-    const Life* life = nullptr;
+struct RequestAccount {
+    const Incarnation* incarnation = nullptr;
     RequestRow request;
     std::vector<AttemptRow> attempts;
 };
@@ -58,51 +58,52 @@
 class Ledger {
 public:
     // Opens or creates it, and brings an older version of it up to date.
-    Failure open(const std::string& file, const LedgerOptions& options);
+    StoreFailure open(const std::string& file, const LedgerOptions& options);
     void close();
     bool is_open() const {
         return db_.is_open();
     }
 
     // Takes it for one front. Whatever earlier lives had in hand is marked as interrupted.
-    Failure begin_life(const std::string& name, const std::string& front, Micros wall, Taken& taken);
-    Failure write(const Batch& batch);
-    Failure end_life(Micros wall);
+    StoreFailure begin_incarnation(const std::string& name, const std::string& front, Micros wall,
+                                   RecoveredState& taken);
+    StoreFailure write(const Batch& batch);
+    StoreFailure end_incarnation(Micros wall);
     // Removes closed requests taken before `wall`, so many at most, and gives the room back; what is gone
     // stands as a gap. `removed` is 0 once none is left.
-    Failure expire(Micros wall, int most, std::int64_t& removed);
+    StoreFailure expire(Micros wall, int most, std::int64_t& removed);
     // Work of requests taken since `wall`, in all, by requester and by `step` of time.
-    struct Past {
+    struct WorkSample {
         std::shared_ptr<const decide::Requester> who;
         Micros taken = 0, work = 0;
     };
-    Failure work_since(Micros wall, Micros step, std::vector<Past>& to);
-    Failure snapshot(const std::string& file);
+    StoreFailure work_samples_since(Micros wall, Micros step, std::vector<WorkSample>& to);
+    StoreFailure snapshot(const std::string& file);
 
     // All requests in the order of their lives' names and their numbers, whatever order they came in. What
     // cannot be read (a damaged page, a row that does not match its checksum) is passed over and told to
     // `damaged` with what is known of its place.
-    Failure each(const std::function<void(const Whole&)>& row,
-                 const std::function<void(std::string)>& damaged);
+    StoreFailure for_each(const std::function<void(const RequestAccount&)>& row,
+                          const std::function<void(std::string)>& damaged);
     // Requests with a key and a window alone, without their attempts.
-    Failure each_keyed(const std::function<void(const Life&, const RequestRow&)>& row);
-    Failure lives(std::vector<Life>& to);
-    Failure gaps(std::vector<std::pair<std::string, LedgerGap>>& to);  // with the front's name
-    Failure clock_steps(std::vector<std::pair<Micros, Micros>>& to);
+    StoreFailure for_each_keyed(const std::function<void(const Incarnation&, const RequestRow&)>& row);
+    StoreFailure incarnations(std::vector<Incarnation>& to);
+    StoreFailure gaps(std::vector<std::pair<std::string, LedgerGap>>& to);  // with the front's name
+    StoreFailure clock_steps(std::vector<std::pair<Micros, Micros>>& to);
     // Puts rows of another ledger's life in, by what is known: a row that says more replaces one that says
     // less, so that taking the same rows twice, or those of a copy, changes nothing.
-    Failure adopt(const Life& life, std::int64_t& row);
-    Failure put(std::int64_t life_row, const RequestRow& request);
-    Failure put(std::int64_t life_row, const AttemptRow& attempt);
+    StoreFailure adopt(const Incarnation& life, std::int64_t& row);
+    StoreFailure put(std::int64_t life_row, const RequestRow& request);
+    StoreFailure put(std::int64_t life_row, const AttemptRow& attempt);
     Db& db() {
         return db_;
     }
 
 private:
-    Failure migrate(bool read_only);
-    Failure prepare();
-    std::int64_t who_row(const decide::Requester& who, Failure& failure);
-    std::int64_t engine_row(const std::string& name, const std::string& kind, Failure& failure);
+    StoreFailure migrate(bool read_only);
+    StoreFailure prepare();
+    std::int64_t who_row(const decide::Requester& who, StoreFailure& failure);
+    std::int64_t engine_row(const std::string& name, const std::string& kind, StoreFailure& failure);
     std::shared_ptr<const decide::Requester> who_of(std::int64_t row);
     const std::pair<std::string, std::string>& engine_of(std::int64_t row);
     bool read_request(Statement& s, RequestRow& to);
@@ -128,7 +129,7 @@
     ~FileLock() {
         release();
     }
-    Failure take(const std::string& file);  // file + ".lock"
+    StoreFailure take(const std::string& file);  // file + ".lock"
     void release();
 
 private:
--- a/src/store/ledger_writer.cpp
+++ b/src/store/ledger_writer.cpp
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-LedgerWriter::LedgerWriter(WriterSettings settings)
+LedgerWriter::LedgerWriter(LedgerWriterSettings settings)
     : settings_(std::move(settings)), intake_(settings_.limits), keeper_(settings_.limits) {}
 
 LedgerWriter::~LedgerWriter() {
@@ -44,7 +44,7 @@
 
 // ---- The loop's side
 
-bool LedgerWriter::taken(RequestRow& row, Micros wall, Place& place) {
+bool LedgerWriter::add_request(RequestRow& row, Micros wall, QueueSlot& place) {
     row.number = ++last_number_;
     if (!intake_.admit(queue_.size() + in_hand_, wall))
         return false;
@@ -54,7 +54,7 @@
 }
 
 template <typename Row>
-void LedgerWriter::put(Row row, Micros wall, Place& place) {
+void LedgerWriter::put(Row row, Micros wall, QueueSlot& place) {
     if (place.flush == flush_) {
         std::get<Row>(queue_[place.index]) = std::move(row);
     } else if (intake_.update(queue_.size() + in_hand_, wall)) {
@@ -63,14 +63,14 @@
     }
 }
 
-void LedgerWriter::update(RequestRow row, Micros wall, Place& place) {
+void LedgerWriter::update(RequestRow row, Micros wall, QueueSlot& place) {
     put(std::move(row), wall, place);
 }
-void LedgerWriter::update(AttemptRow row, Micros wall, Place& place) {
+void LedgerWriter::update(AttemptRow row, Micros wall, QueueSlot& place) {
     put(std::move(row), wall, place);
 }
 
-std::vector<std::string> LedgerWriter::look(Micros now, Micros wall) {
+std::vector<std::string> LedgerWriter::poll(Micros now, Micros wall) {
     std::vector<std::string> words;
     {
         const std::lock_guard guard(mutex_);
@@ -106,19 +106,19 @@
     return words;
 }
 
-WriterStatus LedgerWriter::status() const {
+LedgerWriterStatus LedgerWriter::status() const {
     const std::lock_guard guard(mutex_);
     return {trouble_, queue_.size() + in_hand_, intake_.lost(), committed_, batches_, written_until_};
 }
 
-std::vector<Ledger::Past> LedgerWriter::take_past() {
+std::vector<Ledger::WorkSample> LedgerWriter::take_work_history() {
     const std::lock_guard guard(mutex_);
     return std::exchange(past_, {});
 }
 
-LedgerWriter::Before LedgerWriter::before() const {
+LedgerWriter::PreviousIncarnation LedgerWriter::previous_incarnation() const {
     const std::lock_guard guard(mutex_);
-    return before_;
+    return previous_;
 }
 
 void LedgerWriter::start_thread() {
@@ -133,7 +133,7 @@
 }
 
 std::vector<std::string> LedgerWriter::finish(Micros now, Micros wall) {
-    auto words = look(now, wall);
+    auto words = poll(now, wall);
     {
         const std::lock_guard guard(mutex_);
         stop_ = true;
@@ -144,7 +144,7 @@
     // Here alone now. A store in trouble gets one more try.
     turn(std::max(now, keeper_.retry_at()));
     if (pending_.rows.empty() && ledger_.is_open()) {
-        if (const auto f = ledger_.end_life(wall))
+        if (const auto f = ledger_.end_incarnation(wall))
             say("ledger: " + f.text);
     } else if (!pending_.rows.empty()) {
         say("ledger: " + std::to_string(pending_.rows.size()) + " rows could not be written and are lost");
@@ -193,7 +193,7 @@
             case Do::wait:
                 return;
             case Do::quarantine:
-                set_aside(now);
+                quarantine(now);
                 continue;
             case Do::open:
                 if (const auto f = open())
@@ -224,20 +224,20 @@
         trouble_ = decide::StoreError::none;
     }
     std::int64_t removed = 0;
-    if (settings_.keep > 0)
-        if (const auto f = ledger_.expire(pending_.wall - settings_.keep, kExpireAtOnce, removed))
+    if (settings_.retention > 0)
+        if (const auto f = ledger_.expire(pending_.wall - settings_.retention, kExpireAtOnce, removed))
             say("ledger: old rows could not be removed: " + f.text);
     pending_.rows.clear(), pending_.gaps.clear(), pending_.clock_steps.clear();
 }
 
-Failure LedgerWriter::open() {
+StoreFailure LedgerWriter::open() {
     ledger_.close();
     if (auto f = lock_.take(settings_.file))
         return f;
     if (auto f = ledger_.open(settings_.file, {settings_.vfs}))
         return f;
-    Taken taken;
-    if (auto f = ledger_.begin_life(settings_.life, settings_.front, pending_.wall, taken))
+    RecoveredState taken;
+    if (auto f = ledger_.begin_incarnation(settings_.incarnation, settings_.front, pending_.wall, taken))
         return f;
     if (taken.requests_interrupted + taken.attempts_interrupted > 0 || taken.killed)
         say("ledger: the life before was not ended in order: " + std::to_string(taken.requests_interrupted) +
@@ -245,12 +245,13 @@
             " attempts in hand are marked as interrupted");
     {
         const std::lock_guard guard(mutex_);
-        if (!std::exchange(before_.known, true) && taken.killed)
-            before_.killed = taken.killed->from;
+        if (!std::exchange(previous_.known, true) && taken.killed)
+            previous_.killed_from = taken.killed->from;
     }
-    if (settings_.past > 0 && !std::exchange(past_read_, true)) {
-        std::vector<Ledger::Past> past;
-        if (const auto f = ledger_.work_since(pending_.wall - settings_.past, settings_.past / 60, past))
+    if (settings_.history_window > 0 && !std::exchange(past_read_, true)) {
+        std::vector<Ledger::WorkSample> past;
+        if (const auto f = ledger_.work_samples_since(pending_.wall - settings_.history_window,
+                                                      settings_.history_window / 60, past))
             say("ledger: the work of the past could not be read back: " + f.text);
         const std::lock_guard guard(mutex_);
         past_ = std::move(past);
@@ -258,19 +259,19 @@
     return {};
 }
 
-void LedgerWriter::failed(const Failure& f, Micros now) {
-    Failure what = f;
+void LedgerWriter::failed(const StoreFailure& f, Micros now) {
+    StoreFailure what = f;
     // Only a ledger is moved out of the way; with any other file the operator has a say.
-    if (what.trouble == StoreError::corrupt && !looks_like_ledger(settings_.file))
-        what.trouble = StoreError::foreign;
-    if (keeper_.on_failed(what.trouble, now))
-        say(std::string("ledger NOT WRITTEN (") + name_of(what.trouble) + "): " + what.text +
+    if (what.error == StoreError::corrupt && !looks_like_ledger(settings_.file))
+        what.error = StoreError::foreign;
+    if (keeper_.on_failed(what.error, now))
+        say(std::string("ledger NOT WRITTEN (") + name_of(what.error) + "): " + what.text +
             "; statements go on, " + std::to_string(pending_.rows.size()) + " rows wait");
     const std::lock_guard guard(mutex_);
-    trouble_ = last_trouble_ = what.trouble;
+    trouble_ = last_trouble_ = what.error;
 }
 
-void LedgerWriter::set_aside(Micros now) {
+void LedgerWriter::quarantine(Micros now) {
     ledger_.close();
     std::error_code error;
     std::string to;
--- a/tests/front/ledger_test.cpp
+++ b/tests/front/ledger_test.cpp
@@ -27,9 +27,9 @@
     }
 
     void keep(Whole& w, int life) {
-        store::WriterSettings s;
+        store::LedgerWriterSettings s;
         s.file = folder + "/front.ledger", s.front = "tested";
-        s.life = "00000000000000" + std::to_string(10 + life), s.flush_every = 20 * kMillisecond;
+        s.incarnation = "00000000000000" + std::to_string(10 + life), s.flush_interval = 20 * kMillisecond;
         writer = std::make_unique<store::LedgerWriter>(s);
         w.ledger = writer.get();
     }
@@ -37,13 +37,13 @@
         std::map<SettlementFinding, int> findings;
         std::map<WastedWork, Micros> work;
         Micros charged = 0, logged = 0, after_leaving = 0;
-        std::map<std::string, store::Whole> by_id;
+        std::map<std::string, store::RequestAccount> by_id;
         std::vector<std::string> troubles;
-        store::Collected ledger, journal;
+        store::CollectResult ledger, journal;
     };
     Settlement settle(const std::string& events) {
         Settlement s;
-        store::Books books;
+        store::AccountingStore books;
         const std::string file = folder + "/books-" + std::to_string(++books_);
         if (auto f = books.open(file))
             ADD_FAILURE() << f.text;
@@ -56,7 +56,7 @@
             ADD_FAILURE() << journal.error();
         s.ledger = *ledger, s.journal = *journal;
         std::map<std::string, decide::IncarnationRecord> lives;
-        if (auto f = books.lives(lives))
+        if (auto f = books.incarnations(lives))
             ADD_FAILURE() << f.text;
         const auto count = [&](const decide::Settlement& done) {
             ++s.findings[done.finding];
@@ -68,14 +68,14 @@
             const auto life = q.name ? lives.find(q.name->life) : lives.end();
             count(decide::settle_alone(q, life == lives.end() ? nullptr : &life->second));
         };
-        const auto f = books.each(
-            [&](const store::Entry& e) {
-                if (!e.whole)
+        const auto f = books.for_each(
+            [&](const store::AccountEntry& e) {
+                if (!e.account)
                     return alone(e.logged[0][0]);
-                s.by_id[e.whole->request.id] = *e.whole;
+                s.by_id[e.account->request.id] = *e.account;
                 for (std::size_t i = 0; i < e.logged.size(); ++i)
-                    count(decide::settle(e.whole->request, e.whole->attempts[i], e.logged[i]));
-                for (const auto& q : e.alone)
+                    count(decide::settle(e.account->request, e.account->attempts[i], e.logged[i]));
+                for (const auto& q : e.unmatched)
                     alone(q);
             },
             [&](std::string text) {
@@ -148,7 +148,7 @@
     writer->finish(w.loop.now(), w.loop.wall());
     const auto s = settle(w.events);
     EXPECT_TRUE(s.troubles.empty()) << s.troubles.front();
-    EXPECT_TRUE(s.ledger.troubles.empty() && s.journal.troubles.empty());
+    EXPECT_TRUE(s.ledger.problems.empty() && s.journal.problems.empty());
     int attempts = 0;
     for (const auto& [finding, n] : s.findings) {
         EXPECT_TRUE(decide::explained(finding)) << name_of(finding) << ": " << n;
@@ -222,10 +222,10 @@
         "budgets: { window: '1h', over: 'spent', teams: {"
         "  one: { tags: ['team=a'], soft: '50ms', hard: '200ms' } } }");
     const auto with_past = [&](int life) {
-        store::WriterSettings s;
+        store::LedgerWriterSettings s;
         s.file = folder + "/front.ledger", s.front = "tested";
-        s.life = "00000000000000" + std::to_string(10 + life), s.flush_every = 20 * kMillisecond;
-        s.past = w.settings.budgets.quota.window;
+        s.incarnation = "00000000000000" + std::to_string(10 + life), s.flush_interval = 20 * kMillisecond;
+        s.history_window = w.settings.budgets.quota.window;
         writer = std::make_unique<store::LedgerWriter>(s);
         w.ledger = writer.get();
     };
@@ -245,7 +245,7 @@
     EXPECT_EQ(w.finished.back().tenant, "spent");  // over the soft one before
     EXPECT_TRUE(served("team=b"));
     ASSERT_TRUE(w.until([&] {
-        return writer->status().waiting == 0 && w.front().statements() == 0;
+        return writer->status().queued_rows == 0 && w.front().statements() == 0;
     }));
     auto killed = std::move(writer);
     with_past(2);
@@ -262,9 +262,9 @@
 // The disk fails for good: statements are served as ever, the trouble is told in the log's way and in status.
 TEST_F(LedgerTest, AFrontServesOnWithoutItsLedger) {
     Whole w(1, "rules+: { warm_up: '10ms' }");
-    store::WriterSettings s;
-    s.file = "/proc/no/such/place/front.ledger", s.front = "tested", s.life = "0000000000000011";
-    s.flush_every = 10 * kMillisecond;
+    store::LedgerWriterSettings s;
+    s.file = "/proc/no/such/place/front.ledger", s.front = "tested", s.incarnation = "0000000000000011";
+    s.flush_interval = 10 * kMillisecond;
     store::LedgerWriter broken(s);
     w.ledger = &broken;
     w.restart();
--- a/tests/report/report_test.cpp
+++ b/tests/report/report_test.cpp
@@ -117,7 +117,7 @@
                 "u" + std::to_string(random.below(3)), "s", random.chance(0.3) ? "x=1" : "",
                 random.chance(0.5) ? "short" : "long", random.chance(0.5) ? "east" : "west"});
             r.taken = t;
-            EXPECT_TRUE(w.taken(r, t));
+            EXPECT_TRUE(w.add_request(r, t));
             r.attempts = static_cast<std::uint32_t>(random.below(3));
             for (std::uint32_t n = 0; n < r.attempts; ++n) {
                 AttemptRow a;
@@ -135,7 +135,7 @@
         (void)w.finish(0, times.back());
         return file;
     }
-    Report report(store::Books& books, const std::string& which = "2026-10") {
+    Report report(store::AccountingStore& books, const std::string& which = "2026-10") {
         auto r = make_report(books, settlement, month(settlement.zone, which), {});
         if (!r)
             throw std::runtime_error(r.error());
@@ -160,7 +160,7 @@
         SCOPED_TRACE("seed " + std::to_string(seed));
         Random random(seed);
         const auto first = ledger(0, random, 400), second = ledger(1, random, 300);
-        store::Books one, other;
+        store::AccountingStore one, other;
         ASSERT_FALSE(one.open(":memory:"));
         ASSERT_FALSE(other.open(":memory:"));
         for (const auto& file : {first, second})
@@ -222,7 +222,7 @@
 // and the work of both is charged.
 TEST_F(ReportTest, ARepeatThroughAnotherFrontIsShownAsSuch) {
     const Micros at = *local_time(settlement.zone, "2026-10-31T23:59:59");
-    store::Books books;
+    store::AccountingStore books;
     ASSERT_FALSE(books.open(":memory:"));
     for (int front = 0; front < 2; ++front) {
         const std::string file = folder + "/k" + std::to_string(front);
@@ -233,7 +233,7 @@
         // The second front's clock stepped back: its request stands before the first one's, in the same
         // month.
         r.taken = at - front * 2 * kSecondMicros;
-        ASSERT_TRUE(w.taken(r, r.taken));
+        ASSERT_TRUE(w.add_request(r, r.taken));
         AttemptRow a;
         a.request = r.number, a.engine = "e", a.kind = "std", a.work = kSecondMicros;
         a.state = front == 0 ? AttemptState::connection_lost : AttemptState::answered;
@@ -256,7 +256,7 @@
 TEST_F(ReportTest, ALateCorrectionIsANewVersionAndIsPrinted) {
     Random random(9);
     const auto file = ledger(0, random, 50);
-    store::Books books;
+    store::AccountingStore books;
     ASSERT_FALSE(books.open(folder + "/books"));
     ASSERT_TRUE(books.collect_ledger(file));
     auto kept = keep_version(books, report(books), 1);
@@ -275,7 +275,7 @@
 
 TEST_F(ReportTest, APageIsWholeAndEscapesNames) {
     Random random(4);
-    store::Books books;
+    store::AccountingStore books;
     ASSERT_FALSE(books.open(":memory:"));
     ASSERT_TRUE(books.collect_ledger(ledger(0, random, 200)));
     const auto html = to_html(report(books), {"team", "day"});
--- a/tests/store/accounting_store_test.cpp
+++ b/tests/store/accounting_store_test.cpp
@@ -50,7 +50,7 @@
             RequestRow r;
             r.who = std::make_shared<const decide::Requester>(decide::Requester{"u", "s", "", "c", "t"});
             r.taken = wall;
-            EXPECT_TRUE(w.taken(r, wall));
+            EXPECT_TRUE(w.add_request(r, wall));
             ++m.requests;
             AttemptRow a;
             a.request = r.number, a.engine = "e1", a.ended_after = 10'000,
@@ -86,7 +86,7 @@
             r.state = RequestState::served;
             w.update(r, wall);
             if (i % 20 == 0)
-                (void)w.look(i, wall);
+                (void)w.poll(i, wall);
         }
         (void)w.finish(0, kWall + 200 * kSecondMicros);
         // Logged under a number that the ledger never gave.
@@ -97,7 +97,7 @@
     return m;
 }
 
-TEST(Books, CollectingInAnyOrderAndTwiceComesToTheSame) {
+TEST(AccountingStore, CollectingInAnyOrderAndTwiceComesToTheSame) {
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
         SCOPED_TRACE("seed " + std::to_string(seed));
         const std::string folder = ::testing::TempDir() + "books-" + std::to_string(::getpid());
@@ -105,7 +105,7 @@
         std::filesystem::create_directories(folder);
         Random random(seed);
         const auto made = make(folder, random);
-        Books books;
+        AccountingStore books;
         ASSERT_FALSE(books.open(folder + "/books"));
         // Ledgers 0 and 1, journals 2 and 3, each up to twice, shuffled.
         std::vector<int> order{0, 1, 2, 3, 0, 1, 2, 3};
@@ -120,7 +120,7 @@
             }
         }
         std::map<std::string, decide::IncarnationRecord> lives;
-        ASSERT_FALSE(books.lives(lives));
+        ASSERT_FALSE(books.incarnations(lives));
         std::map<SettlementFinding, int> found;
         Micros logged = 0;
         std::size_t requests = 0;
@@ -133,14 +133,14 @@
             const auto life = q.name ? lives.find(q.name->life) : lives.end();
             count(settle_alone(q, life == lives.end() ? nullptr : &life->second));
         };
-        ASSERT_FALSE(books.each(
-            [&](const Entry& e) {
-                if (!e.whole)
+        ASSERT_FALSE(books.for_each(
+            [&](const AccountEntry& e) {
+                if (!e.account)
                     return alone(e.logged[0][0]);
                 ++requests;
                 for (std::size_t i = 0; i < e.logged.size(); ++i)
-                    count(settle(e.whole->request, e.whole->attempts[i], e.logged[i]));
-                for (const auto& q : e.alone)
+                    count(settle(e.account->request, e.account->attempts[i], e.logged[i]));
+                for (const auto& q : e.unmatched)
                     alone(q);
             },
             [](const std::string& text) {
@@ -153,8 +153,8 @@
     }
 }
 
-TEST(Books, LinesThatAreNoEventsAreToldWithTheirPlace) {
-    Books books;
+TEST(AccountingStore, LinesThatAreNoEventsAreToldWithTheirPlace) {
+    AccountingStore books;
     ASSERT_FALSE(books.open(":memory:"));
     std::istringstream lines(
         "\n[1]\n{\"metadata\":{},\"createTime\":\"2026-11-01T00:00:00Z\",\"endTime\":1}\n"
@@ -165,16 +165,16 @@
     const auto c = books.collect_journal("e1.jsonl", lines);
     ASSERT_TRUE(c) << c.error();
     EXPECT_EQ(c->events, 1);
-    ASSERT_EQ(c->troubles.size(), 3u);
-    EXPECT_EQ(c->troubles[0], "e1.jsonl:2: not a query-completed event: not a JSON object");
-    EXPECT_NE(c->troubles[1].find("e1.jsonl:3"), std::string::npos);
-    EXPECT_NE(c->troubles[2].find("spilledBytes"), std::string::npos);
+    ASSERT_EQ(c->problems.size(), 3u);
+    EXPECT_EQ(c->problems[0], "e1.jsonl:2: not a query-completed event: not a JSON object");
+    EXPECT_NE(c->problems[1].find("e1.jsonl:3"), std::string::npos);
+    EXPECT_NE(c->problems[2].find("spilledBytes"), std::string::npos);
     EXPECT_EQ(*books.ledger().db().number("SELECT work FROM events"), 61'500'000);
     EXPECT_EQ(*books.ledger().db().number("SELECT ended FROM events"), 1'793'491'200'000'000);
 }
 
 // Kept by what is known of the row, not by who came last.
-TEST(Books, ARowThatSaysMoreStands) {
+TEST(AccountingStore, ARowThatSaysMoreStands) {
     const std::string folder = ::testing::TempDir() + "books-more-" + std::to_string(::getpid());
     std::filesystem::remove_all(folder);
     std::filesystem::create_directories(folder);
@@ -184,8 +184,8 @@
     r.taken = kWall;
     {
         LedgerWriter w({file, "f", "0000000000000001", 100 * kMillisecond});
-        ASSERT_TRUE(w.taken(r, kWall));
-        (void)w.look(0, kWall);
+        ASSERT_TRUE(w.add_request(r, kWall));
+        (void)w.poll(0, kWall);
         Ledger l;
         ASSERT_FALSE(l.open(file, {"", true}));
         ASSERT_FALSE(l.snapshot(copy));
@@ -195,11 +195,11 @@
     }
     {  // the copy is taken for another life, which marks the request as interrupted
         LedgerWriter w({copy, "f", "0000000000000002", 100 * kMillisecond});
-        (void)w.look(0, kWall);
+        (void)w.poll(0, kWall);
         (void)w.finish(1, kWall);
     }
     for (const bool copy_first : {true, false}) {
-        Books books;
+        AccountingStore books;
         ASSERT_FALSE(books.open(":memory:"));
         ASSERT_TRUE(books.collect_ledger(copy_first ? copy : file));
         ASSERT_TRUE(books.collect_ledger(copy_first ? file : copy));
--- a/tests/store/ledger_test.cpp
+++ b/tests/store/ledger_test.cpp
@@ -52,14 +52,15 @@
 }
 
 struct Read {
-    std::map<std::string, Whole> all;  // "life.number"
+    std::map<std::string, RequestAccount> all;  // "life.number"
     std::vector<std::string> damaged;
 };
 Read read(Ledger& ledger) {
     Read r;
-    const auto f = ledger.each(
-        [&](const Whole& w) {
-            const bool fresh = r.all.emplace(w.life->name + "." + std::to_string(w.request.number), w).second;
+    const auto f = ledger.for_each(
+        [&](const RequestAccount& w) {
+            const bool fresh =
+                r.all.emplace(w.incarnation->name + "." + std::to_string(w.request.number), w).second;
             EXPECT_TRUE(fresh) << "twice: " << w.request.number;
         },
         [&](std::string text) {
@@ -127,8 +128,8 @@
         {
             Ledger ledger;
             ASSERT_FALSE(ledger.open(temp.file, {"power"}));
-            Taken taken;
-            ASSERT_FALSE(ledger.begin_life(kFirstLife, "f", kWall, taken));
+            RecoveredState taken;
+            ASSERT_FALSE(ledger.begin_incarnation(kFirstLife, "f", kWall, taken));
             vfs.crash_at = vfs.operations + static_cast<long>(random.below(120));
             std::uint32_t next = 0;
             for (int i = 0; i < 30 && last; ++i) {
@@ -162,19 +163,19 @@
             Micros now = 0;
             for (int i = 0; i < 12; ++i) {
                 auto r = request(0, RequestState::open, random);
-                ASSERT_TRUE(writer.taken(r, kWall + now));
+                ASSERT_TRUE(writer.add_request(r, kWall + now));
                 writer.update(attempt(r.number, AttemptState::in_flight, random), kWall + now);
                 if (i % 2 == 0) {
                     r.state = RequestState::served;
                     writer.update(r, kWall + now);
                 }
                 now += 100 * kMillisecond;
-                (void)writer.look(now, kWall + now);
+                (void)writer.poll(now, kWall + now);
             }
             const bool struck = vfs.failures < 2;
-            for (int i = 0; i < 100 && writer.status().waiting > 0; ++i) {
+            for (int i = 0; i < 100 && writer.status().queued_rows > 0; ++i) {
                 now += 500 * kMillisecond;
-                (void)writer.look(now, kWall + now);
+                (void)writer.poll(now, kWall + now);
             }
             (void)writer.finish(now, kWall + now);
             const auto found = read(temp.file);
@@ -195,7 +196,7 @@
 protected:
     std::unique_ptr<LedgerWriter> open(const std::string& life, std::size_t waiting = 1000,
                                        const std::string& vfs = "") {
-        WriterSettings s{temp.file, "front-1", life, 100 * kMillisecond, keep, {}, vfs};
+        LedgerWriterSettings s{temp.file, "front-1", life, 100 * kMillisecond, keep, {}, vfs};
         s.limits.max_queued_rows = waiting;
         return std::make_unique<LedgerWriter>(s);
     }
@@ -203,7 +204,7 @@
         std::string words;
         for (int i = 0; i < times; ++i) {
             now += 500 * kMillisecond;
-            for (const auto& text : w.look(now, kWall + now))
+            for (const auto& text : w.poll(now, kWall + now))
                 words += text + "\n";
         }
         return words;
@@ -211,7 +212,7 @@
     std::uint32_t take(LedgerWriter& w, RequestState state = RequestState::open) {
         auto r = request(0, RequestState::open, random);
         r.taken = kWall + now;
-        if (!w.taken(r, kWall + now))
+        if (!w.add_request(r, kWall + now))
             return 0;
         if (state != RequestState::open) {
             r.state = state;
@@ -276,14 +277,14 @@
         refused += take(*w) == 0;
         if (i % 100 == 0)
             words += look(*w);
-        EXPECT_LE(w->status().waiting, 1000u);
+        EXPECT_LE(w->status().queued_rows, 1000u);
     }
     EXPECT_NE(words.find("NOT WRITTEN (disk full)"), std::string::npos) << words;
     EXPECT_GT(refused, 1000);
     vfs.well();
     words = look(*w, 30);
     EXPECT_NE(words.find("written again"), std::string::npos) << words;
-    EXPECT_EQ(w->status().waiting, 0u);
+    EXPECT_EQ(w->status().queued_rows, 0u);
     w->finish(now, kWall + now);
     EXPECT_EQ(read(temp.file).all.size(), static_cast<std::size_t>(2010 - refused));
     const auto all = gaps(temp.file);
@@ -302,7 +303,7 @@
     look(*first);
     first->finish(now, kWall + now);
     look(*second, 30);
-    EXPECT_EQ(second->status().trouble, StoreError::none);
+    EXPECT_EQ(second->status().error, StoreError::none);
     second->finish(now, kWall + now);
     EXPECT_EQ(read(temp.file).all.size(), 2u);
 }
@@ -358,7 +359,7 @@
             words += look(*w);
     }
     words += look(*w, 20);
-    EXPECT_EQ(w->status().trouble, StoreError::none) << words;
+    EXPECT_EQ(w->status().error, StoreError::none) << words;
     w->finish(now, kWall + now);
     // Whether the writing met the damage or not, every new row is there.
     const auto after = read(temp.file);
@@ -471,7 +472,7 @@
     auto w = open(kFirstLife);
     look(*w);
     now += 100 * kMillisecond;
-    const auto words = w->look(now, kWall + now - 2 * kSecondMicros);
+    const auto words = w->poll(now, kWall + now - 2 * kSecondMicros);
     ASSERT_EQ(words.size(), 1u);
     EXPECT_NE(words[0].find("-2000 ms"), std::string::npos);
     w->finish(now, kWall + now - 2 * kSecondMicros);
