--- a/src/front/active_statement.hpp
+++ b/src/front/active_statement.hpp
@@ -18,7 +18,7 @@
 #include "front/statement_outcome.hpp"
 #include "statement/engine_call.hpp"
 #include "statement/server.hpp"
-#include "store/writer.hpp"
+#include "store/ledger_writer.hpp"
 
 namespace gatetiller::front {
 
@@ -69,7 +69,7 @@
     std::string engine_query_id;
     std::string engine_name;
     std::string engine_kind;
-    store::LedgerWriter::Place ledger_place;
+    store::LedgerWriter::QueueSlot ledger_place;
     statement::Stats stats;
     std::string columns;  // by the latest document that had them
     std::optional<LoadReport> load_report;
@@ -98,7 +98,7 @@
     bool in_ledger = false;
     std::uint32_t ledger_number = 0;
     std::optional<decide::RequestRow> ledger_row;  // until its last state is recorded
-    store::LedgerWriter::Place ledger_place;
+    store::LedgerWriter::QueueSlot ledger_place;
 
     StatementAttempt* attempt_in_flight() {
         return lifecycle.attempt_in_flight() ? attempts.back().get() : nullptr;
--- a/src/front/ledger_recorder.cpp
+++ b/src/front/ledger_recorder.cpp
@@ -21,14 +21,14 @@
 }
 
 void LedgerRecorder::flush() {
-    for (const auto& text : writer_->look(loop_.now(), loop_.wall()))
+    for (const auto& text : writer_->poll(loop_.now(), loop_.wall()))
         events_.log(text);
-    const auto previous = writer_->before();
+    const auto previous = writer_->previous_incarnation();
     if (previous.known && !std::exchange(previous_incarnation_known_, true))
         events_.on_previous_incarnation(previous.killed.has_value());
-    for (const auto& past : writer_->take_past())
+    for (const auto& past : writer_->take_work_history())
         events_.on_past_work(past);
-    flush_timer_ = loop_.after(writer_->flush_every(), [this] {
+    flush_timer_ = loop_.after(writer_->flush_interval(), [this] {
         flush();
     });
 }
@@ -48,7 +48,7 @@
     row.taken = loop_.wall();
     if (class_settings.idempotency == Idempotency::keyed)
         row.key_window = class_settings.key_window;
-    statement.in_ledger = writer_->taken(row, row.taken, statement.ledger_place);
+    statement.in_ledger = writer_->add_request(row, row.taken, statement.ledger_place);
     statement.ledger_number = row.number;
     statement.ledger_row = std::move(row);
 }
@@ -93,16 +93,16 @@
     if (!writer_)
         return "";
     return decide::tag_of(
-        {writer_->life(), attempt.statement.ledger_number, static_cast<std::uint32_t>(attempt.number)});
+        {writer_->incarnation(), attempt.statement.ledger_number, static_cast<std::uint32_t>(attempt.number)});
 }
 
 std::string LedgerRecorder::status_member() const {
     if (!writer_)
         return "";
     const auto status = writer_->status();
-    const char* state = status.trouble == decide::StoreError::none ? "written" : name_of(status.trouble);
+    const char* state = status.error == decide::StoreError::none ? "written" : name_of(status.error);
     return R"(,"ledger":{"state":)" + statement::json_string(state) + R"(,"waiting":)" +
-           std::to_string(status.waiting) + R"(,"lost":)" + std::to_string(status.lost) + "}";
+           std::to_string(status.queued_rows) + R"(,"lost":)" + std::to_string(status.lost_rows) + "}";
 }
 
 }  // namespace gatetiller::front
--- a/src/front/ledger_recorder.hpp
+++ b/src/front/ledger_recorder.hpp
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "front/active_statement.hpp"
-#include "store/writer.hpp"
+#include "store/ledger_writer.hpp"
 
 namespace gatetiller::front {
 
@@ -40,7 +40,7 @@
     void record_finished(ActiveStatement& statement, Micros ended_at);
     // The client tag by which the engine's own log names the attempt; empty without a ledger.
     std::string attempt_tag(const StatementAttempt& attempt) const;
-    store::WriterStatus status() const {
+    store::LedgerWriterStatus status() const {
         return writer_->status();
     }
     // The member "ledger" of GET /v1/status after a comma; empty without a ledger.
--- a/src/front/metrics.cpp
+++ b/src/front/metrics.cpp
@@ -69,11 +69,11 @@
     gauges_.Add({{"what", what}}).Set(value);
 }
 
-void Metrics::ledger(const store::WriterStatus& status) {
-    set_gauge("ledger_written", status.trouble == decide::StoreError::none ? 1 : 0);
-    set_gauge("ledger_rows_waiting", static_cast<double>(status.waiting));
-    set_gauge("ledger_rows_lost", static_cast<double>(status.lost));
-    set_gauge("ledger_rows_committed", static_cast<double>(status.committed));
+void Metrics::ledger(const store::LedgerWriterStatus& status) {
+    set_gauge("ledger_written", status.error == decide::StoreError::none ? 1 : 0);
+    set_gauge("ledger_rows_waiting", static_cast<double>(status.queued_rows));
+    set_gauge("ledger_rows_lost", static_cast<double>(status.lost_rows));
+    set_gauge("ledger_rows_committed", static_cast<double>(status.committed_rows));
     set_gauge("ledger_written_until_seconds", static_cast<double>(status.written_until) / kSecondMicros);
 }
 
