--- a/src/policy/gateway_policy.cpp
+++ b/src/policy/gateway_policy.cpp
@@ -4,8 +4,6 @@
 #include "policy/gateway_policy.hpp"
 
 #include <algorithm>
-#include <boost/math/special_functions/digamma.hpp>
-#include <boost/math/special_functions/trigamma.hpp>
 #include <cmath>
 #include <deque>
 #include <map>
@@ -14,6 +12,10 @@
 #include <stdexcept>
 #include <tuple>
 #include <unordered_map>
+#include <utility>
+
+#include "policy/latency_budget.hpp"
+#include "policy/sensitive_share.hpp"
 
 namespace gatetiller {
 namespace {
@@ -23,19 +25,11 @@
 constexpr Micros kMs = 1000, kSecond = 1000 * kMs, kNever = 1'000'000 * kSecond;
 
 // The design's figures (the paper's defaults where it has them).
-constexpr double kZeta = 0.95, kTheta = 0.98;  // allowed range of U/target
-constexpr double kGamma = 0.05, kBeta = 0.25;  // steps of alpha: down by gamma/CV, up by the factor 1+beta
-constexpr double kAlphaLow = 0.05, kAlphaHigh = 0.95;
-constexpr double kTarget = 0.05;  // disengagement allowed: one answer in ten after its aim
-constexpr double kHalf = 0.5;     // the staircase between aim and deadline
-constexpr int kBisections = 12;   // the paper's precision: 1/4096 of the range
 constexpr std::size_t kWindowCount = 1000;
 constexpr Micros kWindowSpan = 10 * kSecond;
 constexpr std::size_t kFewSamples = 10;          // with fewer, CV is taken as 1 and S from estimates
-constexpr double kCvLow = 0.03, kCvHigh = 20;    // beyond these the shape is flat or a spike for any use
 constexpr double kSensitiveRun = 1.0 * kSecond;  // usual run time of a sensitive class is under this
 constexpr double kSwitch = 0.1;                  // a class changes side only past the limit by this share
-constexpr double kSeedCount = 100;               // alpha is the sensitive share of so many first requests
 constexpr double kThreadsPerCore = 2, kLeastCap = 2;  // C; three a core, the start value, passed the knee
 constexpr double kKnee = 1.5;  // threads a core, of all fronts, past which an engine is under pressure
 
@@ -54,6 +48,7 @@
 constexpr double kOtherZone = 1.5;  // weight of an engine in another zone, where crossing costs
 constexpr double kCalm = 1.3, kStrained = 1.7;       // run time over a calm one: the part of C grows, shrinks
 constexpr double kLateLeast = 0.1, kLateMost = 0.3;  // share of attempts late by themselves, likewise
+constexpr double kPartGrowth = 0.25;                 // a second
 constexpr double kReachDown = 0.7, kCalmCreep = 1.002;  // a second: part; calm (doubles in 6 minutes)
 constexpr int kForLoad = 2, kMoves = 2;  // a note says that it waits for a load; moves from behind one
 constexpr double kJam = 2.5;  // reported threads a core, a quarter past C for all fronts: nothing more goes
@@ -82,61 +77,8 @@
 constexpr Micros kTick = 25 * kMs, kFitEvery = 500 * kMs, kAlphaEvery = kSecond, kProbeEvery = kSecond;
 constexpr double kAskShare = 0.25;  // list calls are repeated after this share of ask_within
 
-// ---- Algorithm 1: the generalized exponential F(x) = (1 - exp(-x/omega))^phi, paper section 3.1 and 3.2
-
-double mean_factor(double phi) {
-    return boost::math::digamma(phi + 1) - boost::math::digamma(1.0);
-}
-double variance_factor(double phi) {
-    return boost::math::trigamma(1.0) - boost::math::trigamma(phi + 1);
-}
-
-double cdf(double x, double phi, double omega) {
-    return x <= 0 ? 0 : std::exp(phi * std::log1p(-std::exp(-x / omega)));
-}
-}  // namespace
-
-double gexp_shape(double cv) {
-    cv = std::clamp(cv, kCvLow, kCvHigh);
-    double low = -14, high = 60;  // of log phi; CV falls as phi grows
-    for (int i = 0; i < 60; ++i) {
-        const double middle = (low + high) / 2, phi = std::exp(middle);
-        (std::sqrt(variance_factor(phi)) / mean_factor(phi) > cv ? low : high) = middle;
-    }
-    return std::exp((low + high) / 2);
-}
-
-double gexp_cdf(double x, double mean, double cv) {
-    const double phi = gexp_shape(cv);
-    return cdf(x, phi, mean / mean_factor(phi));
-}
-
-double mean_latency_budget(double cv, double aim, double deadline, double target) {
-    const double phi = gexp_shape(cv), factor = mean_factor(phi);
-    double low = 0, high = deadline, mean = 0;
-    for (int i = 0; i < kBisections; ++i) {
-        mean = (low + high) / 2;
-        const double by_aim = cdf(aim, phi, mean / factor), by_end = cdf(deadline, phi, mean / factor);
-        const double eta = ((by_end - by_aim) * kHalf + (1 - by_end)) / target;
-        if (eta >= kZeta && eta <= kTheta)
-            break;
-        (eta < kZeta ? low : high) = mean;
-    }
-    return mean;
-}
-
-double next_alpha(double alpha, double worst, double best, double mean_cv) {
-    if (worst > kTheta)
-        alpha *= 1 + kBeta;
-    else if (worst < kTheta && best < kZeta)
-        alpha -= kGamma / std::max(mean_cv, kCvLow);
-    return std::clamp(alpha, kAlphaLow, kAlphaHigh);
-}
-
 // ---- Tables
 
-namespace {
-
 enum class Side {
     sensitive,
     best_effort,
@@ -248,7 +190,7 @@
 class GatewayPolicy::Front {
 public:
     std::vector<Action> actions;
-    double alpha = 0.5;
+    policy::SensitiveShare alpha;
 
     PolicySettings s;
     Micros now;
@@ -266,7 +208,6 @@
     std::map<std::string, Micros> rests;           // a key rests until then
     std::deque<Micros> taken, further;             // for the budget of attempts
     std::uint64_t seq = 0;
-    double first_sensitive = 0, first_all = 0;
     bool subscribed = false;
     Micros asked = 0, fitted = 0, moved = 0, heard = -kNever, woke = 0;
 
@@ -541,14 +482,14 @@
         if (strain > kStrained || late > kLateMost)
             reach = std::max(1.0, reach * kReachDown);
         else if (bound && strain < kCalm && late < kLateLeast)
-            reach = std::min(reach * (1 + kBeta), 1.0 * s.instance_count);
+            reach = std::min(reach * (1 + kPartGrowth), 1.0 * s.instance_count);
         bound = false;
     }
 
     void observe_latency(const Request& r, const Attempt& a, Micros time) {
         Stream& t = stream_of(r);
         const double latency = static_cast<double>(now - r.arrival);
-        const double u = now <= r.aim ? 0 : now <= r.deadline ? kHalf : 1;
+        const double u = now <= r.aim ? 0 : now <= r.deadline ? policy::kLateDisengagement : 1;
         t.window.push_back({now, latency, static_cast<double>(time), u});
         const double slow = a.slowness(static_cast<double>(time));
         approach(engines[a.engine].slow, slow), approach(pace, slow), approach(drag, slow);
@@ -567,11 +508,11 @@
         t.enough = t.window.size() >= kFewSamples;
         t.cv = t.enough ? std::sqrt(std::max(0.0, square - latency * latency)) / std::max(latency, 1.0) : 1;
         t.service = t.enough ? engine_time : run;
-        t.eta = disengaged / kTarget;
+        t.eta = disengaged / policy::kDisengagementTarget;
         const double deadline = static_cast<double>(c.deadline);
         const double aim =
             std::min(static_cast<double>(c.latency_objective) + c.objective_stretch * run, deadline);
-        t.budget = mean_latency_budget(t.cv, aim, deadline, kTarget);
+        t.budget = policy::mean_latency_budget({t.cv, aim, deadline});
     }
 
     void fit() {
@@ -592,8 +533,8 @@
             worst = std::max(worst, t.eta), best = std::min(best, t.eta);
             cv += t.cv, count += 1;
         }
-        if (count > 0 && first_all > kSeedCount)
-            alpha = next_alpha(alpha, worst, best, cv / count);
+        if (count > 0)
+            alpha.adjust({worst, best, cv / count});
     }
 
     // ---- Health
@@ -878,7 +819,7 @@
 
     void dispatch() {
         for (;;) {
-            const bool first = uniform() < alpha;
+            const bool first = uniform() < alpha.value();
             if (!serve(first ? Side::sensitive : Side::best_effort) &&
                 !serve(first ? Side::best_effort : Side::sensitive) && !serve(Side::behind))
                 return;
@@ -1104,9 +1045,7 @@
         const double step = std::min(1.0, kLearn * run_time(r) / std::max(usual.run, 1.0));
         approach(usual.work, r.cost, step), approach(usual.memory, r.memory, step);
         approach(usual.threads, c.threads, step);
-        ++first_all, first_sensitive += k.sensitive;
-        if (first_all <= kSeedCount)
-            alpha = std::clamp(first_sensitive / first_all, kAlphaLow, kAlphaHigh);
+        alpha.count_arrival(k.sensitive);
         if (c.ordered_by_key && !d.ordering_key.empty()) {
             r.key = d.ordering_key, r.in_line = true;
             lines[r.key].push_back(slot);
@@ -1272,7 +1211,7 @@
 }
 
 double GatewayPolicy::alpha() const {
-    return front_->alpha;
+    return front_->alpha.value();
 }
 
 }  // namespace gatetiller
