--- /dev/null
+++ b/src/policy/concurrency_limit.cpp
@@ -0,0 +1,95 @@
+#include "policy/concurrency_limit.hpp"
+
+#include <algorithm>
+
+#include "policy/smoothing.hpp"
+
+namespace gatetiller::policy {
+namespace {
+
+constexpr double kLeastThreadsLimit = 2;         // of this gateway's part of an endpoint
+constexpr double kOverloadThreadsPerCore = 2.5;  // reported; past it nothing more is sent
+constexpr double kUsableMemoryShare = 0.95;
+constexpr double kCountedMemoryShare = 0.75;  // of what other gateways' queries usually need
+constexpr double kCrawlSlowdown = 4;          // of running attempts, at which reports of room aren't trusted
+constexpr double kCalmContention = 1.3;       // below: the part grows
+constexpr double kHighContention = 1.7;       // above: it shrinks
+constexpr double kFewLate = 0.1;              // share of late attempts below which the part grows
+constexpr double kManyLate = 0.3;             // and above which it shrinks
+constexpr double kPartGrowth = 1.25;          // a second
+constexpr double kPartDecrease = 0.7;         // a second
+
+}  // namespace
+
+void ConcurrencyLimit::add(const Attempt& attempt) {
+    threads_ += attempt.threads;
+    attempts_[attempt.sensitive ? 1 : 0] += 1;
+}
+
+void ConcurrencyLimit::remove(Attempt& attempt) {
+    if (!attempt.counted)
+        return;
+    attempt.counted = false;
+    threads_ -= attempt.threads;
+    attempts_[attempt.sensitive ? 1 : 0] -= 1;
+}
+
+RoomVerdict ConcurrencyLimit::check(const RoomInput& input, const EndpointStatus& endpoint) {
+    const Fleet& fleet = input.fleet;
+    const UsualQuery& usual = input.usual;
+    const Micros now = input.now;
+    if (endpoint.health.pauses(input.class_index, now))
+        return RoomVerdict::paused;
+    // Work that no gateway counts any more runs on there, left by timeouts or by a gateway that is gone.
+    if (fleet.queries_at(endpoint, usual, now) * usual.threads > kOverloadThreadsPerCore * endpoint.cores)
+        return RoomVerdict::overloaded;
+    // Without recent reports the others' queries are a guess, which must not fill memory.
+    const double others = fleet.other_queries_at(endpoint, usual, now);
+    const double used_mb =
+        endpoint.expected_mb +
+        (fleet.has_recent_report(now) ? kCountedMemoryShare * others * usual.memory_mb : 0);
+    if (endpoint.memory_mb > 0 && used_mb > 0 &&
+        used_mb + input.memory_mb > kUsableMemoryShare * endpoint.memory_mb)
+        return RoomVerdict::memory_full;
+    const double threads = endpoint.threads + input.threads;
+    if (!Fleet::under_pressure(endpoint, now) &&
+        threads + others * usual.threads <= kSaturationThreadsPerCore * endpoint.cores)
+        return RoomVerdict::room;
+    // Where gateways outnumber threads, the part of one endpoint is under one query: the limit holds over the
+    // fleet too. Sensitive queries pass it while reports tell of room, and best-effort ones wait while they
+    // tell of none. An overloaded endpoint reports nothing: crawling notes of progress tell of it too.
+    const double part = kThreadsPerCoreLimit / input.settings.instance_count * part_factor_;
+    const double fleet_threads_per_core = fleet.threads_per_core(now);
+    if (!input.sensitive && fleet_threads_per_core > kThreadsPerCoreLimit)
+        return RoomVerdict::fleet_busy;
+    const bool fleet_has_room =
+        fleet_threads_per_core < kSaturationThreadsPerCore && fleet.running_slowdown() < kCrawlSlowdown;
+    if (!(input.sensitive && fleet_has_room) && attempts_[input.sensitive ? 1 : 0] > 0 &&
+        threads_ + input.threads > part * fleet.cores()) {
+        part_was_binding_ = true;
+        return RoomVerdict::fleet_part_used;
+    }
+    const bool within_part =
+        endpoint.open_attempts.empty() || threads <= std::max(kLeastThreadsLimit, part * endpoint.cores);
+    return within_part ? RoomVerdict::room : RoomVerdict::endpoint_part_used;
+}
+
+void ConcurrencyLimit::observe_contention(double run_over_calm) {
+    smooth(contention_, run_over_calm);
+}
+
+void ConcurrencyLimit::observe_late(bool late) {
+    smooth(late_share_, late ? 1 : 0);
+}
+
+void ConcurrencyLimit::adjust(const PolicySettings& settings) {
+    if (settings.load_report_source != LoadReportSource::none)
+        return;
+    if (contention_ > kHighContention || late_share_ > kManyLate)
+        part_factor_ = std::max(1.0, part_factor_ * kPartDecrease);
+    else if (part_was_binding_ && contention_ < kCalmContention && late_share_ < kFewLate)
+        part_factor_ = std::min(part_factor_ * kPartGrowth, 1.0 * settings.instance_count);
+    part_was_binding_ = false;
+}
+
+}  // namespace gatetiller::policy
--- /dev/null
+++ b/src/policy/endpoint_selection.cpp
@@ -0,0 +1,151 @@
+#include "policy/endpoint_selection.hpp"
+
+#include <algorithm>
+#include <cmath>
+#include <cstddef>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "policy/retry_policy.hpp"
+#include "policy/slow_start.hpp"
+
+namespace gatetiller::policy {
+namespace {
+
+constexpr double kEnoughEstimates = 30;    // for the mean of a class's work
+constexpr double kEnoughAnswers = 3;       // for a class's work without estimates
+constexpr Micros kObjectivesObserved = 2;  // objectives, until answers tell of long queries too
+constexpr double kOtherZoneFactor = 1.5;   // weight of an endpoint in another zone, where crossing costs
+constexpr double kLeastWorkLeft = 0.1;     // share of an attempt's work that counts until it ends
+constexpr double kLeastCapacityCores = 0.1;
+
+bool allows(const std::optional<std::vector<std::string>>& allowed, const std::string& name) {
+    return !allowed || std::find(allowed->begin(), allowed->end(), name) != allowed->end();
+}
+
+bool slow_start_admits(const SelectionInput& input, const ActiveRequest& request,
+                       const EndpointStatus& endpoint) {
+    const SlowStartWorkInput work{input.settings.classes[request.class_index], input.statistics.of(request),
+                                  request.work, input.now};
+    SlowStartRequest query;
+    query.budget = slow_start_budget(input.settings, endpoint.cores);
+    query.gateway_count = input.settings.instance_count;
+    query.work = slow_start_work(work);
+    query.first_work = first_slow_start_work(work);
+    return endpoint.slow_start.admits(query);
+}
+
+// Whether the rules let the request go there; room and health apart.
+bool permits(const SelectionInput& input, const ActiveRequest& request, const EndpointStatus& endpoint) {
+    const ClassSettings& class_settings = input.settings.classes[request.class_index];
+    const Endpoint& description = endpoint.description;
+    if (!endpoint.takes_requests() || !allows(class_settings.allowed_kinds, description.kind) ||
+        !allows(class_settings.allowed_zones, description.zone))
+        return false;
+    if (request.first_endpoint >= 0 && class_settings.idempotency == Idempotency::keyed &&
+        !in_key_scope(class_settings.key_scope, input.fleet[request.first_endpoint].description, description))
+        return false;
+    return !in_slow_start(input.settings, description.started_at, input.now) ||
+           slow_start_admits(input, request, endpoint);
+}
+
+std::vector<int> eligible_endpoints(const SelectionInput& input, const ActiveRequest& request) {
+    const std::vector<EndpointStatus>& endpoints = input.fleet.endpoints();
+    int outliers_over_others = 0;
+    for (const EndpointStatus& endpoint : endpoints)
+        if (endpoint.takes_requests())
+            outliers_over_others += endpoint.accepts(input.now) ? -1 : 1;
+    const bool most_are_outliers = outliers_over_others > 0;
+    const RoomInput room{input.settings,
+                         input.fleet,
+                         input.statistics.usual(),
+                         input.now,
+                         request.class_index,
+                         input.statistics.of(request).sensitive,
+                         input.settings.classes[request.class_index].threads,
+                         request.memory_mb};
+    std::vector<int> eligible;
+    for (std::size_t index = 0; index < endpoints.size(); ++index) {
+        const EndpointStatus& endpoint = endpoints[index];
+        const bool healthy =
+            endpoint.accepts(input.now) || (most_are_outliers && !endpoint.health.refuses_connections());
+        if (healthy && permits(input, request, endpoint) &&
+            input.limit.check(room, endpoint) == RoomVerdict::room)
+            eligible.push_back(static_cast<int>(index));
+    }
+    return eligible;
+}
+
+}  // namespace
+
+// While nothing has told its work, a query may take as long as its objective: a gateway that has just started
+// must not overload an endpoint by a guess, by its first answers, which are those of the shortest queries, or
+// by the mean of a few estimates, which is mostly too low. Later it counts halfway between its own estimate
+// and the usual work: estimates err, and those that look short mostly towards too little.
+double slow_start_work(const SlowStartWorkInput& input) {
+    const ClassStatistics& statistics = input.statistics;
+    const ClassSettings& class_settings = input.class_settings;
+    if (statistics.estimated_work > 0) {
+        const double usual_work =
+            std::max(statistics.work, statistics.estimated_work * statistics.work_ratio);
+        if (statistics.estimates >= kEnoughEstimates)
+            return (input.work + usual_work) / 2;
+        return std::max(input.work, usual_work * (1 + 1 / std::sqrt(statistics.estimates)));
+    }
+    const Micros observed_from =
+        statistics.first_unestimated_at + kObjectivesObserved * class_settings.latency_objective;
+    if (statistics.answers >= kEnoughAnswers && input.now >= observed_from)
+        return statistics.work;
+    return std::max(statistics.work,
+                    static_cast<double>(class_settings.latency_objective) * class_settings.threads);
+}
+
+// While a class is not known its first query goes by the guess: otherwise nothing would ever tell more.
+double first_slow_start_work(const SlowStartWorkInput& input) {
+    if (input.statistics.estimates >= kEnoughEstimates)
+        return slow_start_work(input);
+    return std::max(input.statistics.work, input.work);
+}
+
+double load_estimate(const SelectionInput& input, const ActiveRequest& request,
+                     const EndpointStatus& endpoint) {
+    const ClassSettings& class_settings = input.settings.classes[request.class_index];
+    const bool waits_for_lock = class_settings.waits_for_table_lock || class_settings.locks_table_group;
+    double work = request.work;
+    for (const AttemptRef& ref : endpoint.open_attempts) {
+        const ActiveRequest& other = input.requests[ref.slot];
+        const Attempt& attempt = other.attempts[ref.attempt];
+        const double left = attempt.work * std::max(kLeastWorkLeft, 1 - attempt.fraction_done);
+        work += left;
+        // The request would stand still until that load ends, on all cores.
+        if (waits_for_lock && other.table_group == request.table_group &&
+            input.settings.classes[other.class_index].locks_table_group)
+            work += left / attempt.threads * endpoint.cores;
+    }
+    const UsualQuery& usual = input.statistics.usual();
+    work += input.fleet.other_queries_at(endpoint, usual, input.now) * usual.work;
+    const double capacity =
+        endpoint.cores * warm_capacity_share(input.settings, endpoint.description.started_at, input.now);
+    const double slowdown = std::max(1.0, endpoint.slowdown / input.fleet.usual_slowdown());
+    const bool crosses_zones =
+        input.settings.cross_zone_price > 0 && endpoint.description.zone != input.settings.zone;
+    return work / std::max(capacity, kLeastCapacityCores) * slowdown * (crosses_zones ? kOtherZoneFactor : 1);
+}
+
+int select_endpoint(const SelectionInput& input, const ActiveRequest& request) {
+    std::vector<int> eligible = eligible_endpoints(input, request);
+    if (eligible.size() > 1 && !request.attempts.empty())
+        std::erase(eligible, request.attempts.back().endpoint);
+    if (eligible.empty())
+        return kNoEndpoint;
+    const int first = eligible[input.random.index(eligible.size())];
+    if (eligible.size() > 1)
+        std::erase(eligible, first);
+    const int second = eligible[input.random.index(eligible.size())];
+    const double first_load = load_estimate(input, request, input.fleet[first]);
+    const double second_load = load_estimate(input, request, input.fleet[second]);
+    return first_load <= second_load ? first : second;
+}
+
+}  // namespace gatetiller::policy
--- /dev/null
+++ b/src/policy/fleet.cpp
@@ -0,0 +1,148 @@
+#include "policy/fleet.hpp"
+
+#include <algorithm>
+
+#include "policy/smoothing.hpp"
+
+namespace gatetiller::policy {
+namespace {
+
+constexpr double kPressureSlowdown = 2;  // run time over expected run time at which an endpoint is slow
+constexpr double kBusyShare = 0.9;       // reported share of cores, disks or memory that counts as busy
+constexpr double kReportStep = 0.1;      // weight of one report in the mean threads a core
+constexpr Micros kSlowdownDecayTime = 10 * kSecondMicros;
+
+}  // namespace
+
+Fleet::Fleet(const PolicySettings& settings) : settings_(&settings) {}
+
+EndpointStatus& Fleet::find_or_add(EngineId id, Micros now, RandomSource& random) {
+    const auto [place, added] = index_by_id_.try_emplace(id, static_cast<int>(endpoints_.size()));
+    if (!added)
+        return endpoints_[place->second];
+    EndpointStatus& endpoint = endpoints_.emplace_back();
+    endpoint.last_alive = now;
+    // Gateways that start together spread their first health checks.
+    endpoint.health_checked_at = now - static_cast<Micros>((1 + random.uniform()) * kHealthCheckInterval);
+    return endpoint;
+}
+
+void Fleet::update(const EndpointUpdate& update, Micros now, RandomSource& random) {
+    if (update.kind == EndpointUpdateKind::full || update.kind == EndpointUpdateKind::cached)
+        for (EndpointStatus& endpoint : endpoints_)
+            endpoint.listed = false;
+    for (const Endpoint& description : update.endpoints) {
+        EndpointStatus& endpoint = find_or_add(description.id, now, random);
+        if (description.started_at > endpoint.description.started_at) {
+            endpoint.health.reset();
+            endpoint.slowdown = 1;
+        }
+        endpoint.description = description;
+        endpoint.listed = description.state != EndpointState::removed;
+        for (const EngineKindSettings& kind : settings_->kinds) {
+            if (kind.name != description.kind)
+                continue;
+            endpoint.cores = std::max(1.0, kind.cores);
+            endpoint.memory_mb = kind.memory_mb;
+        }
+    }
+    cores_ = 0;
+    for (const EndpointStatus& endpoint : endpoints_)
+        cores_ += endpoint.listed ? endpoint.cores : 0;
+}
+
+int Fleet::find(EngineId id) const {
+    const auto found = index_by_id_.find(id);
+    return found == index_by_id_.end() ? kNotFound : found->second;
+}
+
+void Fleet::add_attempt(int endpoint, AttemptRef ref, const Attempt& attempt) {
+    EndpointStatus& status = endpoints_[endpoint];
+    status.open_attempts.push_back(ref);
+    status.threads += attempt.threads;
+    status.expected_mb += attempt.memory_mb;
+}
+
+void Fleet::remove_attempt(int endpoint, AttemptRef ref, const Attempt& attempt) {
+    EndpointStatus& status = endpoints_[endpoint];
+    std::erase(status.open_attempts, ref);
+    status.threads -= attempt.threads;
+    status.expected_mb -= attempt.memory_mb;
+}
+
+void Fleet::observe_report(int endpoint, const std::optional<LoadReport>& report, const UsualQuery& usual,
+                           Micros now) {
+    EndpointStatus& status = endpoints_[endpoint];
+    status.last_alive = now;
+    if (!report)
+        return;
+    status.report = *report;
+    status.reported_at = now;
+    last_report_at_ = now;
+    std::optional<double>& queries = status.report.running_queries;
+    if (!queries && report->busy_cores_share)  // busy cores are taken to be saturated
+        queries = *report->busy_cores_share / kBusyShare * kSaturationThreadsPerCore * status.cores /
+                      usual.threads +
+                  report->queue_depth.value_or(0);
+    if (queries)
+        smooth(threads_per_core_, *queries * usual.threads / status.cores, kReportStep);
+    status.open_at_report = static_cast<int>(status.open_attempts.size());
+}
+
+void Fleet::observe_completion(int endpoint, double slowdown) {
+    smooth(endpoints_[endpoint].slowdown, slowdown);
+    smooth(completed_slowdown_, slowdown);
+    smooth(running_slowdown_, slowdown);
+}
+
+void Fleet::observe_progress(int endpoint, double slowdown) {
+    smooth(endpoints_[endpoint].slowdown, slowdown);
+    smooth(running_slowdown_, slowdown);
+}
+
+void Fleet::decay_slowdown(EndpointStatus& endpoint, Micros elapsed) {
+    smooth(endpoint.slowdown, 1, static_cast<double>(elapsed) / kSlowdownDecayTime);
+}
+
+double Fleet::queries_at(const EndpointStatus& endpoint, const UsualQuery& usual, Micros now) const {
+    const double fleet_mean = threads_per_core(now) * endpoint.cores / usual.threads;
+    const double reported = endpoint.report.running_queries.value_or(fleet_mean);
+    // The report holds for as long as what it counts takes to run, and fades into the fleet's mean.
+    const double lifetime = std::max<double>(kReportLifetime, reported * usual.work / endpoint.cores);
+    const auto age = static_cast<double>(now - endpoint.reported_at);
+    return reported + (fleet_mean - reported) * std::min(1.0, age / lifetime);
+}
+
+double Fleet::other_queries_at(const EndpointStatus& endpoint, const UsualQuery& usual, Micros now) const {
+    if (settings_->instance_count < 2)
+        return 0;
+    return std::max(0.0, queries_at(endpoint, usual, now) - endpoint.open_at_report);
+}
+
+bool Fleet::under_pressure(const EndpointStatus& endpoint, Micros now) {
+    if (endpoint.slowdown > kPressureSlowdown)
+        return true;
+    if (now - endpoint.reported_at > kReportLifetime)
+        return false;
+    const LoadReport& report = endpoint.report;
+    return report.busy_cores_share.value_or(0) > kBusyShare ||
+           report.busy_disks_share.value_or(0) > kBusyShare ||
+           report.granted_memory_share.value_or(0) > kBusyShare || report.queue_depth.value_or(0) >= 1;
+}
+
+bool Fleet::reports_room(const EndpointStatus& endpoint, const UsualQuery& usual, Micros now) const {
+    if (now - endpoint.reported_at > kReportLifetime || !endpoint.report.running_queries)
+        return false;
+    return !under_pressure(endpoint, now) &&
+           queries_at(endpoint, usual, now) * usual.threads <= kSaturationThreadsPerCore * endpoint.cores;
+}
+
+bool Fleet::has_recent_report(Micros now) const {
+    return last_report_at_ && now - *last_report_at_ <= kReportLifetime;
+}
+
+double Fleet::threads_per_core(Micros now) const {
+    return has_recent_report(now) ? threads_per_core_ : kSaturationThreadsPerCore;
+}
+
+}  // namespace gatetiller::policy
--- a/src/policy/gateway_policy.hpp
+++ b/src/policy/gateway_policy.hpp
@@ -33,8 +33,8 @@
     double alpha() const;
 
 private:
-    class Front;
-    std::unique_ptr<Front> front_;
+    class Impl;
+    std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace gatetiller
--- /dev/null
+++ b/src/policy/key_order.cpp
@@ -0,0 +1,34 @@
+#include "policy/key_order.hpp"
+
+namespace gatetiller::policy {
+
+void KeyOrder::add(RequestTable& requests, int slot) {
+    ActiveRequest& request = requests[slot];
+    request.in_key_order = true;
+    lines_[request.ordering_key].push_back(slot);
+}
+
+bool KeyOrder::has_turn(const RequestTable& requests, const ActiveRequest& request, Micros now) const {
+    if (!request.in_key_order)
+        return true;
+    if (requests[lines_.at(request.ordering_key).front()].sequence != request.sequence)
+        return false;
+    // The pause holds for later requests, not for further attempts of the one that caused it.
+    const auto pause = paused_until_.find(request.ordering_key);
+    return !request.attempts.empty() || pause == paused_until_.end() || now >= pause->second;
+}
+
+void KeyOrder::pause(const std::string& key, Micros until) {
+    paused_until_[key] = until;
+}
+
+void KeyOrder::drop_finished_heads(RequestTable& requests, std::deque<int>& line) {
+    while (!line.empty() && requests[line.front()].finished && !requests[line.front()].has_open_attempt()) {
+        const int slot = line.front();
+        requests[slot].in_key_order = false;
+        requests.release_if_over(slot);
+        line.pop_front();
+    }
+}
+
+}  // namespace gatetiller::policy
