--- a/src/front/ledger_recorder.hpp
+++ b/src/front/ledger_recorder.hpp
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "front/active_statement.hpp"
-#include "store/writer.hpp"
+#include "store/ledger_writer.hpp"
 
 namespace gatetiller::front {
 
@@ -18,7 +18,7 @@
         // Once, when the ledger is open: whether the last incarnation was killed.
         std::function<void(bool killed)> on_previous_incarnation;
         // Work of earlier incarnations, once for each entry.
-        std::function<void(const store::Ledger::Past&)> on_past_work;
+        std::function<void(const store::Ledger::WorkSample&)> on_past_work;
     };
 
     // `writer` may be null. It and the loop outlive the recorder.
@@ -40,7 +40,7 @@
     void record_finished(ActiveStatement& statement, Micros ended_at);
     // The client tag by which the engine's own log names the attempt; empty without a ledger.
     std::string attempt_tag(const StatementAttempt& attempt) const;
-    store::WriterStatus status() const {
+    store::LedgerWriterStatus status() const {
         return writer_->status();
     }
     // The member "ledger" of GET /v1/status after a comma; empty without a ledger.
--- a/src/front/metrics.hpp
+++ b/src/front/metrics.hpp
@@ -12,7 +12,7 @@
 #include "decide/invariants.hpp"
 #include "front/statement_outcome.hpp"
 #include "policy/gateway_policy.hpp"
-#include "store/writer.hpp"
+#include "store/ledger_writer.hpp"
 
 namespace gatetiller::front {
 
@@ -39,7 +39,7 @@
     // gatetiller_statements_finished_total{class,ended} and gatetiller_statement_seconds{class}
     void finished(const FinishedStatement& statement);
     // gatetiller_now{what="ledger_..."}: sets the ledger's gauges.
-    void ledger(const store::WriterStatus& status);
+    void ledger(const store::LedgerWriterStatus& status);
     // The page, with these values as gatetiller_now{what}.
     std::string page(const Gauges& gauges);
 
