--- a/src/discovery/endpoint_cache.cpp
+++ b/src/discovery/endpoint_cache.cpp
@@ -33,7 +33,7 @@
                                 {"state", list_name_of(engine.state)}};
     auto written = replace_file(file, nlohmann::json{{"engines", std::move(engines)}}.dump(1) + "\n");
     if (!written)
-        return Error{"the last list cannot be kept: " + written.error(), written.failure().code};
+        return Error{"the endpoint list cannot be cached: " + written.error(), written.failure().code};
     return true;
 }
 
--- a/src/front/engine_registry.cpp
+++ b/src/front/engine_registry.cpp
@@ -77,7 +77,7 @@
         if (cached)
             known = std::move(*cached);
         else
-            events_.log("starting without a last list: " + cached.error());
+            events_.log("starting without a cached endpoint list: " + cached.error());
     }
     apply_list(known, EndpointUpdateKind::cached);
     open_source();
@@ -95,7 +95,7 @@
                         save_cached_endpoints();
                     },
                     [this](const std::string& reason) {
-                        events_.log("the list of engines is lost: " + reason);
+                        events_.log("endpoint source unavailable: " + reason);
                         events_.on_update({EndpointUpdateKind::source_lost, {}});
                     }});
 }
--- a/src/front/graceful_shutdown.cpp
+++ b/src/front/graceful_shutdown.cpp
@@ -24,7 +24,7 @@
         done_ = std::move(done);
     if (std::exchange(begun_, true))
         return;
-    actions_.log("draining: " + std::to_string(actions_.active_statements()) + " statements in hand");
+    actions_.log("draining: " + std::to_string(actions_.active_statements()) + " active statements");
     deadline_ = loop_.now() + timeout_;
     wait_for_statements();
 }
@@ -44,7 +44,7 @@
 void GracefulShutdown::finish() {
     finished_ = true;
     actions_.drain_server();
-    actions_.log("drained: " + std::to_string(actions_.active_statements()) + " statements left behind");
+    actions_.log("drained: " + std::to_string(actions_.active_statements()) + " statements unfinished");
     if (done_)
         done_();
 }
--- a/tests/cli/program_test.cpp
+++ b/tests/cli/program_test.cpp
@@ -131,7 +131,7 @@
     std::ifstream log(file("front.jsonnet") + ".log");
     const std::string text((std::istreambuf_iterator<char>(log)), {});
     for (const char* part :
-         {"served user=ann", "reload refused", "reloaded engines", "drained: 0 statements left behind"})
+         {"served user=ann", "reload refused", "reloaded engines", "drained: 0 statements unfinished"})
         EXPECT_NE(text.find(part), std::string::npos) << part << " in " << text;
 }
 
