--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -38,8 +38,8 @@
            [this](bool killed) {
                engines_.hold_slow_start_until(killed ? loop_.now() + settings_.module.overload_window : 0);
            },
-           [this](const store::Ledger::Past& past) {
-               intake_.restore_use(*past.who, loop_.wall() - past.taken, past.work);
+           [this](const store::Ledger::WorkSample& sample) {
+               intake_.restore_use(*sample.who, loop_.wall() - sample.taken, sample.work);
            }}),
       statement_api_(loop, settings_.statements, *this, deps_.entropy),
       server_(loop, settings_.server,
--- a/src/front/ledger_recorder.cpp
+++ b/src/front/ledger_recorder.cpp
@@ -25,9 +25,9 @@
         events_.log(text);
     const auto previous = writer_->previous_incarnation();
     if (previous.known && !std::exchange(previous_incarnation_known_, true))
-        events_.on_previous_incarnation(previous.killed.has_value());
-    for (const auto& past : writer_->take_work_history())
-        events_.on_past_work(past);
+        events_.on_previous_incarnation(previous.killed_from.has_value());
+    for (const auto& sample : writer_->take_work_history())
+        events_.on_past_work(sample);
     flush_timer_ = loop_.after(writer_->flush_interval(), [this] {
         flush();
     });
@@ -48,7 +48,7 @@
     row.taken = loop_.wall();
     if (class_settings.idempotency == Idempotency::keyed)
         row.key_window = class_settings.key_window;
-    statement.in_ledger = writer_->add_request(row, row.taken, statement.ledger_place);
+    statement.in_ledger = writer_->add_request(row, row.taken, statement.ledger_slot);
     statement.ledger_number = row.number;
     statement.ledger_row = std::move(row);
 }
@@ -73,7 +73,7 @@
     row.spilled_bytes = attempt.stats.spilled_bytes;
     row.row_bytes = attempt.row_bytes;
     row.whole = attempt.end_record.document;
-    writer_->update(std::move(row), loop_.wall(), attempt.ledger_place);
+    writer_->update(std::move(row), loop_.wall(), attempt.ledger_slot);
 }
 
 void LedgerRecorder::record_finished(ActiveStatement& statement, Micros ended_at) {
@@ -85,15 +85,15 @@
     row.attempts = static_cast<std::uint32_t>(statement.attempts.size());
     row.ended_after = ended_at - statement.arrived_at;
     row.closed_after = loop_.now() - statement.arrived_at;
-    writer_->update(std::move(row), loop_.wall(), statement.ledger_place);
+    writer_->update(std::move(row), loop_.wall(), statement.ledger_slot);
     statement.ledger_row.reset();
 }
 
 std::string LedgerRecorder::attempt_tag(const StatementAttempt& attempt) const {
     if (!writer_)
         return "";
-    return decide::tag_of(
-        {writer_->incarnation(), attempt.statement.ledger_number, static_cast<std::uint32_t>(attempt.number)});
+    return decide::tag_of({writer_->incarnation(), attempt.statement.ledger_number,
+                           static_cast<std::uint32_t>(attempt.number)});
 }
 
 std::string LedgerRecorder::status_member() const {
--- a/src/front/ledger_recorder.hpp
+++ b/src/front/ledger_recorder.hpp
@@ -18,7 +18,7 @@
         // Once, when the ledger is open: whether the last incarnation was killed.
         std::function<void(bool killed)> on_previous_incarnation;
         // Work of earlier incarnations, once for each entry.
-        std::function<void(const store::Ledger::Past&)> on_past_work;
+        std::function<void(const store::Ledger::WorkSample&)> on_past_work;
     };
 
     // `writer` may be null. It and the loop outlive the recorder.
--- a/tests/front/ledger_test.cpp
+++ b/tests/front/ledger_test.cpp
@@ -79,7 +79,7 @@
                     alone(q);
             },
             [&](std::string text) {
-                s.problems.push_back(std::move(text));
+                s.troubles.push_back(std::move(text));
             });
         if (f)
             ADD_FAILURE() << f.text;
@@ -147,7 +147,7 @@
     w.loop.turn(50 * kMillisecond);
     writer->finish(w.loop.now(), w.loop.wall());
     const auto s = settle(w.events);
-    EXPECT_TRUE(s.problems.empty()) << s.problems.front();
+    EXPECT_TRUE(s.troubles.empty()) << s.troubles.front();
     EXPECT_TRUE(s.ledger.problems.empty() && s.journal.problems.empty());
     int attempts = 0;
     for (const auto& [finding, n] : s.findings) {
@@ -166,7 +166,7 @@
     w.expect_no_violations();
 }
 
-TEST_F(LedgerTest, WorkAfterLeavingAndSpillAreToldApart) {
+TEST_F(LedgerTest, WorkAfterDisconnectAndSpillAreReportedApart) {
     engine::MachineSettings machine;
     machine.cores = 2, machine.memory_mb = 100, machine.when_short = MemoryShortagePolicy::trim;
     machine.cancel_stops = false;  // an engine that doesn't heed
@@ -196,8 +196,8 @@
     EXPECT_GT(statement::read_completed(w.events.substr(0, w.events.find('\n')))->spilled_bytes, 0);
 }
 
-// A client sends tags that look like the front's own, to have its work counted as another's.
-TEST_F(LedgerTest, AForgedNameIsTakenOut) {
+// A client sends tags that look like the front's own, to have its work attributed to another.
+TEST_F(LedgerTest, AForgedAttemptTagIsRemoved) {
     FrontTestBed w(1);
     keep(w, 1);
     w.restart();
@@ -213,9 +213,9 @@
     EXPECT_EQ(w.events.find("0000000000000099"), std::string::npos);
 }
 
-// Over its budget a team's statements are turned away at the door; another team's are not; and the front that
-// is started again knows it from the ledger.
-TEST_F(LedgerTest, ABudgetIsKeptThroughARestart) {
+// Over its budget a team's statements are rejected, another team's are not; a restarted front knows it from
+// the ledger.
+TEST_F(LedgerTest, ABudgetHoldsThroughARestart) {
     FrontTestBed w(
         1,
         "rules+: { warm_up: '10ms' }, tenants: { a: g.tenant(0.5), b: g.tenant(0.3), spent: g.tenant(0.2) },"
@@ -259,7 +259,7 @@
     w.expect_no_violations();
 }
 
-// The disk fails for good: statements are served as ever, the trouble is told in the log's way and in status.
+// The disk fails for good: statements are served as before; the log and the status report the error.
 TEST_F(LedgerTest, AFrontServesOnWithoutItsLedger) {
     FrontTestBed w(1, "rules+: { warm_up: '10ms' }");
     store::LedgerWriterSettings s;
--- a/tests/store/stored_data_test.cpp
+++ b/tests/store/stored_data_test.cpp
@@ -200,7 +200,7 @@
 }
 
 TEST_F(StoredDataTest, EndpointCacheOfVersion2IsRead) {
-    const auto endpoints = discovery::read_last_list(path("v2/endpoint_cache.json"));
+    const auto endpoints = discovery::load_cached_endpoints(path("v2/endpoint_cache.json"));
     ASSERT_TRUE(endpoints) << endpoints.error();
     struct Expected {
         const char *name, *address, *zone;
