--- a/src/store/db.cpp
+++ b/src/store/db.cpp
@@ -7,6 +7,8 @@
 namespace gatetiller::store {
 namespace {
 
+constexpr int kBusyTimeoutMilliseconds = 2000;  // while another process commits
+
 StoreError error_of(int code) {
     switch (code & 0xff) {
         case SQLITE_OK:
@@ -35,40 +37,40 @@
 }  // namespace
 
 Statement::Statement(Statement&& other) noexcept
-    : db_(other.db_), held_(std::exchange(other.held_, nullptr)), failure_(std::move(other.failure_)) {}
+    : db_(other.db_), handle_(std::exchange(other.handle_, nullptr)), failure_(std::move(other.failure_)) {}
 
 Statement& Statement::operator=(Statement&& other) noexcept {
     std::swap(db_, other.db_);
-    std::swap(held_, other.held_);
+    std::swap(handle_, other.handle_);
     std::swap(failure_, other.failure_);
     return *this;
 }
 
 Statement::~Statement() {
-    sqlite3_finalize(held_);
+    sqlite3_finalize(handle_);
 }
 
-Statement& Statement::bind(int at, std::int64_t value) {
-    if (held_)
-        sqlite3_bind_int64(held_, at + 1, value);
+Statement& Statement::bind(int parameter, std::int64_t value) {
+    if (handle_)
+        sqlite3_bind_int64(handle_, parameter + 1, value);
     return *this;
 }
 
-Statement& Statement::bind(int at, std::string_view text) {
-    if (held_)
-        sqlite3_bind_text64(held_, at + 1, text.empty() ? "" : text.data(), text.size(), SQLITE_TRANSIENT,
-                            SQLITE_UTF8);
+Statement& Statement::bind(int parameter, std::string_view text) {
+    if (handle_)
+        sqlite3_bind_text64(handle_, parameter + 1, text.empty() ? "" : text.data(), text.size(),
+                            SQLITE_TRANSIENT, SQLITE_UTF8);
     return *this;
 }
 
 bool Statement::step() {
-    if (!held_)
+    if (!handle_)
         return false;
-    const int code = sqlite3_step(held_);
+    const int code = sqlite3_step(handle_);
     if (code == SQLITE_ROW)
         return true;
     failure_ = code == SQLITE_DONE ? StoreFailure{} : db_->failure_of(code);
-    sqlite3_reset(held_);
+    sqlite3_reset(handle_);
     return false;
 }
 
@@ -78,112 +80,106 @@
 }
 
 std::int64_t Statement::number(int column) const {
-    return sqlite3_column_int64(held_, column);
+    return sqlite3_column_int64(handle_, column);
 }
 
 std::string Statement::text(int column) const {
-    const auto* bytes = reinterpret_cast<const char*>(sqlite3_column_text(held_, column));
-    return bytes ? std::string(bytes, static_cast<std::size_t>(sqlite3_column_bytes(held_, column))) : "";
+    const auto* bytes = reinterpret_cast<const char*>(sqlite3_column_text(handle_, column));
+    return bytes ? std::string(bytes, static_cast<std::size_t>(sqlite3_column_bytes(handle_, column))) : "";
 }
 
 void Statement::reset() {
-    sqlite3_reset(held_);
-}
-
-Db::Db(Db&& other) noexcept : held_(std::exchange(other.held_, nullptr)), file_(std::move(other.file_)) {}
-
-Db& Db::operator=(Db&& other) noexcept {
-    std::swap(held_, other.held_);
-    std::swap(file_, other.file_);
-    return *this;
+    sqlite3_reset(handle_);
 }
 
 Db::~Db() {
     close();
 }
 
-StoreFailure Db::open(const std::string& file, const OpenOptions& o) {
+StoreFailure Db::open(const std::string& file, const OpenOptions& options) {
     close();
     file_ = file;
     const int flags =
-        (o.read_only ? SQLITE_OPEN_READONLY : SQLITE_OPEN_READWRITE | (o.create ? SQLITE_OPEN_CREATE : 0)) |
+        (options.read_only ? SQLITE_OPEN_READONLY
+                           : SQLITE_OPEN_READWRITE | (options.create ? SQLITE_OPEN_CREATE : 0)) |
         SQLITE_OPEN_NOMUTEX;
-    const int code = sqlite3_open_v2(file.c_str(), &held_, flags, o.vfs.empty() ? nullptr : o.vfs.c_str());
+    const int code =
+        sqlite3_open_v2(file.c_str(), &handle_, flags, options.vfs.empty() ? nullptr : options.vfs.c_str());
     if (code == SQLITE_OK) {
-        sqlite3_busy_timeout(held_, 2000);
+        sqlite3_busy_timeout(handle_, kBusyTimeoutMilliseconds);
         return {};
     }
-    const StoreFailure f = failure_of(code);
+    StoreFailure failure = failure_of(code);
     close();
-    return f;
+    return failure;
 }
 
-// Statements must be gone before. With the last connection SQLite folds its write-ahead log into the file.
 void Db::close() {
-    sqlite3_close_v2(std::exchange(held_, nullptr));
+    sqlite3_close_v2(std::exchange(handle_, nullptr));
 }
 
 StoreFailure Db::failure_of(int code) const {
     if (error_of(code) == StoreError::none)
         return {};
-    const int whole = held_ ? sqlite3_extended_errcode(held_) : code;
-    std::string text = file_ + ": " + (held_ ? sqlite3_errmsg(held_) : sqlite3_errstr(code)) + " (" +
-                       std::to_string(whole) + ")";
+    const int extended = handle_ ? sqlite3_extended_errcode(handle_) : code;
+    std::string text = file_ + ": " + (handle_ ? sqlite3_errmsg(handle_) : sqlite3_errstr(code)) + " (" +
+                       std::to_string(extended) + ")";
     return {error_of(code), std::move(text)};
 }
 
 StoreFailure Db::exec(const std::string& sql) {
-    if (!held_)
-        return {StoreError::no_access, file_ + ": not open"};
-    return failure_of(sqlite3_exec(held_, sql.c_str(), nullptr, nullptr, nullptr));
+    if (!handle_)
+        return not_open(file_);
+    return failure_of(sqlite3_exec(handle_, sql.c_str(), nullptr, nullptr, nullptr));
 }
 
 Statement Db::prepare(const std::string& sql) {
-    Statement s;
-    s.db_ = this;
-    if (!held_)
-        s.failure_ = {StoreError::no_access, file_ + ": not open"};
+    Statement statement;
+    statement.db_ = this;
+    if (!handle_)
+        statement.failure_ = not_open(file_);
     else
-        s.failure_ = failure_of(sqlite3_prepare_v2(held_, sql.c_str(), -1, &s.held_, nullptr));
-    return s;
+        statement.failure_ =
+            failure_of(sqlite3_prepare_v2(handle_, sql.c_str(), -1, &statement.handle_, nullptr));
+    return statement;
 }
 
 std::int64_t Db::last_row() const {
-    return sqlite3_last_insert_rowid(held_);
+    return sqlite3_last_insert_rowid(handle_);
 }
 std::int64_t Db::changed() const {
-    return sqlite3_changes64(held_);
+    return sqlite3_changes64(handle_);
 }
 
 Result<std::int64_t> Db::number(const std::string& sql) {
-    auto s = prepare(sql);
-    if (s.step())
-        return s.number(0);
-    if (s.failure())
-        return Error{s.failure().text};
+    auto statement = prepare(sql);
+    if (statement.step())
+        return statement.number(0);
+    if (statement.failure())
+        return Error{statement.failure().text};
     return std::int64_t{0};
 }
 
 Result<std::string> Db::text(const std::string& sql) {
-    auto s = prepare(sql);
-    if (s.step())
-        return s.text(0);
-    if (s.failure())
-        return Error{s.failure().text};
+    auto statement = prepare(sql);
+    if (statement.step())
+        return statement.text(0);
+    if (statement.failure())
+        return Error{statement.failure().text};
     return std::string();
 }
 
-StoreFailure Db::copy_to(const std::string& file, int pages) {
+StoreFailure Db::copy_to(const std::string& file, int pages_at_once) {
     Db to;
-    if (auto f = to.open(file, {}))
-        return f;
-    sqlite3_backup* backup = sqlite3_backup_init(to.held_, "main", held_, "main");
+    if (auto failure = to.open(file, {}))
+        return failure;
+    sqlite3_backup* backup = sqlite3_backup_init(to.handle_, "main", handle_, "main");
     if (!backup)
-        return to.failure_of(sqlite3_errcode(to.held_));
+        return to.failure_of(sqlite3_errcode(to.handle_));
     int code = SQLITE_OK;
-    // In portions, so that a writer is never held up for longer than one of them.
+    // In portions, so that a writer waits for one of them at most.
     do
-        code = sqlite3_backup_step(backup, pages);
+        code = sqlite3_backup_step(backup, pages_at_once);
     while (code == SQLITE_OK || code == SQLITE_BUSY || code == SQLITE_LOCKED);
     sqlite3_backup_finish(backup);
     return code == SQLITE_DONE ? StoreFailure{} : to.failure_of(code);
--- a/src/store/db.hpp
+++ b/src/store/db.hpp
@@ -1,34 +1,24 @@
-// store: durable state. This file: SQLite as the rest of the package uses it. One connection belongs to one
-// thread at a time. Every failure comes back as Trouble, by what it means to whoever keeps records; nothing
-// throws. Source: the C interface's pages of SQLite 3.40.
+// SQLite for the rest of the package: databases, prepared statements and transactions.
+//
+// One connection belongs to one thread at a time. Nothing throws: operations return a StoreFailure, in which
+// SQLite's result code has become a StoreError. Source: the pages of SQLite 3.40 on its C interface.
 #pragma once
 
 #include <cstdint>
-#include <memory>
 #include <string>
 #include <string_view>
 
 #include "base/result.hpp"
-#include "decide/ledger_state.hpp"
+#include "store/failure.hpp"
 
 struct sqlite3;
 struct sqlite3_stmt;
 
 namespace gatetiller::store {
 
-using decide::StoreError;
-
-struct StoreFailure {
-    StoreError error = StoreError::none;
-    std::string text;  // what SQLite says, and of which file
-    explicit operator bool() const {
-        return error != StoreError::none;
-    }
-};
-
 class Db;
 
-// A prepared statement. Parameters and columns count from 0. Valid as long as its Db.
+// A prepared statement. Parameters and columns count from 0. Not to be used after its Db is closed.
 class Statement {
 public:
     Statement() = default;
@@ -36,86 +26,108 @@
     Statement& operator=(Statement&& other) noexcept;
     ~Statement();
 
-    Statement& bind(int at, std::int64_t value);
-    Statement& bind(int at, std::string_view text);  // copied
-    // True: a row is there to be read. False: done, or failed; failure() tells. A statement that is done may
-    // be bound and stepped again.
+    Statement& bind(int parameter, std::int64_t value);
+    // The text is copied.
+    Statement& bind(int parameter, std::string_view text);
+
+    // True: it stands on a row, for number() and text(). False: done or failed, as failure() says; it may be
+    // bound and stepped again.
     bool step();
-    // Runs to the end, for what has no rows.
+    // Steps to the end, for statements without rows.
     StoreFailure run();
+    // Of the last step(), or of Db::prepare().
     const StoreFailure& failure() const {
         return failure_;
     }
+
+    // A column of the row; 0 or an empty text for NULL.
     std::int64_t number(int column) const;
     std::string text(int column) const;
+    // Leaves the row before the end, so that the statement can be bound again.
     void reset();
 
 private:
     friend class Db;
+
     Db* db_ = nullptr;
-    sqlite3_stmt* held_ = nullptr;
+    sqlite3_stmt* handle_ = nullptr;
     StoreFailure failure_;
 };
 
 struct OpenOptions {
     bool read_only = false;
     bool create = true;
-    std::string vfs{};  // empty: the system's
+    std::string vfs{};  // SQLite's file layer; empty: the system's
 };
 
+// A connection to one database file.
 class Db {
 public:
     Db() = default;
-    Db(Db&& other) noexcept;
-    Db& operator=(Db&& other) noexcept;
+    Db(const Db&) = delete;
+    Db& operator=(const Db&) = delete;
     ~Db();
 
+    // Errors: no_access where the file can't be opened, and those of its first reading.
     StoreFailure open(const std::string& file, const OpenOptions& options);
+    // Statements are to be destroyed before. The last connection to a file folds its write-ahead log into it.
     void close();
     bool is_open() const {
-        return held_ != nullptr;
+        return handle_ != nullptr;
     }
+
+    // Runs statements without parameters.
     StoreFailure exec(const std::string& sql);
-    Statement prepare(const std::string& sql);  // a failure shows in its failure() and at step()
+    // A failure shows in the statement's failure() and at its step().
+    Statement prepare(const std::string& sql);
+    // The first column of the first row; 0 or an empty text without a row.
+    Result<std::int64_t> number(const std::string& sql);
+    Result<std::string> text(const std::string& sql);
+
+    // The row of the last insertion, and the number of rows that the last statement changed.
     std::int64_t last_row() const;
-    std::int64_t changed() const;                              // rows by the last statement
-    Result<std::int64_t> number(const std::string& sql);       // of the first row; 0 where there is none
-    Result<std::string> text(const std::string& sql);          // the same as text
-    StoreFailure copy_to(const std::string& file, int pages);  // a whole copy, while others write
+    std::int64_t changed() const;
+
+    // Copies the database, `pages_at_once` at a time, while others write.
+    StoreFailure copy_to(const std::string& file, int pages_at_once);
     const std::string& file() const {
         return file_;
     }
 
 private:
     friend class Statement;
+
     StoreFailure failure_of(int code) const;
-    sqlite3* held_ = nullptr;
+
+    sqlite3* handle_ = nullptr;
     std::string file_;
 };
 
-// A transaction that is rolled back unless it was committed.
+// A transaction for writing; rolled back at its end unless it was committed.
 class Transaction {
 public:
     explicit Transaction(Db& db) : db_(db), begun_(db.exec("BEGIN IMMEDIATE")) {}
     ~Transaction() {
-        if (!begun_ && !done_)
+        if (!begun_ && !committed_)
             (void)db_.exec("ROLLBACK");
     }
     Transaction(const Transaction&) = delete;
     Transaction& operator=(const Transaction&) = delete;
+
+    // Whether it could not begin: locked where another connection writes for long.
     const StoreFailure& begun() const {
         return begun_;
     }
     StoreFailure commit() {
-        StoreFailure f = db_.exec("COMMIT");
-        done_ = !f;
-        return f;
+        StoreFailure failure = db_.exec("COMMIT");
+        committed_ = !failure;
+        return failure;
     }
 
 private:
     Db& db_;
     StoreFailure begun_;
-    bool done_ = false;
+    bool committed_ = false;
 };
 
 }  // namespace gatetiller::store
--- /dev/null
+++ b/src/store/failure.cpp
@@ -0,0 +1,41 @@
+#include "store/failure.hpp"
+
+#include <cerrno>
+#include <system_error>
+
+namespace gatetiller::store {
+
+StoreFailure not_open(const std::string& file) {
+    return {StoreError::no_access, file + ": not open"};
+}
+
+StoreFailure foreign_database(const std::string& file) {
+    return {StoreError::foreign,
+            file + ": is a database of another program; name another file for the ledger"};
+}
+
+StoreFailure unknown_version(const std::string& file, std::int64_t version, std::int64_t known) {
+    return {StoreError::foreign, file + ": is a ledger of version " + std::to_string(version) +
+                                     ", this program knows " + std::to_string(known) +
+                                     ": use the newer program, or name another file"};
+}
+
+StoreFailure empty_file(const std::string& file) {
+    return {StoreError::foreign, file + ": is empty, not a ledger"};
+}
+
+StoreFailure locked_by_another(const std::string& file) {
+    return {StoreError::locked,
+            file + ": another process keeps this ledger; give each front a file of its own"};
+}
+
+StoreFailure lock_unavailable(const std::string& lock_file, int error_number) {
+    const StoreError error = error_number == EROFS ? StoreError::read_only : StoreError::no_access;
+    return {error, lock_file + ": " + std::generic_category().message(error_number)};
+}
+
+StoreFailure quarantine_failed(const std::string& file, const std::string& reason) {
+    return {StoreError::io, file + ": " + reason};
+}
+
+}  // namespace gatetiller::store
--- a/src/store/ledger.hpp
+++ b/src/store/ledger.hpp
@@ -1,49 +1,63 @@
-// The ledger in its file: every request's account as rows, written in batches, each batch whole or not at
-// all. The same file form serves a front (one life after another) and the settlement's books (rows of many
-// fronts and the engines' journals, see accounting_store.hpp). Not for use by two threads at once.
+// The ledger in its file: every request's account as rows, written in batches of which each is there to the
+// row or not at all.
 //
-// A life is one run of a front, from its start to its end or its killing. A request is (life, number).
+// The same file form serves a front (one incarnation after another) and the accounting store (rows of many
+// fronts and the engines' journals, see accounting_store.hpp). An incarnation is one run of a front, from its
+// start to its end or its killing; a request is known by its incarnation and its number in it.
+//
+// Times are Micros of the wall clock since 1970 unless they are called spans. Operations return a
+// StoreFailure (failure.hpp) and leave the file as it was before a failed one. Not for use by two threads at
+// once; other processes may read while one writes.
 #pragma once
 
 #include <functional>
-#include <map>
-#include <span>
-#include <unordered_map>
+#include <memory>
+#include <optional>
+#include <string>
+#include <utility>
 #include <variant>
 #include <vector>
 
 #include "decide/account.hpp"
 #include "decide/ledger_state.hpp"
 #include "store/db.hpp"
+#include "store/row_codec.hpp"
+#include "store/schema.hpp"
+#include "store/table_cursor.hpp"
 
 namespace gatetiller::store {
 
-using decide::AttemptRow;
 using decide::LedgerGap;
-using decide::RequestRow;
-
-constexpr int kSchemaVersion = 2;
 
+// What one commit holds.
 struct Batch {
-    std::vector<std::variant<RequestRow, AttemptRow>> rows;  // of the same key the last one counts
+    // Of the rows of one key the last one counts.
+    std::vector<std::variant<RequestRow, AttemptRow>> rows;
     std::vector<LedgerGap> gaps;
-    std::vector<std::pair<Micros, Micros>> clock_steps;  // at (after the step), by how much
-    Micros wall = 0;                                     // all until here is in this batch or before
+    // Steps of the wall clock: when (after the step), and by what span.
+    std::vector<std::pair<Micros, Micros>> clock_steps;
+    // Everything until this time is in this batch or in one before.
+    Micros wall = 0;
 };
 
 struct Incarnation {
     std::int64_t row = 0;
-    std::string name, front;                // name: 16 hex digits
-    Micros began = 0, last = 0, ended = 0;  // wall clock; last: written until; ended 0: not in order
+    std::string name;  // 16 hex digits
+    std::string front;
+    Micros began = 0;
+    Micros last = 0;   // of the last commit
+    Micros ended = 0;  // 0: running, or killed
 };
 
-struct RecoveredState {  // what a new life found
-    std::int64_t requests_interrupted = 0, attempts_interrupted = 0;
-    std::optional<LedgerGap>
-        killed;  // the stretch at the end of the life before in which requests may be missing
+// What a new incarnation finds of those before it.
+struct RecoveredState {
+    std::int64_t requests_interrupted = 0;
+    std::int64_t attempts_interrupted = 0;
+    // Where the last one was killed: the time at its end in which requests may be missing.
+    std::optional<LedgerGap> killed;
 };
 
-// Rows of one request, wherever they come from.
+// A request with its attempts, in the order of their numbers.
 struct RequestAccount {
     const Incarnation* incarnation = nullptr;
     RequestRow request;
@@ -51,92 +65,95 @@
 };
 
 struct LedgerOptions {
-    std::string vfs{};
+    std::string vfs{};  // SQLite's file layer; empty: the system's
     bool read_only = false;
 };
 
 class Ledger {
 public:
-    // Opens or creates it, and brings an older version of it up to date.
+    Ledger() = default;
+    Ledger(const Ledger&) = delete;
+    Ledger& operator=(const Ledger&) = delete;
+
+    // Opens or creates the file and migrates an older version of it (not with read_only). Errors: those of
+    // migrate_schema() and of Db::open().
     StoreFailure open(const std::string& file, const LedgerOptions& options);
     void close();
     bool is_open() const {
         return db_.is_open();
     }
 
-    // Takes it for one front. Whatever earlier lives had in hand is marked as interrupted.
+    // Begins an incarnation, to which write() adds from then on. Whatever earlier ones had in flight is
+    // marked as interrupted, and the gap of a killed one is added. A name that is there already is gone on
+    // with, as when a front lost its file for a while.
     StoreFailure begin_incarnation(const std::string& name, const std::string& front, Micros wall,
-                                   RecoveredState& taken);
-    StoreFailure write(const Batch& batch);
+                                   RecoveredState& recovered);
     StoreFailure end_incarnation(Micros wall);
-    // Removes closed requests taken before `wall`, so many at most, and gives the room back; what is gone
-    // stands as a gap. `removed` is 0 once none is left.
-    StoreFailure expire(Micros wall, int most, std::int64_t& removed);
-    // Work of requests taken since `wall`, in all, by requester and by `step` of time.
+    StoreFailure write(const Batch& batch);
+
+    // Removes the oldest closed requests, taken before `wall`, `max_requests` at most, and adds them to the
+    // gap of what was removed. An open one keeps those behind it. `removed` is 0 once none is left.
+    StoreFailure expire(Micros wall, int max_requests, std::int64_t& removed);
+
+    // The work of one requester in one step of time.
     struct WorkSample {
         std::shared_ptr<const decide::Requester> who;
-        Micros taken = 0, work = 0;
+        Micros taken = 0;  // begin of the step
+        Micros work = 0;   // span of processor time
     };
+    // The work of all requests taken since `wall`, by requester and by `step` (a span).
     StoreFailure work_samples_since(Micros wall, Micros step, std::vector<WorkSample>& to);
+
+    // Copies the file while others write.
     StoreFailure snapshot(const std::string& file);
 
-    // All requests in the order of their lives' names and their numbers, whatever order they came in. What
-    // cannot be read (a damaged page, a row that does not match its checksum) is passed over and told to
-    // `damaged` with what is known of its place.
-    StoreFailure for_each(const std::function<void(const RequestAccount&)>& row,
-                          const std::function<void(std::string)>& damaged);
-    // Requests with a key and a window alone, without their attempts.
-    StoreFailure for_each_keyed(const std::function<void(const Incarnation&, const RequestRow&)>& row);
+    // Gives all requests in the order of their incarnations' names and their numbers. What can't be read (a
+    // damaged page, a row that doesn't match its checksum) is left out and reported to `damaged`.
+    StoreFailure for_each(const std::function<void(const RequestAccount&)>& visit,
+                          const DamageReporter& damaged);
+    // Gives the requests that have a key and its window, without their attempts.
+    StoreFailure for_each_keyed(const std::function<void(const Incarnation&, const RequestRow&)>& visit);
+
+    // Each of these adds to `to`: incarnations in the order of their rows,
     StoreFailure incarnations(std::vector<Incarnation>& to);
-    StoreFailure gaps(std::vector<std::pair<std::string, LedgerGap>>& to);  // with the front's name
+    // gaps in the order of time, with the front's name,
+    StoreFailure gaps(std::vector<std::pair<std::string, LedgerGap>>& to);
+    // and steps of the clock in the order of time, as in Batch.
     StoreFailure clock_steps(std::vector<std::pair<Micros, Micros>>& to);
-    // Puts rows of another ledger's life in, by what is known: a row that says more replaces one that says
-    // less, so that taking the same rows twice, or those of a copy, changes nothing.
-    StoreFailure adopt(const Incarnation& life, std::int64_t& row);
-    StoreFailure put(std::int64_t life_row, const RequestRow& request);
-    StoreFailure put(std::int64_t life_row, const AttemptRow& attempt);
+
+    // For the accounting store: adds an incarnation of another ledger or extends the known one, and gives its
+    // row here.
+    StoreFailure adopt(const Incarnation& incarnation, std::int64_t& row);
+    // Replaces a row, within the caller's transaction.
+    StoreFailure put(std::int64_t incarnation_row, const RequestRow& request) {
+        return codec_.write(incarnation_row, request);
+    }
+    StoreFailure put(std::int64_t incarnation_row, const AttemptRow& attempt) {
+        return codec_.write(incarnation_row, attempt);
+    }
     Db& db() {
         return db_;
     }
 
 private:
-    StoreFailure migrate(bool read_only);
     StoreFailure prepare();
-    std::int64_t who_row(const decide::Requester& who, StoreFailure& failure);
-    std::int64_t engine_row(const std::string& name, const std::string& kind, StoreFailure& failure);
-    std::shared_ptr<const decide::Requester> who_of(std::int64_t row);
-    const std::pair<std::string, std::string>& engine_of(std::int64_t row);
-    bool read_request(Statement& s, RequestRow& to);
-    bool read_attempt(Statement& s, AttemptRow& to);
-    void forget_names();
+    template <typename Row, typename State>
+    StoreFailure mark_interrupted(const char* select_open, State interrupted, std::int64_t& marked);
+    StoreFailure recover(const std::vector<Incarnation>& earlier, Micros wall, RecoveredState& recovered);
+    StoreFailure write_rows(const Batch& batch);
+    StoreFailure add_gap(std::int64_t incarnation_row, const LedgerGap& gap);
+    StoreFailure select_expired(Micros wall, int max_requests, std::int64_t& last_key, LedgerGap& gap);
+    StoreFailure delete_until(std::int64_t last_key);
+    StoreFailure grow_expired_gap(const LedgerGap& gap);
+    std::vector<AttemptRow> read_attempts(TableCursor& attempts, const Incarnation& incarnation,
+                                          std::int64_t request, const DamageReporter& damaged);
 
     Db db_;
-    std::int64_t life_ = 0;
-    Statement put_request_, put_attempt_, put_gap_, put_step_, touch_, find_who_, add_who_, find_engine_,
-        add_engine_;
-    // Bounded: names are looked up again once too many are held.
-    std::unordered_map<std::string, std::int64_t> who_rows_, engine_rows_;
-    std::unordered_map<std::int64_t, std::shared_ptr<const decide::Requester>> whos_;
-    std::map<std::int64_t, std::pair<std::string, std::string>> engines_;
+    RowCodec codec_{db_};
+    std::int64_t incarnation_row_ = 0;
+    Statement insert_gap_;
+    Statement insert_clock_step_;
+    Statement update_last_;
 };
 
-// The lock that keeps a second front off a ledger; held as long as the object lives.
-class FileLock {
-public:
-    FileLock() = default;
-    FileLock(const FileLock&) = delete;
-    FileLock& operator=(const FileLock&) = delete;
-    ~FileLock() {
-        release();
-    }
-    StoreFailure take(const std::string& file);  // file + ".lock"
-    void release();
-
-private:
-    int held_ = -1;
-};
-
-// Whether the file says by its head that it is a ledger, however damaged the rest of it is.
-bool looks_like_ledger(const std::string& file);
-
 }  // namespace gatetiller::store
--- /dev/null
+++ b/src/store/ledger_messages.hpp
@@ -0,0 +1,24 @@
+// The texts that a ledger's keeper logs for operators. `docs/operators/charge-back.md` quotes them.
+#pragma once
+
+#include <cstddef>
+#include <string>
+
+#include "store/ledger.hpp"
+
+namespace gatetiller::store {
+
+// `by`: the span by which the wall clock stepped.
+std::string clock_step_message(Micros by);
+std::string gap_message(const LedgerGap& gap);
+// Of an incarnation that was killed.
+std::string recovered_message(const RecoveredState& recovered);
+std::string write_failed_message(const StoreFailure& failure, std::size_t queued_rows);
+std::string write_resumed_message();
+std::string quarantined_message(const std::string& moved_to);
+std::string rows_lost_message(std::size_t rows);  // at the end
+std::string expire_failed_message(const StoreFailure& failure);
+std::string history_failed_message(const StoreFailure& failure);
+std::string end_failed_message(const StoreFailure& failure);
+
+}  // namespace gatetiller::store
--- /dev/null
+++ b/src/store/ledger_read.cpp
@@ -0,0 +1,132 @@
+// The reading side of Ledger.
+#include <algorithm>
+#include <map>
+
+#include "store/ledger.hpp"
+
+namespace gatetiller::store {
+namespace {
+
+// "INCARNATION.NUMBER", as operators see a request.
+std::string request_name(const Incarnation& incarnation, std::int64_t key) {
+    return incarnation.name + "." + std::to_string(request_number_of(key));
+}
+
+void report_orphan(const Incarnation& incarnation, std::int64_t key, const DamageReporter& damaged) {
+    damaged("attempts: one of " + request_name(incarnation, key) + ", whose request is not there");
+}
+
+StoreError cause_from(std::int64_t number) {
+    static constexpr int kCauses = static_cast<int>(StoreError::foreign) + 1;
+    return number >= 0 && number < kCauses ? static_cast<StoreError>(number) : StoreError::none;
+}
+
+}  // namespace
+
+StoreFailure Ledger::incarnations(std::vector<Incarnation>& to) {
+    auto rows = db_.prepare("SELECT row,name,front,began,last,ended FROM lives ORDER BY row");
+    while (rows.step())
+        to.push_back(
+            {rows.number(0), rows.text(1), rows.text(2), rows.number(3), rows.number(4), rows.number(5)});
+    return rows.failure();
+}
+
+StoreFailure Ledger::gaps(std::vector<std::pair<std::string, LedgerGap>>& to) {
+    auto rows = db_.prepare(
+        "SELECT coalesce(front,''),cause,since,until,requests,updates FROM gaps "
+        "LEFT JOIN lives ON lives.row=life ORDER BY since, until, cause, 1");
+    while (rows.step()) {
+        const LedgerGap gap{cause_from(rows.number(1)), rows.number(2), rows.number(3), rows.number(4),
+                            rows.number(5)};
+        to.emplace_back(rows.text(0), gap);
+    }
+    return rows.failure();
+}
+
+StoreFailure Ledger::clock_steps(std::vector<std::pair<Micros, Micros>>& to) {
+    auto rows = db_.prepare("SELECT at,by FROM clock_steps ORDER BY at,by");
+    while (rows.step())
+        to.emplace_back(rows.number(0), rows.number(1));
+    return rows.failure();
+}
+
+StoreFailure Ledger::work_samples_since(Micros wall, Micros step, std::vector<WorkSample>& to) {
+    const Micros step_or_one = std::max<Micros>(1, step);
+    // Each row is selected by its own time: steps of the clock may have put rows out of the order of time.
+    auto rows = db_.prepare(
+        "SELECT who, taken/?2, sum(work) FROM requests JOIN attempts ON request=requests.row "
+        "WHERE taken>=?1 GROUP BY 1, 2 ORDER BY 2, 1");
+    rows.bind(0, wall).bind(1, step_or_one);
+    while (rows.step())
+        to.push_back({codec_.requester_at(rows.number(0)), rows.number(1) * step_or_one, rows.number(2)});
+    return rows.failure();
+}
+
+// Takes the attempts of one request from the cursor; those before it have no request and are reported.
+std::vector<AttemptRow> Ledger::read_attempts(TableCursor& attempts, const Incarnation& incarnation,
+                                              std::int64_t request, const DamageReporter& damaged) {
+    std::vector<AttemptRow> found;
+    for (; attempts.valid() && attempts.key() <= request; attempts.next()) {
+        if (attempts.key() < request) {
+            report_orphan(incarnation, attempts.key(), damaged);
+            continue;
+        }
+        AttemptRow row;
+        if (codec_.read(attempts.row(), row))
+            found.push_back(std::move(row));
+        else
+            damaged("attempts: a row of " + request_name(incarnation, request) +
+                    " does not match its checksum");
+    }
+    return found;
+}
+
+StoreFailure Ledger::for_each(const std::function<void(const RequestAccount&)>& visit,
+                              const DamageReporter& damaged) {
+    std::vector<Incarnation> by_name;
+    if (auto failure = incarnations(by_name))
+        return failure;
+    std::sort(by_name.begin(), by_name.end(), [](const Incarnation& left, const Incarnation& right) {
+        return left.name < right.name;
+    });
+    TableCursor requests(db_, "requests", "row", damaged);
+    TableCursor attempts(db_, "attempts", "request", damaged);
+    RequestAccount account;
+    for (const Incarnation& incarnation : by_name) {
+        account.incarnation = &incarnation;
+        attempts.start(incarnation);
+        for (requests.start(incarnation); requests.valid(); requests.next()) {
+            const std::int64_t key = requests.key();
+            const bool intact = codec_.read(requests.row(), account.request);
+            account.attempts = read_attempts(attempts, incarnation, key, damaged);
+            if (intact)
+                visit(account);
+            else
+                damaged("requests: the row of " + request_name(incarnation, key) +
+                        " does not match its checksum");
+        }
+        for (; attempts.valid(); attempts.next())
+            report_orphan(incarnation, attempts.key(), damaged);
+    }
+    return {};
+}
+
+StoreFailure Ledger::for_each_keyed(const std::function<void(const Incarnation&, const RequestRow&)>& visit) {
+    std::vector<Incarnation> all;
+    if (auto failure = incarnations(all))
+        return failure;
+    std::map<std::int64_t, const Incarnation*> by_row;
+    for (const Incarnation& incarnation : all)
+        by_row[incarnation.row] = &incarnation;
+    auto rows = db_.prepare("SELECT * FROM requests WHERE key_window>0");
+    RequestRow request;
+    while (rows.step()) {
+        const auto incarnation = by_row.find(incarnation_row_of(rows.number(0)));
+        if (codec_.read(rows, request) && incarnation != by_row.end())
+            visit(*incarnation->second, request);
+    }
+    // Damaged pages are reported by for_each(), which reads past them.
+    return rows.failure().error == StoreError::corrupt ? StoreFailure{} : rows.failure();
+}
+
+}  // namespace gatetiller::store
--- a/src/store/ledger_writer.cpp
+++ b/src/store/ledger_writer.cpp
@@ -3,117 +3,120 @@
 #include <sys/resource.h>
 #include <unistd.h>
 
+#include <algorithm>
 #include <csignal>
 #include <filesystem>
+#include <iterator>
+#include <utility>
+
+#include "store/ledger_messages.hpp"
 
 namespace gatetiller::store {
 namespace {
 
-constexpr Micros kTouchEvery = kSecondMicros;  // the life's "written until", while nothing happens
-constexpr int kExpireAtOnce = 2000;
-constexpr int kNice = 10;
+// How often an empty batch is written, so that an idle incarnation's last commit stays recent.
+constexpr Micros kIdleWriteInterval = kSecondMicros;
+constexpr int kExpireAtOnce = 2000;   // requests
+constexpr int kThreadNice = 10;       // statements come before rows where cores are short
+constexpr Micros kHistorySteps = 60;  // of the history window
+
+template <typename Row>
+void append(std::vector<Row>& to, std::vector<Row>& from) {
+    if (to.empty())
+        std::swap(to, from);
+    else
+        to.insert(to.end(), std::make_move_iterator(from.begin()), std::make_move_iterator(from.end()));
+    from.clear();
+}
 
 void append(Batch& to, Batch& from) {
-    const auto move = [](auto& a, auto& b) {
-        if (a.empty())
-            std::swap(a, b);
-        else
-            a.insert(a.end(), std::make_move_iterator(b.begin()), std::make_move_iterator(b.end()));
-        b.clear();
-    };
-    move(to.rows, from.rows);
-    move(to.gaps, from.gaps);
-    move(to.clock_steps, from.clock_steps);
+    append(to.rows, from.rows);
+    append(to.gaps, from.gaps);
+    append(to.clock_steps, from.clock_steps);
     to.wall = from.wall;
 }
 
+bool is_empty(const Batch& batch) {
+    return batch.rows.empty() && batch.gaps.empty() && batch.clock_steps.empty();
+}
+
 }  // namespace
 
 LedgerWriter::LedgerWriter(LedgerWriterSettings settings)
-    : settings_(std::move(settings)), intake_(settings_.limits), keeper_(settings_.limits) {}
+    : settings_(std::move(settings)), intake_(settings_.limits), state_(settings_.limits) {}
 
 LedgerWriter::~LedgerWriter() {
-    {
-        const std::lock_guard guard(mutex_);
-        stop_ = true;
-    }
-    handed_over_.notify_one();
-    if (thread_.joinable())
-        thread_.join();
+    stop_thread();
 }
 
-// ---- The loop's side
-
-bool LedgerWriter::add_request(RequestRow& row, Micros wall, QueueSlot& place) {
+bool LedgerWriter::add_request(RequestRow& row, Micros wall, QueueSlot& slot) {
     row.number = ++last_number_;
-    if (!intake_.admit(queue_.size() + in_hand_, wall))
+    if (!intake_.admit(queue_.size() + handed_over_rows_, wall))
         return false;
-    place = {flush_, queue_.size()};
+    slot = {flush_, queue_.size()};
     queue_.emplace_back(row);
     return true;
 }
 
 template <typename Row>
-void LedgerWriter::put(Row row, Micros wall, QueueSlot& place) {
-    if (place.flush == flush_) {
-        std::get<Row>(queue_[place.index]) = std::move(row);
-    } else if (intake_.update(queue_.size() + in_hand_, wall)) {
-        place = {flush_, queue_.size()};
+void LedgerWriter::enqueue(Row row, Micros wall, QueueSlot& slot) {
+    if (slot.flush == flush_) {
+        std::get<Row>(queue_[slot.index]) = std::move(row);
+    } else if (intake_.update(queue_.size() + handed_over_rows_, wall)) {
+        slot = {flush_, queue_.size()};
         queue_.emplace_back(std::move(row));
     }
 }
 
-void LedgerWriter::update(RequestRow row, Micros wall, QueueSlot& place) {
-    put(std::move(row), wall, place);
+void LedgerWriter::update(RequestRow row, Micros wall, QueueSlot& slot) {
+    enqueue(std::move(row), wall, slot);
 }
-void LedgerWriter::update(AttemptRow row, Micros wall, QueueSlot& place) {
-    put(std::move(row), wall, place);
+
+void LedgerWriter::update(AttemptRow row, Micros wall, QueueSlot& slot) {
+    enqueue(std::move(row), wall, slot);
 }
 
 std::vector<std::string> LedgerWriter::poll(Micros now, Micros wall) {
-    std::vector<std::string> words;
-    {
-        const std::lock_guard guard(mutex_);
-        Batch next;
-        next.rows = std::move(queue_);
-        queue_.clear();
-        queue_.reserve(next.rows.size());
-        ++flush_;
-        if (const auto step = clock_.detect(now, wall)) {
-            next.clock_steps.emplace_back(wall, *step);
-            words_.push_back("ledger: the wall clock stepped by " + std::to_string(*step / kMillisecond) +
-                             " ms; times before and after stand as they were read");
-        }
-        if (trouble_ == decide::StoreError::none)
-            if (const auto gap = intake_.take_gap(in_hand_, last_trouble_)) {
-                next.gaps.push_back(*gap);
-                words_.push_back("ledger: a gap: " + std::to_string(gap->requests) +
-                                 " requests were not written, and " + std::to_string(gap->updates) +
-                                 " updates of written ones (" + name_of(gap->cause) + ")");
-            }
-        next.wall = wall;
-        in_hand_ += next.rows.size();
-        append(shared_, next);
-        shared_now_ = now;
-        work_ = true;
-    }
+    hand_over(now, wall);
     if (thread_.joinable())
         handed_over_.notify_one();
     else
-        turn(now);
+        write_pending(now);
     const std::lock_guard guard(mutex_);
-    words.swap(words_);
-    return words;
+    return std::exchange(log_lines_, {});
+}
+
+void LedgerWriter::hand_over(Micros now, Micros wall) {
+    const std::lock_guard guard(mutex_);
+    Batch next;
+    next.rows = std::exchange(queue_, {});
+    queue_.reserve(next.rows.size());
+    ++flush_;
+    if (const auto step = clock_.detect(now, wall)) {
+        next.clock_steps.emplace_back(wall, *step);
+        log_lines_.push_back(clock_step_message(*step));
+    }
+    if (error_ == decide::StoreError::none)
+        if (const auto gap = intake_.take_gap(handed_over_rows_, last_error_)) {
+            next.gaps.push_back(*gap);
+            log_lines_.push_back(gap_message(*gap));
+        }
+    next.wall = wall;
+    handed_over_rows_ += next.rows.size();
+    append(shared_, next);
+    shared_now_ = now;
+    work_waits_ = true;
 }
 
 LedgerWriterStatus LedgerWriter::status() const {
     const std::lock_guard guard(mutex_);
-    return {trouble_, queue_.size() + in_hand_, intake_.lost(), committed_, batches_, written_until_};
+    return {error_,        queue_.size() + handed_over_rows_, intake_.lost(), committed_rows_, batches_,
+            written_until_};
 }
 
 std::vector<Ledger::WorkSample> LedgerWriter::take_work_history() {
     const std::lock_guard guard(mutex_);
-    return std::exchange(past_, {});
+    return std::exchange(work_history_, {});
 }
 
 LedgerWriter::PreviousIncarnation LedgerWriter::previous_incarnation() const {
@@ -122,18 +125,18 @@
 }
 
 void LedgerWriter::start_thread() {
-    // Signals are the loop's: a thread that doesn't block them would take them in its place.
-    sigset_t all, before;
+    // Signals belong to the loop's thread: a thread that doesn't block them could receive them in its place.
+    sigset_t all;
+    sigset_t before;
     sigfillset(&all);
     pthread_sigmask(SIG_SETMASK, &all, &before);
     thread_ = std::thread([this] {
-        serve();
+        run_thread();
     });
     pthread_sigmask(SIG_SETMASK, &before, nullptr);
 }
 
-std::vector<std::string> LedgerWriter::finish(Micros now, Micros wall) {
-    auto words = poll(now, wall);
+void LedgerWriter::stop_thread() {
     {
         const std::lock_guard guard(mutex_);
         stop_ = true;
@@ -141,150 +144,174 @@
     handed_over_.notify_one();
     if (thread_.joinable())
         thread_.join();
-    // Here alone now. A store in trouble gets one more try.
-    turn(std::max(now, keeper_.retry_at()));
-    if (pending_.rows.empty() && ledger_.is_open()) {
-        if (const auto f = ledger_.end_incarnation(wall))
-            say("ledger: " + f.text);
-    } else if (!pending_.rows.empty()) {
-        say("ledger: " + std::to_string(pending_.rows.size()) + " rows could not be written and are lost");
+}
+
+std::vector<std::string> LedgerWriter::finish(Micros now, Micros wall) {
+    auto lines = poll(now, wall);
+    stop_thread();
+    // With the thread gone both sides are the caller's. A failing store is tried without its pause.
+    write_pending(std::max(now, state_.retry_at()));
+    if (!pending_.rows.empty()) {
+        log(rows_lost_message(pending_.rows.size()));
+    } else if (ledger_.is_open()) {
+        if (const auto failure = ledger_.end_incarnation(wall))
+            log(end_failed_message(failure));
     }
     ledger_.close();
     lock_.release();
-    words.insert(words.end(), words_.begin(), words_.end());
-    words_.clear();
-    return words;
+    append(lines, log_lines_);
+    return lines;
 }
 
-// ---- The store's side
-
-void LedgerWriter::say(std::string text) {
+void LedgerWriter::log(std::string line) {
     const std::lock_guard guard(mutex_);
-    words_.push_back(std::move(text));
+    log_lines_.push_back(std::move(line));
 }
 
-void LedgerWriter::serve() {
-    // Behind the loop where cores are short: rows can wait, statements can't.
-    ::setpriority(PRIO_PROCESS, static_cast<id_t>(::gettid()), kNice);
+void LedgerWriter::run_thread() {
+    ::setpriority(PRIO_PROCESS, static_cast<id_t>(::gettid()), kThreadNice);
     for (;;) {
         Micros now = 0;
         {
             std::unique_lock guard(mutex_);
             handed_over_.wait(guard, [this] {
-                return work_ || stop_;
+                return work_waits_ || stop_;
             });
             if (stop_)
                 return;
-            work_ = false, now = shared_now_;
+            work_waits_ = false;
+            now = shared_now_;
         }
-        turn(now);
+        write_pending(now);
     }
 }
 
-void LedgerWriter::turn(Micros now) {
+void LedgerWriter::write_pending(Micros now) {
     {
         const std::lock_guard guard(mutex_);
         if (shared_.wall > 0)
             append(pending_, shared_);
     }
-    using Do = decide::LedgerState::Step;
+    if (!prepare_to_write(now))
+        return;
+    if (is_empty(pending_) && state_.healthy() && now - last_write_ < kIdleWriteInterval)
+        return;
+    if (auto failure = ledger_.write(pending_)) {
+        on_failure(std::move(failure), now);
+        return;
+    }
+    on_committed(now);
+    expire_old_requests();
+    pending_.rows.clear();
+    pending_.gaps.clear();
+    pending_.clock_steps.clear();
+}
+
+// Opens the file, or moves a damaged one away, until the ledger can be written. False: not before a later
+// poll().
+bool LedgerWriter::prepare_to_write(Micros now) {
+    using Step = decide::LedgerState::Step;
     for (;;) {
-        switch (keeper_.next(now)) {
-            case Do::wait:
-                return;
-            case Do::quarantine:
-                quarantine(now);
-                continue;
-            case Do::open:
-                if (const auto f = open())
-                    return failed(f, now);
-                keeper_.on_opened();
-                continue;
-            case Do::write:
+        switch (state_.next(now)) {
+            case Step::wait:
+                return false;
+            case Step::write:
+                return true;
+            case Step::quarantine:
+                quarantine_file(now);
+                break;
+            case Step::open:
+                if (auto failure = open()) {
+                    on_failure(std::move(failure), now);
+                    return false;
+                }
+                state_.on_opened();
                 break;
         }
-        break;
     }
-    const bool was_well = keeper_.healthy();
-    if (pending_.rows.empty() && pending_.gaps.empty() && pending_.clock_steps.empty() && was_well &&
-        now - touched_ < kTouchEvery)
+}
+
+void LedgerWriter::on_committed(Micros now) {
+    const bool was_healthy = state_.healthy();
+    state_.on_written();
+    last_write_ = now;
+    if (!was_healthy)
+        log(write_resumed_message());
+    const std::lock_guard guard(mutex_);
+    committed_rows_ += static_cast<std::int64_t>(pending_.rows.size());
+    batches_ += 1;
+    written_until_ = pending_.wall;
+    handed_over_rows_ -= pending_.rows.size();
+    error_ = decide::StoreError::none;
+}
+
+void LedgerWriter::expire_old_requests() {
+    if (settings_.retention <= 0)
         return;
-    if (const auto f = ledger_.write(pending_))
-        return failed(f, now);
-    keeper_.on_written();
-    touched_ = now;
-    if (!was_well)
-        say("ledger: written again");
-    {
-        const std::lock_guard guard(mutex_);
-        committed_ += static_cast<std::int64_t>(pending_.rows.size());
-        batches_ += 1;
-        written_until_ = pending_.wall;
-        in_hand_ -= pending_.rows.size();
-        trouble_ = decide::StoreError::none;
-    }
     std::int64_t removed = 0;
-    if (settings_.retention > 0)
-        if (const auto f = ledger_.expire(pending_.wall - settings_.retention, kExpireAtOnce, removed))
-            say("ledger: old rows could not be removed: " + f.text);
-    pending_.rows.clear(), pending_.gaps.clear(), pending_.clock_steps.clear();
+    if (const auto failure = ledger_.expire(pending_.wall - settings_.retention, kExpireAtOnce, removed))
+        log(expire_failed_message(failure));
 }
 
 StoreFailure LedgerWriter::open() {
     ledger_.close();
-    if (auto f = lock_.take(settings_.file))
-        return f;
-    if (auto f = ledger_.open(settings_.file, {settings_.vfs}))
-        return f;
-    RecoveredState taken;
-    if (auto f = ledger_.begin_incarnation(settings_.incarnation, settings_.front, pending_.wall, taken))
-        return f;
-    if (taken.requests_interrupted + taken.attempts_interrupted > 0 || taken.killed)
-        say("ledger: the life before was not ended in order: " + std::to_string(taken.requests_interrupted) +
-            " requests and " + std::to_string(taken.attempts_interrupted) +
-            " attempts in hand are marked as interrupted");
+    if (auto failure = lock_.acquire(settings_.file))
+        return failure;
+    if (auto failure = ledger_.open(settings_.file, {settings_.vfs}))
+        return failure;
+    RecoveredState recovered;
+    if (auto failure =
+            ledger_.begin_incarnation(settings_.incarnation, settings_.front, pending_.wall, recovered))
+        return failure;
+    if (recovered.requests_interrupted + recovered.attempts_interrupted > 0 || recovered.killed)
+        log(recovered_message(recovered));
     {
         const std::lock_guard guard(mutex_);
-        if (!std::exchange(previous_.known, true) && taken.killed)
-            previous_.killed_from = taken.killed->from;
-    }
-    if (settings_.history_window > 0 && !std::exchange(past_read_, true)) {
-        std::vector<Ledger::WorkSample> past;
-        if (const auto f = ledger_.work_samples_since(pending_.wall - settings_.history_window,
-                                                      settings_.history_window / 60, past))
-            say("ledger: the work of the past could not be read back: " + f.text);
-        const std::lock_guard guard(mutex_);
-        past_ = std::move(past);
+        if (!std::exchange(previous_.known, true) && recovered.killed)
+            previous_.killed_from = recovered.killed->from;
     }
+    if (settings_.history_window > 0 && !std::exchange(history_read_, true))
+        read_work_history();
     return {};
 }
 
-void LedgerWriter::failed(const StoreFailure& f, Micros now) {
-    StoreFailure what = f;
-    // Only a ledger is moved out of the way; with any other file the operator has a say.
-    if (what.error == StoreError::corrupt && !looks_like_ledger(settings_.file))
-        what.error = StoreError::foreign;
-    if (keeper_.on_failed(what.error, now))
-        say(std::string("ledger NOT WRITTEN (") + name_of(what.error) + "): " + what.text +
-            "; statements go on, " + std::to_string(pending_.rows.size()) + " rows wait");
+void LedgerWriter::read_work_history() {
+    std::vector<Ledger::WorkSample> history;
+    const Micros window = settings_.history_window;
+    if (const auto failure =
+            ledger_.work_samples_since(pending_.wall - window, window / kHistorySteps, history))
+        log(history_failed_message(failure));
+    const std::lock_guard guard(mutex_);
+    work_history_ = std::move(history);
+}
+
+void LedgerWriter::on_failure(StoreFailure failure, Micros now) {
+    // Only a ledger may be moved away; any other file is the operator's to decide about.
+    if (failure.error == StoreError::corrupt && !has_ledger_header(settings_.file))
+        failure.error = StoreError::foreign;
+    if (state_.on_failed(failure.error, now))
+        log(write_failed_message(failure, pending_.rows.size()));
     const std::lock_guard guard(mutex_);
-    trouble_ = last_trouble_ = what.error;
+    error_ = failure.error;
+    last_error_ = failure.error;
 }
 
-void LedgerWriter::quarantine(Micros now) {
+void LedgerWriter::quarantine_file(Micros now) {
     ledger_.close();
     std::error_code error;
-    std::string to;
+    std::string moved_to;
     do
-        to = settings_.file + ".corrupt-" + std::to_string(++aside_);
-    while (std::filesystem::exists(to, error));
+        moved_to = settings_.file + ".corrupt-" + std::to_string(++quarantined_files_);
+    while (std::filesystem::exists(moved_to, error));
     for (const char* part : {"", "-wal", "-shm"})
         if (std::filesystem::exists(settings_.file + part, error))
-            std::filesystem::rename(settings_.file + part, to + part, error);
-    if (error)
-        return failed({StoreError::io, settings_.file + ": " + error.message()}, now);
-    say("ledger: the damaged file is set aside as " + to + ", a new one begins; give both to the report");
-    keeper_.on_quarantined();
+            std::filesystem::rename(settings_.file + part, moved_to + part, error);
+    if (error) {
+        on_failure(quarantine_failed(settings_.file, error.message()), now);
+        return;
+    }
+    log(quarantined_message(moved_to));
+    state_.on_quarantined();
 }
 
 }  // namespace gatetiller::store
