--- a/tests/store/fault_vfs.hpp
+++ b/tests/store/fault_vfs.hpp
@@ -56,8 +56,11 @@
         }
         unsynced_.clear();
     }
-    void well() {
-        fail_at = crash_at = -1, failures = 0, crashed = false;
+    void stop_failing() {
+        fail_at = -1;
+        crash_at = -1;
+        failures = 0;
+        crashed = false;
     }
 
     long operations = 0;
@@ -94,10 +97,14 @@
         if (crashed)
             return SQLITE_IOERR;
         const long n = operations++;
-        if (crash_at >= 0 && n >= crash_at)
-            return torn = crashed = true, SQLITE_IOERR;
-        if (fail_at >= 0 && n >= fail_at && failures > 0)
-            return --failures, code;
+        if (crash_at >= 0 && n >= crash_at) {
+            torn = crashed = true;
+            return SQLITE_IOERR;
+        }
+        if (fail_at >= 0 && n >= fail_at && failures > 0) {
+            --failures;
+            return code;
+        }
         return SQLITE_OK;
     }
     static int open(sqlite3_vfs* v, sqlite3_filename n, sqlite3_file* f, int flags, int* out) {
--- /dev/null
+++ b/tests/store/ledger_contents.hpp
@@ -0,0 +1,81 @@
+// What the tests of the store share: rows with drawn contents, and reading a ledger back.
+#pragma once
+
+#include <gtest/gtest.h>
+#include <unistd.h>
+
+#include <filesystem>
+#include <map>
+#include <string>
+#include <vector>
+
+#include "base/random.hpp"
+#include "store/ledger.hpp"
+
+namespace gatetiller::store {
+
+using decide::AttemptState;
+using decide::RequestState;
+
+inline const std::string kFirstIncarnation = "00000000000000a1";
+inline const std::string kSecondIncarnation = "00000000000000a2";
+constexpr Micros kWall = 1'790'000'000'000'000;  // when the tests begin, by the wall clock
+
+// A file's name in a folder of its own, which is removed at the end.
+struct TempLedgerFile {
+    std::string folder, file;
+    explicit TempLedgerFile(const std::string& name)
+        : folder(::testing::TempDir() + "ledger-" + std::to_string(::getpid()) + "-" + name),
+          file(folder + "/front.ledger") {
+        std::filesystem::remove_all(folder);
+        std::filesystem::create_directories(folder);
+    }
+    ~TempLedgerFile() {
+        std::filesystem::remove_all(folder);
+    }
+};
+
+inline RequestRow make_request(std::uint32_t number, RequestState state, Random& random) {
+    RequestRow r;
+    r.number = number;
+    r.who = std::make_shared<const decide::Requester>(
+        decide::Requester{"user-" + std::to_string(random.below(5)), "s",
+                          "t=" + std::to_string(random.below(3)), "short", "x"});
+    r.id = "id-" + std::to_string(number), r.taken = kWall + number, r.state = state;
+    r.ended_after = static_cast<Micros>(random.below(1000));
+    return r;
+}
+
+inline AttemptRow make_attempt(std::uint32_t of, AttemptState state, Random& random) {
+    AttemptRow a;
+    a.request = of, a.engine = "e" + std::to_string(random.below(4)), a.kind = "std", a.state = state;
+    a.work = static_cast<Micros>(random.below(1'000'000));
+    return a;
+}
+
+struct LedgerContents {
+    std::map<std::string, RequestAccount> accounts;  // by "incarnation.number"
+    std::vector<std::string> damaged;
+};
+inline LedgerContents read_ledger(Ledger& ledger) {
+    LedgerContents r;
+    const auto f = ledger.for_each(
+        [&](const RequestAccount& w) {
+            const bool fresh =
+                r.accounts.emplace(w.incarnation->name + "." + std::to_string(w.request.number), w).second;
+            EXPECT_TRUE(fresh) << "twice: " << w.request.number;
+        },
+        [&](std::string text) {
+            r.damaged.push_back(std::move(text));
+        });
+    EXPECT_FALSE(f) << f.text;
+    return r;
+}
+inline LedgerContents read_ledger(const std::string& file, bool read_only = true) {
+    Ledger ledger;
+    const auto f = ledger.open(file, {"", read_only});
+    EXPECT_FALSE(f) << f.text;
+    return f ? LedgerContents{} : read_ledger(ledger);
+}
+
+}  // namespace gatetiller::store
--- /dev/null
+++ b/tests/store/ledger_writer_test.cpp
@@ -0,0 +1,352 @@
+// The writer through failing disks, kills and damage. Seeds are printed with every failure.
+#include "store/ledger_writer.hpp"
+
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <fstream>
+
+#include "store/fault_vfs.hpp"
+#include "store/ledger_contents.hpp"
+
+namespace gatetiller::store {
+namespace {
+
+using testing::FaultVfs;
+
+// Every single I/O fails once, in turn: the writer tries again, and nothing is missing or doubled.
+TEST(LedgerWriterFailures, FailureAtAnyWriteDelaysAndLosesNothing) {
+    for (const int code : {SQLITE_IOERR_WRITE, SQLITE_FULL, SQLITE_IOERR_FSYNC})
+        for (long n = 0;; n += 3) {
+            SCOPED_TRACE("code " + std::to_string(code) + ", operation " + std::to_string(n));
+            const TempLedgerFile temp("fail");
+            FaultVfs vfs("fail", 1);
+            vfs.fail_at = n, vfs.failures = 2, vfs.code = code;
+            Random random(static_cast<std::uint64_t>(n) + 1);
+            LedgerWriter writer({temp.file, "f", kFirstIncarnation, 100 * kMillisecond, 0, {}, "fail"});
+            Micros now = 0;
+            for (int i = 0; i < 12; ++i) {
+                auto r = make_request(0, RequestState::open, random);
+                ASSERT_TRUE(writer.add_request(r, kWall + now));
+                writer.update(make_attempt(r.number, AttemptState::in_flight, random), kWall + now);
+                if (i % 2 == 0) {
+                    r.state = RequestState::served;
+                    writer.update(r, kWall + now);
+                }
+                now += 100 * kMillisecond;
+                (void)writer.poll(now, kWall + now);
+            }
+            const bool struck = vfs.failures < 2;
+            for (int i = 0; i < 100 && writer.status().queued_rows > 0; ++i) {
+                now += 500 * kMillisecond;
+                (void)writer.poll(now, kWall + now);
+            }
+            (void)writer.finish(now, kWall + now);
+            const auto found = read_ledger(temp.file);
+            ASSERT_EQ(found.accounts.size(), 12u);
+            for (const auto& [name, w] : found.accounts) {
+                EXPECT_EQ(w.request.state,
+                          w.request.number % 2 == 1 ? RequestState::served : RequestState::open);
+                EXPECT_EQ(w.attempts.size(), 1u);
+            }
+            EXPECT_TRUE(found.damaged.empty());
+            if (!struck)
+                break;
+            ASSERT_LT(n, 1000);
+        }
+}
+
+class LedgerWriterTest : public ::testing::Test {
+protected:
+    std::unique_ptr<LedgerWriter> open(const std::string& life, std::size_t waiting = 1000,
+                                       const std::string& vfs = "") {
+        LedgerWriterSettings s{temp.file, "front-1", life, 100 * kMillisecond, keep, {}, vfs};
+        s.limits.max_queued_rows = waiting;
+        return std::make_unique<LedgerWriter>(s);
+    }
+    std::string poll(LedgerWriter& w, int times = 1) {
+        std::string words;
+        for (int i = 0; i < times; ++i) {
+            now += 500 * kMillisecond;
+            for (const auto& text : w.poll(now, kWall + now))
+                words += text + "\n";
+        }
+        return words;
+    }
+    std::uint32_t add_request(LedgerWriter& w, RequestState state = RequestState::open) {
+        auto r = make_request(0, RequestState::open, random);
+        r.taken = kWall + now;
+        if (!w.add_request(r, kWall + now))
+            return 0;
+        if (state != RequestState::open) {
+            r.state = state;
+            w.update(r, kWall + now);
+        }
+        return r.number;
+    }
+    std::vector<std::pair<std::string, LedgerGap>> gaps(const std::string& file) {
+        Ledger ledger;
+        EXPECT_FALSE(ledger.open(file, {"", true}));
+        std::vector<std::pair<std::string, LedgerGap>> all;
+        EXPECT_FALSE(ledger.gaps(all));
+        return all;
+    }
+    TempLedgerFile temp{"writer"};
+    Random random{5};
+    Micros now = 0, keep = 0;
+};
+
+TEST_F(LedgerWriterTest, KilledIncarnationIsMarkedAndItsGapRecorded) {
+    auto first = open(kFirstIncarnation);
+    for (int i = 0; i < 10; ++i) {
+        const auto n = add_request(*first, i < 4 ? RequestState::served : RequestState::open);
+        if (i >= 4)
+            first->update(make_attempt(n, AttemptState::in_flight, random), kWall);
+    }
+    poll(*first);
+    const Micros committed = kWall + now;
+    add_request(*first);  // never handed over
+    first.reset();        // killed
+    now += 3 * kSecondMicros;
+    auto second = open(kSecondIncarnation);
+    EXPECT_NE(poll(*second).find("6 requests and 6 attempts"), std::string::npos);
+    add_request(*second, RequestState::shed);
+    second->finish(now, kWall + now);
+    const auto found = read_ledger(temp.file);
+    ASSERT_EQ(found.accounts.size(), 11u);
+    int interrupted = 0;
+    for (const auto& [name, w] : found.accounts) {
+        interrupted += w.request.state == RequestState::interrupted;
+        for (const auto& a : w.attempts)
+            EXPECT_EQ(a.state, AttemptState::interrupted);
+    }
+    EXPECT_EQ(interrupted, 6);
+    const auto all = gaps(temp.file);
+    ASSERT_EQ(all.size(), 1u);
+    EXPECT_EQ(all[0].second.cause, StoreError::killed);
+    EXPECT_EQ(all[0].second.from, committed);
+    EXPECT_EQ(all[0].second.to, kWall + now);
+}
+
+TEST_F(LedgerWriterTest, FullDiskIsLoggedBoundedAndRecordedAsAGap) {
+    FaultVfs vfs("full", 1);
+    auto w = open(kFirstIncarnation, 1000, "full");
+    for (int i = 0; i < 10; ++i)
+        add_request(*w, RequestState::served);
+    poll(*w);
+    vfs.fail_at = vfs.operations, vfs.failures = 1'000'000, vfs.code = SQLITE_FULL;
+    int refused = 0;
+    std::string words;
+    for (int i = 0; i < 2000; ++i) {
+        refused += add_request(*w) == 0;
+        if (i % 100 == 0)
+            words += poll(*w);
+        EXPECT_LE(w->status().queued_rows, 1000u);
+    }
+    EXPECT_NE(words.find("NOT WRITTEN (disk full)"), std::string::npos) << words;
+    EXPECT_GT(refused, 1000);
+    vfs.stop_failing();
+    words = poll(*w, 30);
+    EXPECT_NE(words.find("written again"), std::string::npos) << words;
+    EXPECT_EQ(w->status().queued_rows, 0u);
+    w->finish(now, kWall + now);
+    EXPECT_EQ(read_ledger(temp.file).accounts.size(), static_cast<std::size_t>(2010 - refused));
+    const auto all = gaps(temp.file);
+    ASSERT_EQ(all.size(), 1u);
+    EXPECT_EQ(all[0].second.cause, StoreError::full);
+    EXPECT_EQ(all[0].second.requests, refused);
+}
+
+TEST_F(LedgerWriterTest, SecondProcessIsLockedOutAndLogsIt) {
+    auto first = open(kFirstIncarnation);
+    poll(*first);
+    auto second = open(kSecondIncarnation);
+    add_request(*second);
+    EXPECT_NE(poll(*second).find("another process"), std::string::npos);
+    add_request(*first);
+    poll(*first);
+    first->finish(now, kWall + now);
+    poll(*second, 30);
+    EXPECT_EQ(second->status().error, StoreError::none);
+    second->finish(now, kWall + now);
+    EXPECT_EQ(read_ledger(temp.file).accounts.size(), 2u);
+}
+
+TEST_F(LedgerWriterTest, ForeignFileIsNeverTouched) {
+    std::ofstream(temp.file) << std::string(5000, 'x');
+    auto w = open(kFirstIncarnation);
+    add_request(*w);
+    EXPECT_NE(poll(*w, 5).find("not a ledger"), std::string::npos);
+    w.reset();
+    EXPECT_EQ(std::filesystem::file_size(temp.file), 5000u);
+    std::filesystem::remove(temp.file);
+    Db other;
+    ASSERT_FALSE(other.open(temp.file, {}));
+    ASSERT_FALSE(other.exec("CREATE TABLE x(y)"));
+    w = open(kSecondIncarnation);
+    EXPECT_NE(poll(*w, 2).find("another program"), std::string::npos);
+}
+
+// A page of the requests' table is overwritten. The front goes on with a new file; the old one is read as far
+// as it can be, and what can't is told.
+TEST_F(LedgerWriterTest, DamagedFileIsQuarantinedAndReadAroundTheDamage) {
+    auto w = open(kFirstIncarnation);
+    for (int i = 0; i < 900; ++i)
+        add_request(*w, RequestState::served);
+    poll(*w);
+    w->finish(now, kWall + now);
+    w.reset();
+    std::int64_t page = 0;
+    {
+        Db db;
+        ASSERT_FALSE(db.open(temp.file, {}));
+        page = *db.number("SELECT rootpage FROM sqlite_master WHERE name='requests'");
+    }
+    // Every page but the first few is spoilt in its head, as a torn block would leave some of them.
+    const auto size = static_cast<std::int64_t>(std::filesystem::file_size(temp.file));
+    {
+        std::fstream f(temp.file, std::ios::in | std::ios::out | std::ios::binary);
+        for (std::int64_t at = std::max<std::int64_t>(page + 8, 20); at < size / 4096; at += 5) {
+            f.seekp(at * 4096);
+            f.write("torn!torn!torn!torn!", 20);
+        }
+    }
+    const auto around = read_ledger(temp.file);
+    EXPECT_GT(around.accounts.size(), 100u);
+    EXPECT_LT(around.accounts.size(), 900u);
+    EXPECT_FALSE(around.damaged.empty());
+    w = open(kSecondIncarnation);
+    std::string words;
+    for (int i = 0; i < 900; ++i) {
+        add_request(*w, RequestState::served);
+        if (i % 100 == 0)
+            words += poll(*w);
+    }
+    words += poll(*w, 20);
+    EXPECT_EQ(w->status().error, StoreError::none) << words;
+    w->finish(now, kWall + now);
+    // Whether the writing met the damage or not, every new row is there.
+    const auto after = read_ledger(temp.file);
+    EXPECT_EQ(std::count_if(after.accounts.begin(), after.accounts.end(),
+                            [](const auto& row) {
+                                return row.first.starts_with(kSecondIncarnation);
+                            }),
+              900)
+        << words;
+}
+
+TEST_F(LedgerWriterTest, RowThatDiffersFromItsChecksumIsReported) {
+    auto w = open(kFirstIncarnation);
+    for (int i = 0; i < 3; ++i)
+        add_request(*w, RequestState::served);
+    poll(*w);
+    w->finish(now, kWall + now);
+    {
+        Db db;
+        ASSERT_FALSE(db.open(temp.file, {}));
+        ASSERT_FALSE(db.exec("UPDATE requests SET taken=taken+1 WHERE row%4294967296=2"));
+    }
+    const auto found = read_ledger(temp.file);
+    EXPECT_EQ(found.accounts.size(), 2u);
+    ASSERT_EQ(found.damaged.size(), 1u);
+    EXPECT_NE(found.damaged[0].find(kFirstIncarnation + ".2 does not match"), std::string::npos);
+}
+
+TEST_F(LedgerWriterTest, ExpiredRowsLeaveAGapThatGrows) {
+    keep = 10 * kSecondMicros;
+    auto w = open(kFirstIncarnation);
+    for (int i = 0; i < 60; ++i) {
+        add_request(*w, RequestState::served);
+        poll(*w);
+    }
+    w->finish(now, kWall + now);
+    const auto left = read_ledger(temp.file).accounts.size();
+    EXPECT_GE(left, 18u);
+    EXPECT_LE(left, 22u);
+    const auto all = gaps(temp.file);
+    ASSERT_EQ(all.size(), 1u);
+    EXPECT_EQ(all[0].second.cause, StoreError::none);
+    EXPECT_EQ(all[0].second.requests, static_cast<std::int64_t>(60 - left));
+}
+
+TEST_F(LedgerWriterTest, ExpiredRowsFreeDiskSpace) {
+    auto w = open(kFirstIncarnation);
+    for (int i = 0; i < 6000; ++i) {
+        add_request(*w, RequestState::served);
+        if (i % 300 == 0)
+            poll(*w);
+    }
+    poll(*w);
+    w->finish(now, kWall + now);
+    const auto before = std::filesystem::file_size(temp.file);
+    keep = 10 * kSecondMicros;
+    w = open(kSecondIncarnation);
+    for (int i = 0; i < 40; ++i) {
+        add_request(*w, RequestState::served);
+        poll(*w);
+    }
+    w->finish(now, kWall + now);
+    EXPECT_LT(std::filesystem::file_size(temp.file), before / 3);
+    EXPECT_LT(read_ledger(temp.file).accounts.size(), 50u);
+}
+
+TEST_F(LedgerWriterTest, SnapshotWhileWritingIsCompleteAndCanBeContinued) {
+    auto w = open(kFirstIncarnation);
+    for (int i = 0; i < 50; ++i)
+        add_request(*w, i % 2 ? RequestState::served : RequestState::open);
+    poll(*w);
+    Ledger reader;
+    ASSERT_FALSE(reader.open(temp.file, {"", true}));
+    ASSERT_FALSE(reader.snapshot(temp.folder + "/copy"));
+    add_request(*w);
+    poll(*w);
+    EXPECT_EQ(read_ledger(temp.folder + "/copy", false).accounts.size(), 50u);
+    // Restored: the copy in its place, and the next life goes on with it.
+    w.reset();
+    reader.close();
+    for (const char* part : {"", "-wal", "-shm"})
+        std::filesystem::remove(temp.file + part);
+    std::filesystem::rename(temp.folder + "/copy", temp.file);
+    w = open(kSecondIncarnation);
+    EXPECT_NE(poll(*w).find("25 requests"), std::string::npos);
+}
+
+TEST_F(LedgerWriterTest, OlderVersionIsMigratedAndALaterOneRefused) {
+    {
+        auto w = open(kFirstIncarnation);
+        add_request(*w, RequestState::served);
+        poll(*w);
+        w->finish(now, kWall + now);
+    }
+    Db db;
+    ASSERT_FALSE(db.open(temp.file, {}));
+    ASSERT_FALSE(db.exec("DROP TABLE events; DROP TABLE versions; PRAGMA user_version=1"));  // as version 1
+    db.close();
+    EXPECT_EQ(read_ledger(temp.file, false).accounts.size(), 1u);
+    ASSERT_FALSE(db.open(temp.file, {}));
+    EXPECT_EQ(*db.number("PRAGMA user_version"), kSchemaVersion);
+    EXPECT_EQ(*db.number("SELECT count(*) FROM events"), 0);
+    ASSERT_FALSE(db.exec("PRAGMA user_version=99"));
+    db.close();
+    auto w = open(kSecondIncarnation);
+    EXPECT_NE(poll(*w).find("version 99"), std::string::npos);
+}
+
+TEST_F(LedgerWriterTest, ClockStepIsRecorded) {
+    auto w = open(kFirstIncarnation);
+    poll(*w);
+    now += 100 * kMillisecond;
+    const auto words = w->poll(now, kWall + now - 2 * kSecondMicros);
+    ASSERT_EQ(words.size(), 1u);
+    EXPECT_NE(words[0].find("-2000 ms"), std::string::npos);
+    w->finish(now, kWall + now - 2 * kSecondMicros);
+    Ledger ledger;
+    ASSERT_FALSE(ledger.open(temp.file, {"", true}));
+    std::vector<std::pair<Micros, Micros>> steps;
+    ASSERT_FALSE(ledger.clock_steps(steps));
+    ASSERT_EQ(steps.size(), 1u);
+    EXPECT_EQ(steps[0].second, -2 * kSecondMicros);
+}
+
+}  // namespace
+}  // namespace gatetiller::store
