--- a/tests/store/accounting_store_test.cpp
+++ b/tests/store/accounting_store_test.cpp
@@ -20,107 +20,111 @@
 
 constexpr Micros kWall = 1'790'000'000'000'000;
 
-struct Made {
+// Ledgers and journals, with what they come to.
+struct Collection {
     std::vector<std::string> ledgers, journals;
-    std::map<SettlementFinding, int> wanted;
+    std::map<SettlementFinding, int> expected;
     Micros logged = 0;
     std::size_t requests = 0;
 };
 
 // Two fronts' ledgers and two engines' journals of which each finding is known beforehand.
-Made make(const std::string& folder, Random& random) {
-    Made m;
-    m.journals.resize(2);
+Collection make_collection(const std::string& folder, Random& random) {
+    Collection made;
+    made.journals.resize(2);
     int queries = 0;
-    const auto log = [&](const std::string& life, std::uint32_t request, Micros at, Micros work) {
+    const auto log_event = [&](const std::string& incarnation, std::uint32_t request, Micros at,
+                               Micros work) {
         statement::Completed c;
         c.id = "q" + std::to_string(++queries), c.state = "FINISHED", c.user = "u", c.server = "e1";
-        if (!life.empty())
-            c.tags = {decide::tag_of({life, request, 0})};
+        if (!incarnation.empty())
+            c.tags = {decide::tag_of({incarnation, request, 0})};
         c.created = at, c.ended = at + 1000, c.cpu = work;
-        m.logged += work;
-        m.journals[random.below(2)] += statement::write_completed(c) + "\n";
+        made.logged += work;
+        made.journals[random.below(2)] += statement::write_completed(c) + "\n";
     };
     for (int f = 0; f < 2; ++f) {
-        const std::string life = "000000000000000" + std::to_string(f + 1);
-        m.ledgers.push_back(folder + "/f" + std::to_string(f));
-        LedgerWriter w({m.ledgers.back(), "front-" + std::to_string(f), life, 100 * kMillisecond});
+        const std::string incarnation = "000000000000000" + std::to_string(f + 1);
+        made.ledgers.push_back(folder + "/f" + std::to_string(f));
+        LedgerWriter writer(
+            {made.ledgers.back(), "front-" + std::to_string(f), incarnation, 100 * kMillisecond});
         for (int i = 0; i < 200; ++i) {
             const Micros wall = kWall + i * kSecondMicros;
             RequestRow r;
             r.who = std::make_shared<const decide::Requester>(decide::Requester{"u", "s", "", "c", "t"});
             r.taken = wall;
-            EXPECT_TRUE(w.add_request(r, wall));
-            ++m.requests;
+            EXPECT_TRUE(writer.add_request(r, wall));
+            ++made.requests;
             AttemptRow a;
             a.request = r.number, a.engine = "e1", a.ended_after = 10'000,
             a.work = static_cast<Micros>(random.below(1000)) * 1000;
-            const auto want = [&](SettlementFinding finding, AttemptState state, bool whole, bool logged,
-                                  Micros more) {
-                ++m.wanted[finding];
+            const auto add_attempt = [&](SettlementFinding finding, AttemptState state, bool whole,
+                                         bool logged, Micros more) {
+                ++made.expected[finding];
                 a.state = state, a.whole = whole;
                 if (logged)
-                    log(life, r.number, wall, a.work + more);
+                    log_event(incarnation, r.number, wall, a.work + more);
             };
             switch (random.below(6)) {
                 case 0:
-                    want(SettlementFinding::agreed, AttemptState::answered, true, true, 400);
+                    add_attempt(SettlementFinding::agreed, AttemptState::answered, true, true, 400);
                     break;
                 case 1:
-                    want(SettlementFinding::unseen_end, AttemptState::connection_lost, false, true, 90'000);
+                    add_attempt(SettlementFinding::unseen_end, AttemptState::connection_lost, false, true,
+                                90'000);
                     break;
                 case 2:
-                    want(SettlementFinding::never_ran, AttemptState::unreachable, false, false, 0);
+                    add_attempt(SettlementFinding::never_ran, AttemptState::unreachable, false, false, 0);
                     break;
                 case 3:
-                    want(SettlementFinding::unlogged, AttemptState::connection_lost, false, false, 0);
+                    add_attempt(SettlementFinding::unlogged, AttemptState::connection_lost, false, false, 0);
                     break;
                 case 4:
-                    want(SettlementFinding::differs, AttemptState::error, true, true, 5000);
+                    add_attempt(SettlementFinding::differs, AttemptState::error, true, true, 5000);
                     break;
                 case 5:
-                    want(SettlementFinding::journal_lacks, AttemptState::answered, true, false, 0);
+                    add_attempt(SettlementFinding::journal_lacks, AttemptState::answered, true, false, 0);
                     break;
             }
-            w.update(a, wall);
+            writer.update(a, wall);
             r.state = RequestState::served;
-            w.update(r, wall);
+            writer.update(r, wall);
             if (i % 20 == 0)
-                (void)w.poll(i, wall);
+                (void)writer.poll(i, wall);
         }
-        (void)w.finish(0, kWall + 200 * kSecondMicros);
+        (void)writer.finish(0, kWall + 200 * kSecondMicros);
         // Logged under a number that the ledger never gave.
-        log(life, 5000, kWall, 7), ++m.wanted[SettlementFinding::ledger_lacks];
+        log_event(incarnation, 5000, kWall, 7), ++made.expected[SettlementFinding::ledger_lacks];
     }
-    log("", 0, kWall, 11), ++m.wanted[SettlementFinding::direct];
-    log("00000000000000ff", 3, kWall, 13), ++m.wanted[SettlementFinding::other_life];
-    return m;
+    log_event("", 0, kWall, 11), ++made.expected[SettlementFinding::direct];
+    log_event("00000000000000ff", 3, kWall, 13), ++made.expected[SettlementFinding::other_life];
+    return made;
 }
 
-TEST(AccountingStore, CollectingInAnyOrderAndTwiceComesToTheSame) {
+TEST(AccountingStore, CollectingInAnyOrderAndTwiceGivesTheSame) {
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
         SCOPED_TRACE("seed " + std::to_string(seed));
         const std::string folder = ::testing::TempDir() + "books-" + std::to_string(::getpid());
         std::filesystem::remove_all(folder);
         std::filesystem::create_directories(folder);
         Random random(seed);
-        const auto made = make(folder, random);
-        AccountingStore books;
-        ASSERT_FALSE(books.open(folder + "/books"));
+        const auto made = make_collection(folder, random);
+        AccountingStore store;
+        ASSERT_FALSE(store.open(folder + "/books"));
         // Ledgers 0 and 1, journals 2 and 3, each up to twice, shuffled.
         std::vector<int> order{0, 1, 2, 3, 0, 1, 2, 3};
         for (std::size_t i = order.size(); i > 1; --i)
             std::swap(order[i - 1], order[random.below(i)]);
         for (const int what : order) {
             if (what < 2) {
-                ASSERT_TRUE(books.collect_ledger(made.ledgers[static_cast<std::size_t>(what)]));
+                ASSERT_TRUE(store.collect_ledger(made.ledgers[static_cast<std::size_t>(what)]));
             } else {
                 std::istringstream lines(made.journals[static_cast<std::size_t>(what - 2)] + "{\"cut off");
-                ASSERT_TRUE(books.collect_journal("j", lines));
+                ASSERT_TRUE(store.collect_journal("j", lines));
             }
         }
-        std::map<std::string, decide::IncarnationRecord> lives;
-        ASSERT_FALSE(books.incarnations(lives));
+        std::map<std::string, decide::IncarnationRecord> records;
+        ASSERT_FALSE(store.incarnations(records));
         std::map<SettlementFinding, int> found;
         Micros logged = 0;
         std::size_t requests = 0;
@@ -129,52 +133,52 @@
             if (s.logged)
                 logged += s.work;
         };
-        const auto alone = [&](const decide::LoggedQuery& q) {
-            const auto life = q.name ? lives.find(q.name->life) : lives.end();
-            count(settle_alone(q, life == lives.end() ? nullptr : &life->second));
+        const auto count_event = [&](const decide::LoggedQuery& q) {
+            const auto record = q.name ? records.find(q.name->life) : records.end();
+            count(settle_alone(q, record == records.end() ? nullptr : &record->second));
         };
-        ASSERT_FALSE(books.for_each(
+        ASSERT_FALSE(store.for_each(
             [&](const AccountEntry& e) {
                 if (!e.account)
-                    return alone(e.logged[0][0]);
+                    return count_event(e.logged[0][0]);
                 ++requests;
                 for (std::size_t i = 0; i < e.logged.size(); ++i)
                     count(settle(e.account->request, e.account->attempts[i], e.logged[i]));
                 for (const auto& q : e.unmatched)
-                    alone(q);
+                    count_event(q);
             },
             [](const std::string& text) {
                 ADD_FAILURE() << text;
             }));
-        EXPECT_EQ(found, made.wanted);
+        EXPECT_EQ(found, made.expected);
         EXPECT_EQ(logged, made.logged);
         EXPECT_EQ(requests, made.requests);
         std::filesystem::remove_all(folder);
     }
 }
 
-TEST(AccountingStore, LinesThatAreNoEventsAreToldWithTheirPlace) {
-    AccountingStore books;
-    ASSERT_FALSE(books.open(":memory:"));
+TEST(AccountingStore, LinesWithoutAnEventAreReportedWithTheirPlace) {
+    AccountingStore store;
+    ASSERT_FALSE(store.open(":memory:"));
     std::istringstream lines(
         "\n[1]\n{\"metadata\":{},\"createTime\":\"2026-11-01T00:00:00Z\",\"endTime\":1}\n"
         R"({"metadata":{"queryId":"q"},"statistics":{"cpuTime":"PT1.5S","spilledBytes":-3},"createTime":1,"endTime":2})"
         "\n"
         R"({"metadata":{"queryId":"q"},"statistics":{"cpuTime":"PT1M1.5S"},"createTime":1,"endTime":"2026-11-01T01:00:00+01:00"})"
         "\n");
-    const auto c = books.collect_journal("e1.jsonl", lines);
+    const auto c = store.collect_journal("e1.jsonl", lines);
     ASSERT_TRUE(c) << c.error();
     EXPECT_EQ(c->events, 1);
     ASSERT_EQ(c->problems.size(), 3u);
     EXPECT_EQ(c->problems[0], "e1.jsonl:2: not a query-completed event: not a JSON object");
     EXPECT_NE(c->problems[1].find("e1.jsonl:3"), std::string::npos);
     EXPECT_NE(c->problems[2].find("spilledBytes"), std::string::npos);
-    EXPECT_EQ(*books.ledger().db().number("SELECT work FROM events"), 61'500'000);
-    EXPECT_EQ(*books.ledger().db().number("SELECT ended FROM events"), 1'793'491'200'000'000);
+    EXPECT_EQ(*store.ledger().db().number("SELECT work FROM events"), 61'500'000);
+    EXPECT_EQ(*store.ledger().db().number("SELECT ended FROM events"), 1'793'491'200'000'000);
 }
 
 // Kept by what is known of the row, not by who came last.
-TEST(AccountingStore, ARowThatSaysMoreStands) {
+TEST(AccountingStore, RowThatSaysMoreReplacesTheOther) {
     const std::string folder = ::testing::TempDir() + "books-more-" + std::to_string(::getpid());
     std::filesystem::remove_all(folder);
     std::filesystem::create_directories(folder);
@@ -183,28 +187,28 @@
     r.who = std::make_shared<const decide::Requester>();
     r.taken = kWall;
     {
-        LedgerWriter w({file, "f", "0000000000000001", 100 * kMillisecond});
-        ASSERT_TRUE(w.add_request(r, kWall));
-        (void)w.poll(0, kWall);
+        LedgerWriter writer({file, "f", "0000000000000001", 100 * kMillisecond});
+        ASSERT_TRUE(writer.add_request(r, kWall));
+        (void)writer.poll(0, kWall);
         Ledger l;
         ASSERT_FALSE(l.open(file, {"", true}));
         ASSERT_FALSE(l.snapshot(copy));
         r.state = RequestState::served;
-        w.update(r, kWall);
-        (void)w.finish(1, kWall);
+        writer.update(r, kWall);
+        (void)writer.finish(1, kWall);
     }
-    {  // the copy is taken for another life, which marks the request as interrupted
-        LedgerWriter w({copy, "f", "0000000000000002", 100 * kMillisecond});
-        (void)w.poll(0, kWall);
-        (void)w.finish(1, kWall);
+    {  // the copy is taken by another incarnation, which marks the request as interrupted
+        LedgerWriter writer({copy, "f", "0000000000000002", 100 * kMillisecond});
+        (void)writer.poll(0, kWall);
+        (void)writer.finish(1, kWall);
     }
     for (const bool copy_first : {true, false}) {
-        AccountingStore books;
-        ASSERT_FALSE(books.open(":memory:"));
-        ASSERT_TRUE(books.collect_ledger(copy_first ? copy : file));
-        ASSERT_TRUE(books.collect_ledger(copy_first ? file : copy));
-        EXPECT_EQ(*books.ledger().db().number("SELECT count(*) FROM requests"), 1);
-        EXPECT_EQ(*books.ledger().db().number("SELECT state FROM requests"),
+        AccountingStore store;
+        ASSERT_FALSE(store.open(":memory:"));
+        ASSERT_TRUE(store.collect_ledger(copy_first ? copy : file));
+        ASSERT_TRUE(store.collect_ledger(copy_first ? file : copy));
+        EXPECT_EQ(*store.ledger().db().number("SELECT count(*) FROM requests"), 1);
+        EXPECT_EQ(*store.ledger().db().number("SELECT state FROM requests"),
                   static_cast<int>(RequestState::served));
     }
     std::filesystem::remove_all(folder);
--- a/tests/store/ledger_contents.hpp
+++ b/tests/store/ledger_contents.hpp
@@ -58,18 +58,21 @@
     std::vector<std::string> damaged;
 };
 inline LedgerContents read_ledger(Ledger& ledger) {
-    LedgerContents r;
+    LedgerContents contents;
     const auto f = ledger.for_each(
-        [&](const RequestAccount& w) {
+        [&](const RequestAccount& account) {
             const bool fresh =
-                r.accounts.emplace(w.incarnation->name + "." + std::to_string(w.request.number), w).second;
-            EXPECT_TRUE(fresh) << "twice: " << w.request.number;
+                contents.accounts
+                    .emplace(account.incarnation->name + "." + std::to_string(account.request.number),
+                             account)
+                    .second;
+            EXPECT_TRUE(fresh) << "twice: " << account.request.number;
         },
         [&](std::string text) {
-            r.damaged.push_back(std::move(text));
+            contents.damaged.push_back(std::move(text));
         });
     EXPECT_FALSE(f) << f.text;
-    return r;
+    return contents;
 }
 inline LedgerContents read_ledger(const std::string& file, bool read_only = true) {
     Ledger ledger;
--- a/tests/store/ledger_test.cpp
+++ b/tests/store/ledger_test.cpp
@@ -12,7 +12,7 @@
 using testing::FaultVfs;
 
 // What a ledger should hold after a number of batches, of which the last may have failed.
-struct Model {
+struct ExpectedLedger {
     std::map<std::uint32_t, std::pair<RequestState, Micros>> requests, with_last;
     std::map<std::uint32_t, Micros> work, work_with_last;
 
@@ -34,15 +34,15 @@
         return b;
     }
     bool matches(const LedgerContents& r, bool last) const {
-        const auto& wanted = last ? with_last : requests;
-        const auto& wanted_work = last ? work_with_last : work;
-        if (r.accounts.size() != wanted.size())
+        const auto& expected = last ? with_last : requests;
+        const auto& expected_work = last ? work_with_last : work;
+        if (r.accounts.size() != expected.size())
             return false;
-        for (const auto& [name, w] : r.accounts) {
-            const auto found = wanted.find(w.request.number);
-            if (found == wanted.end() || found->second.first != w.request.state ||
-                found->second.second != w.request.ended_after || w.attempts.size() != 1 ||
-                w.attempts[0].work != wanted_work.at(w.request.number))
+        for (const auto& [name, account] : r.accounts) {
+            const auto found = expected.find(account.request.number);
+            if (found == expected.end() || found->second.first != account.request.state ||
+                found->second.second != account.request.ended_after || account.attempts.size() != 1 ||
+                account.attempts[0].work != expected_work.at(account.request.number))
                 return false;
         }
         return true;
@@ -58,7 +58,7 @@
         const TempLedgerFile temp("power");
         FaultVfs vfs("power", seed);
         Random random(seed);
-        Model model;
+        ExpectedLedger model;
         bool last = true;
         {
             Ledger ledger;
--- a/tests/store/ledger_writer_test.cpp
+++ b/tests/store/ledger_writer_test.cpp
@@ -44,10 +44,10 @@
             (void)writer.finish(now, kWall + now);
             const auto found = read_ledger(temp.file);
             ASSERT_EQ(found.accounts.size(), 12u);
-            for (const auto& [name, w] : found.accounts) {
-                EXPECT_EQ(w.request.state,
-                          w.request.number % 2 == 1 ? RequestState::served : RequestState::open);
-                EXPECT_EQ(w.attempts.size(), 1u);
+            for (const auto& [name, account] : found.accounts) {
+                EXPECT_EQ(account.request.state,
+                          account.request.number % 2 == 1 ? RequestState::served : RequestState::open);
+                EXPECT_EQ(account.attempts.size(), 1u);
             }
             EXPECT_TRUE(found.damaged.empty());
             if (!struck)
@@ -58,29 +58,29 @@
 
 class LedgerWriterTest : public ::testing::Test {
 protected:
-    std::unique_ptr<LedgerWriter> open(const std::string& life, std::size_t waiting = 1000,
+    std::unique_ptr<LedgerWriter> open(const std::string& incarnation, std::size_t max_queued_rows = 1000,
                                        const std::string& vfs = "") {
-        LedgerWriterSettings s{temp.file, "front-1", life, 100 * kMillisecond, keep, {}, vfs};
-        s.limits.max_queued_rows = waiting;
+        LedgerWriterSettings s{temp.file, "front-1", incarnation, 100 * kMillisecond, keep, {}, vfs};
+        s.limits.max_queued_rows = max_queued_rows;
         return std::make_unique<LedgerWriter>(s);
     }
-    std::string poll(LedgerWriter& w, int times = 1) {
-        std::string words;
+    std::string poll(LedgerWriter& writer, int times = 1) {
+        std::string log_lines;
         for (int i = 0; i < times; ++i) {
             now += 500 * kMillisecond;
-            for (const auto& text : w.poll(now, kWall + now))
-                words += text + "\n";
+            for (const auto& text : writer.poll(now, kWall + now))
+                log_lines += text + "\n";
         }
-        return words;
+        return log_lines;
     }
-    std::uint32_t add_request(LedgerWriter& w, RequestState state = RequestState::open) {
+    std::uint32_t add_request(LedgerWriter& writer, RequestState state = RequestState::open) {
         auto r = make_request(0, RequestState::open, random);
         r.taken = kWall + now;
-        if (!w.add_request(r, kWall + now))
+        if (!writer.add_request(r, kWall + now))
             return 0;
         if (state != RequestState::open) {
             r.state = state;
-            w.update(r, kWall + now);
+            writer.update(r, kWall + now);
         }
         return r.number;
     }
@@ -115,9 +115,9 @@
     const auto found = read_ledger(temp.file);
     ASSERT_EQ(found.accounts.size(), 11u);
     int interrupted = 0;
-    for (const auto& [name, w] : found.accounts) {
-        interrupted += w.request.state == RequestState::interrupted;
-        for (const auto& a : w.attempts)
+    for (const auto& [name, account] : found.accounts) {
+        interrupted += account.request.state == RequestState::interrupted;
+        for (const auto& a : account.attempts)
             EXPECT_EQ(a.state, AttemptState::interrupted);
     }
     EXPECT_EQ(interrupted, 6);
@@ -130,26 +130,26 @@
 
 TEST_F(LedgerWriterTest, FullDiskIsLoggedBoundedAndRecordedAsAGap) {
     FaultVfs vfs("full", 1);
-    auto w = open(kFirstIncarnation, 1000, "full");
+    auto writer = open(kFirstIncarnation, 1000, "full");
     for (int i = 0; i < 10; ++i)
-        add_request(*w, RequestState::served);
-    poll(*w);
+        add_request(*writer, RequestState::served);
+    poll(*writer);
     vfs.fail_at = vfs.operations, vfs.failures = 1'000'000, vfs.code = SQLITE_FULL;
     int refused = 0;
-    std::string words;
+    std::string log_lines;
     for (int i = 0; i < 2000; ++i) {
-        refused += add_request(*w) == 0;
+        refused += add_request(*writer) == 0;
         if (i % 100 == 0)
-            words += poll(*w);
-        EXPECT_LE(w->status().queued_rows, 1000u);
+            log_lines += poll(*writer);
+        EXPECT_LE(writer->status().queued_rows, 1000u);
     }
-    EXPECT_NE(words.find("NOT WRITTEN (disk full)"), std::string::npos) << words;
+    EXPECT_NE(log_lines.find("NOT WRITTEN (disk full)"), std::string::npos) << log_lines;
     EXPECT_GT(refused, 1000);
     vfs.stop_failing();
-    words = poll(*w, 30);
-    EXPECT_NE(words.find("written again"), std::string::npos) << words;
-    EXPECT_EQ(w->status().queued_rows, 0u);
-    w->finish(now, kWall + now);
+    log_lines = poll(*writer, 30);
+    EXPECT_NE(log_lines.find("written again"), std::string::npos) << log_lines;
+    EXPECT_EQ(writer->status().queued_rows, 0u);
+    writer->finish(now, kWall + now);
     EXPECT_EQ(read_ledger(temp.file).accounts.size(), static_cast<std::size_t>(2010 - refused));
     const auto all = gaps(temp.file);
     ASSERT_EQ(all.size(), 1u);
@@ -174,28 +174,28 @@
 
 TEST_F(LedgerWriterTest, ForeignFileIsNeverTouched) {
     std::ofstream(temp.file) << std::string(5000, 'x');
-    auto w = open(kFirstIncarnation);
-    add_request(*w);
-    EXPECT_NE(poll(*w, 5).find("not a ledger"), std::string::npos);
-    w.reset();
+    auto writer = open(kFirstIncarnation);
+    add_request(*writer);
+    EXPECT_NE(poll(*writer, 5).find("not a ledger"), std::string::npos);
+    writer.reset();
     EXPECT_EQ(std::filesystem::file_size(temp.file), 5000u);
     std::filesystem::remove(temp.file);
     Db other;
     ASSERT_FALSE(other.open(temp.file, {}));
     ASSERT_FALSE(other.exec("CREATE TABLE x(y)"));
-    w = open(kSecondIncarnation);
-    EXPECT_NE(poll(*w, 2).find("another program"), std::string::npos);
+    writer = open(kSecondIncarnation);
+    EXPECT_NE(poll(*writer, 2).find("another program"), std::string::npos);
 }
 
 // A page of the requests' table is overwritten. The front goes on with a new file; the old one is read as far
 // as it can be, and what can't is told.
 TEST_F(LedgerWriterTest, DamagedFileIsQuarantinedAndReadAroundTheDamage) {
-    auto w = open(kFirstIncarnation);
+    auto writer = open(kFirstIncarnation);
     for (int i = 0; i < 900; ++i)
-        add_request(*w, RequestState::served);
-    poll(*w);
-    w->finish(now, kWall + now);
-    w.reset();
+        add_request(*writer, RequestState::served);
+    poll(*writer);
+    writer->finish(now, kWall + now);
+    writer.reset();
     std::int64_t page = 0;
     {
         Db db;
@@ -215,16 +215,16 @@
     EXPECT_GT(around.accounts.size(), 100u);
     EXPECT_LT(around.accounts.size(), 900u);
     EXPECT_FALSE(around.damaged.empty());
-    w = open(kSecondIncarnation);
-    std::string words;
+    writer = open(kSecondIncarnation);
+    std::string log_lines;
     for (int i = 0; i < 900; ++i) {
-        add_request(*w, RequestState::served);
+        add_request(*writer, RequestState::served);
         if (i % 100 == 0)
-            words += poll(*w);
+            log_lines += poll(*writer);
     }
-    words += poll(*w, 20);
-    EXPECT_EQ(w->status().error, StoreError::none) << words;
-    w->finish(now, kWall + now);
+    log_lines += poll(*writer, 20);
+    EXPECT_EQ(writer->status().error, StoreError::none) << log_lines;
+    writer->finish(now, kWall + now);
     // Whether the writing met the damage or not, every new row is there.
     const auto after = read_ledger(temp.file);
     EXPECT_EQ(std::count_if(after.accounts.begin(), after.accounts.end(),
@@ -232,15 +232,15 @@
                                 return row.first.starts_with(kSecondIncarnation);
                             }),
               900)
-        << words;
+        << log_lines;
 }
 
 TEST_F(LedgerWriterTest, RowThatDiffersFromItsChecksumIsReported) {
-    auto w = open(kFirstIncarnation);
+    auto writer = open(kFirstIncarnation);
     for (int i = 0; i < 3; ++i)
-        add_request(*w, RequestState::served);
-    poll(*w);
-    w->finish(now, kWall + now);
+        add_request(*writer, RequestState::served);
+    poll(*writer);
+    writer->finish(now, kWall + now);
     {
         Db db;
         ASSERT_FALSE(db.open(temp.file, {}));
@@ -254,12 +254,12 @@
 
 TEST_F(LedgerWriterTest, ExpiredRowsLeaveAGapThatGrows) {
     keep = 10 * kSecondMicros;
-    auto w = open(kFirstIncarnation);
+    auto writer = open(kFirstIncarnation);
     for (int i = 0; i < 60; ++i) {
-        add_request(*w, RequestState::served);
-        poll(*w);
+        add_request(*writer, RequestState::served);
+        poll(*writer);
     }
-    w->finish(now, kWall + now);
+    writer->finish(now, kWall + now);
     const auto left = read_ledger(temp.file).accounts.size();
     EXPECT_GE(left, 18u);
     EXPECT_LE(left, 22u);
@@ -270,53 +270,53 @@
 }
 
 TEST_F(LedgerWriterTest, ExpiredRowsFreeDiskSpace) {
-    auto w = open(kFirstIncarnation);
+    auto writer = open(kFirstIncarnation);
     for (int i = 0; i < 6000; ++i) {
-        add_request(*w, RequestState::served);
+        add_request(*writer, RequestState::served);
         if (i % 300 == 0)
-            poll(*w);
+            poll(*writer);
     }
-    poll(*w);
-    w->finish(now, kWall + now);
+    poll(*writer);
+    writer->finish(now, kWall + now);
     const auto before = std::filesystem::file_size(temp.file);
     keep = 10 * kSecondMicros;
-    w = open(kSecondIncarnation);
+    writer = open(kSecondIncarnation);
     for (int i = 0; i < 40; ++i) {
-        add_request(*w, RequestState::served);
-        poll(*w);
+        add_request(*writer, RequestState::served);
+        poll(*writer);
     }
-    w->finish(now, kWall + now);
+    writer->finish(now, kWall + now);
     EXPECT_LT(std::filesystem::file_size(temp.file), before / 3);
     EXPECT_LT(read_ledger(temp.file).accounts.size(), 50u);
 }
 
 TEST_F(LedgerWriterTest, SnapshotWhileWritingIsCompleteAndCanBeContinued) {
-    auto w = open(kFirstIncarnation);
+    auto writer = open(kFirstIncarnation);
     for (int i = 0; i < 50; ++i)
-        add_request(*w, i % 2 ? RequestState::served : RequestState::open);
-    poll(*w);
+        add_request(*writer, i % 2 ? RequestState::served : RequestState::open);
+    poll(*writer);
     Ledger reader;
     ASSERT_FALSE(reader.open(temp.file, {"", true}));
     ASSERT_FALSE(reader.snapshot(temp.folder + "/copy"));
-    add_request(*w);
-    poll(*w);
+    add_request(*writer);
+    poll(*writer);
     EXPECT_EQ(read_ledger(temp.folder + "/copy", false).accounts.size(), 50u);
-    // Restored: the copy in its place, and the next life goes on with it.
-    w.reset();
+    // Restored: the copy in its place, and the next incarnation goes on with it.
+    writer.reset();
     reader.close();
     for (const char* part : {"", "-wal", "-shm"})
         std::filesystem::remove(temp.file + part);
     std::filesystem::rename(temp.folder + "/copy", temp.file);
-    w = open(kSecondIncarnation);
-    EXPECT_NE(poll(*w).find("25 requests"), std::string::npos);
+    writer = open(kSecondIncarnation);
+    EXPECT_NE(poll(*writer).find("25 requests"), std::string::npos);
 }
 
 TEST_F(LedgerWriterTest, OlderVersionIsMigratedAndALaterOneRefused) {
     {
-        auto w = open(kFirstIncarnation);
-        add_request(*w, RequestState::served);
-        poll(*w);
-        w->finish(now, kWall + now);
+        auto writer = open(kFirstIncarnation);
+        add_request(*writer, RequestState::served);
+        poll(*writer);
+        writer->finish(now, kWall + now);
     }
     Db db;
     ASSERT_FALSE(db.open(temp.file, {}));
@@ -328,18 +328,18 @@
     EXPECT_EQ(*db.number("SELECT count(*) FROM events"), 0);
     ASSERT_FALSE(db.exec("PRAGMA user_version=99"));
     db.close();
-    auto w = open(kSecondIncarnation);
-    EXPECT_NE(poll(*w).find("version 99"), std::string::npos);
+    auto writer = open(kSecondIncarnation);
+    EXPECT_NE(poll(*writer).find("version 99"), std::string::npos);
 }
 
 TEST_F(LedgerWriterTest, ClockStepIsRecorded) {
-    auto w = open(kFirstIncarnation);
-    poll(*w);
+    auto writer = open(kFirstIncarnation);
+    poll(*writer);
     now += 100 * kMillisecond;
-    const auto words = w->poll(now, kWall + now - 2 * kSecondMicros);
-    ASSERT_EQ(words.size(), 1u);
-    EXPECT_NE(words[0].find("-2000 ms"), std::string::npos);
-    w->finish(now, kWall + now - 2 * kSecondMicros);
+    const auto log_lines = writer->poll(now, kWall + now - 2 * kSecondMicros);
+    ASSERT_EQ(log_lines.size(), 1u);
+    EXPECT_NE(log_lines[0].find("-2000 ms"), std::string::npos);
+    writer->finish(now, kWall + now - 2 * kSecondMicros);
     Ledger ledger;
     ASSERT_FALSE(ledger.open(temp.file, {"", true}));
     std::vector<std::pair<Micros, Micros>> steps;
