--- a/src/node/fault_injection.cpp
+++ b/src/node/fault_injection.cpp
@@ -3,8 +3,8 @@
 namespace gatetiller::node {
 
 const FaultInjection& fault_injection() {
-    static const FaultInjection none;
-    return none;
+    static const FaultInjection kNone;
+    return kNone;
 }
 
 }  // namespace gatetiller::node
