--- a/tests/node/rig.hpp
+++ b/tests/node/rig.hpp
@@ -1,5 +1,7 @@
-// A front node among the platform's stand-ins, in virtual time (NodeRig) or over loopback sockets
-// (SocketRig); every test ends with the rules judged from what passed on the sockets.
+// Fixtures that run a front node among the platform's stand-ins (lab/platform.hpp): engines, clients and a
+// name service. NodeRig runs in virtual time, SocketRig over loopback sockets. A test sets `settings`, adds
+// engines, calls start(), and ends with expect_rules_kept(), which judges the platform's rules from what the
+// stand-ins recorded on their sockets.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -12,9 +14,11 @@
 
 namespace gatetiller::testing {
 
+// `Loop`: sim::VirtualLoop or net::PollLoop.
 template <typename Loop>
 class RigOn : public ::testing::Test {
 protected:
+    // How long a condition is awaited at most.
     static constexpr Micros kLimit = 60 * kSecondMicros;
     static constexpr bool kVirtual = std::is_same_v<Loop, sim::VirtualLoop>;
     static auto loop_settings() {
@@ -23,7 +27,7 @@
         else
             return net::PollLoop::Limits{.input = 96 * 1024};
     }
-    // On real sockets the kernel picks the ports.
+    // The address to listen on: this one in virtual time; on real sockets the kernel picks the port.
     static net::Address at(const std::string& address) {
         return *net::Address::parse(kVirtual ? address : "127.0.0.1:0");
     }
@@ -31,46 +35,34 @@
     RigOn() {
         settings.name = "n0";
         settings.listen = at("127.0.0.4:5050");
-        settings.sockets = 256, settings.memory_mb = 32, settings.cores = 0.5;
-        settings.idle_timeout = 30 * kSecondMicros, settings.max_streams = 100;
+        settings.sockets = 256;
+        settings.memory_mb = 32;
+        settings.cores = 0.5;
+        settings.idle_timeout = 30 * kSecondMicros;
+        settings.max_streams = 100;
         settings.connect_timeout = 250 * kMillisecond;
-        PolicySettings& m = settings.policy;
-        ClassSettings lookup, load;
-        lookup.name = "lookup", lookup.idempotency = Idempotency::idempotent,
-        lookup.latency_objective = kSecondMicros, lookup.deadline = 4 * kSecondMicros,
-        lookup.late_value_share = 0.5;
-        load.name = "load", load.idempotency = Idempotency::keyed, load.key_scope = KeyScope::all,
-        load.key_window = 25 * kSecondMicros, load.latency_objective = 3 * kSecondMicros,
-        load.deadline = 9 * kSecondMicros, load.late_value_share = 0.5;
-        m.classes = {lookup, load};
-        m.tenants = {{"acme", 0, 1}};
-        m.kinds = {{"std", 8, 16'384}};
-        m.zone = "z";
-        m.supports_priorities = m.supports_memory_grants = m.cost_in_responses = m.can_cancel =
-            m.sends_retry_after = true;
-        m.load_report_source = LoadReportSource::responses;
-        m.progress_period = 100 * kMillisecond;
-        m.max_retry_after = 2 * kSecondMicros;
-        m.max_attempts = 6;
-        m.response_grace = 20 * kMillisecond, m.drain_grace = 2 * kSecondMicros;
-        m.slow_start_capacity_share = 0.3, m.slow_start_window = 10 * kSecondMicros, m.overload_factor = 3,
-        m.overload_window = 1'500 * kMillisecond;
+        set_policy(settings.policy);
     }
     ~RigOn() override {
         node.reset();
         clients.clear();
     }
 
+    // Starts an engine and lists it at the name service; in virtual time at `address`, if one is given.
     lab::PlatformEngine& engine(const std::string& name, const std::string& address = "") {
         lab::PlatformEngineSettings s;
-        s.name = name, s.seed = ++seed;
+        s.name = name;
+        s.seed = ++seed;
         auto e = std::make_unique<lab::PlatformEngine>(loop, s, records);
         const auto place = e->listen(
             "n0", at(address.empty() ? "127.1.0." + std::to_string(engines.size() + 1) + ":5050" : address));
         EXPECT_TRUE(place) << place.error();
         list(name, *place);
         lab::EngineFacts facts;
-        facts.name = facts.address = name, facts.zone = "z", facts.kind = "std";
+        facts.name = name;
+        facts.address = name;
+        facts.zone = "z";
+        facts.kind = "std";
         records.facts.engines.push_back(facts);
         engines.push_back(std::move(e));
         return *engines.back();
@@ -82,9 +74,13 @@
         if (node)
             return;
         decide::DiscoveredEndpoint e;
-        e.name = name, e.address = place.text(), e.zone = "z", e.kind = "std";
+        e.name = name;
+        e.address = place.text();
+        e.zone = "z";
+        e.kind = "std";
         settings.known_endpoints.push_back(std::move(e));
     }
+    // Starts the name service and the node, and waits until the node answers a client.
     void start() {
         const auto dns = names.listen("n0", at("127.2.0.1:1053"));
         ASSERT_TRUE(dns);
@@ -102,10 +98,12 @@
         settings.listen = *bound;
         ready();
     }
+    // A new client, which connects at once.
     lab::PlatformClient& client() {
         clients.push_back(std::make_unique<lab::PlatformClient>(loop, "n0", settings.listen, records));
         return *clients.back();
     }
+    // Waits until the node answers a probe.
     void ready() {
         auto& c = client();
         c.probe();
@@ -113,6 +111,7 @@
             return c.ready();
         }));
     }
+    // A request of a new id, for work of so many milliseconds and a result of so many rows.
     lab::PlatformClient::Ask ask(const std::string& cls = "lookup", int work_ms = 20, std::size_t rows = 3) {
         lab::PlatformClient::Ask a;
         a.cls = cls, a.tenant = "acme", a.rows = rows;
@@ -124,6 +123,7 @@
             a.nonce = random.hex(32);
         return a;
     }
+    // Runs the loop until the condition holds; false: it did not in time.
     template <typename C>
     bool until(C condition, Micros longest = kLimit) {
         if constexpr (kVirtual)
@@ -131,7 +131,8 @@
         else
             return await(loop, condition, longest);
     }
-    void pass(Micros span) {  // of virtual time
+    // Lets so much virtual time pass.
+    void pass(Micros span) {
         static_assert(kVirtual, "conditions are awaited on real sockets");
         const Micros end = loop.now() + span;
         loop.after(span, [] {});
@@ -141,6 +142,7 @@
             },
             span + 1);
     }
+    // The rules judged from what has been recorded by now.
     lab::Judgement judged() {
         records.facts.classes = settings.policy.classes;
         records.facts.answer_grace = settings.policy.response_grace;
@@ -156,10 +158,47 @@
             EXPECT_TRUE(e->unusable().empty()) << e->unusable()[0];
     }
 
+    // Two classes: `lookup` is idempotent, `load` is safe to repeat by its key.
+    static void set_policy(PolicySettings& policy) {
+        ClassSettings lookup;
+        lookup.name = "lookup";
+        lookup.idempotency = Idempotency::idempotent;
+        lookup.latency_objective = kSecondMicros;
+        lookup.deadline = 4 * kSecondMicros;
+        lookup.late_value_share = 0.5;
+        ClassSettings load;
+        load.name = "load";
+        load.idempotency = Idempotency::keyed;
+        load.key_scope = KeyScope::all;
+        load.key_window = 25 * kSecondMicros;
+        load.latency_objective = 3 * kSecondMicros;
+        load.deadline = 9 * kSecondMicros;
+        load.late_value_share = 0.5;
+        policy.classes = {lookup, load};
+        policy.tenants = {{"acme", 0, 1}};
+        policy.kinds = {{"std", 8, 16'384}};
+        policy.zone = "z";
+        policy.supports_priorities = true;
+        policy.supports_memory_grants = true;
+        policy.cost_in_responses = true;
+        policy.can_cancel = true;
+        policy.sends_retry_after = true;
+        policy.load_report_source = LoadReportSource::responses;
+        policy.progress_period = 100 * kMillisecond;
+        policy.max_retry_after = 2 * kSecondMicros;
+        policy.max_attempts = 6;
+        policy.response_grace = 20 * kMillisecond;
+        policy.drain_grace = 2 * kSecondMicros;
+        policy.slow_start_capacity_share = 0.3;
+        policy.slow_start_window = 10 * kSecondMicros;
+        policy.overload_factor = 3;
+        policy.overload_window = 1'500 * kMillisecond;
+    }
+
     Loop loop{loop_settings()};
     Random random{7};
     std::uint64_t seed = 0;
-    std::string log;
+    std::string log;  // of the node, with its trace
     lab::Records records;
     lab::NameService names{loop, records, 3};
     node::NodeSettings settings;
