--- a/src/decide/attempt_guard.hpp
+++ b/src/decide/attempt_guard.hpp
@@ -6,7 +6,7 @@
 //
 // Invariant: an engine connection sends a request only against an AttemptPermit, and only AttemptGuard
 // creates permits. The limits are those of PolicySettings and ClassSettings; the slow-start budget is that of
-// the platform's terms (docs/design/front-node.md).
+// the platform's terms.
 #pragma once
 
 #include <cstdint>
--- a/src/decide/client_sequence_numbers.cpp
+++ b/src/decide/client_sequence_numbers.cpp
@@ -5,11 +5,11 @@
 namespace gatetiller::decide {
 
 ClientSequenceNumbers::Verdict ClientSequenceNumbers::accept(std::int32_t number) {
-    if (number <= last_)
+    if (number <= last_accepted_)
         return Verdict::not_increasing;
     if (open_.size() >= kMaxOpen)
         return Verdict::too_many_open;
-    last_ = number;
+    last_accepted_ = number;
     open_.insert(number);
     return Verdict::accepted;
 }
--- a/src/decide/client_sequence_numbers.hpp
+++ b/src/decide/client_sequence_numbers.hpp
@@ -1,6 +1,8 @@
-// The numbers of one client connection's requests, as the platform's protocol has them: they climb, and at
-// most 32 are open. Whoever breaks this can't be told apart from itself any more: an answer under a number
-// that stands for two requests may be read as the other's.
+// The sequence numbers of the requests on one client connection.
+//
+// The platform's protocol requires that they increase and that at most 32 are open. A connection that
+// violates this must be closed: a response with a number that stands for two requests may be read as the
+// response to the other.
 #pragma once
 
 #include <cstddef>
@@ -11,25 +13,31 @@
 
 class ClientSequenceNumbers {
 public:
+    // Open numbers on one connection.
     static constexpr std::size_t kMaxOpen = 32;
     enum class Verdict {
+        // The number is open now.
         accepted,
+        // It is not greater than the last accepted number, or than 0.
         not_increasing,
+        // kMaxOpen numbers are open.
         too_many_open
     };
+    // A request with this number arrived.
     Verdict accept(std::int32_t number);
-    // Answered, or taken back: no answer is owed under it any more. False where none was.
+    // The request was answered or cancelled. False where the number is not open.
     bool release(std::int32_t number) {
         return open_.erase(number) > 0;
     }
-    std::set<std::int32_t> release_all();  // those that were open
+    // Releases all open numbers and returns them.
+    std::set<std::int32_t> release_all();
     std::size_t open_count() const {
         return open_.size();
     }
 
 private:
     std::set<std::int32_t> open_;
-    std::int32_t last_ = 0;
+    std::int32_t last_accepted_ = 0;
 };
 
 }  // namespace gatetiller::decide
--- a/src/decide/client_time_left.hpp
+++ b/src/decide/client_time_left.hpp
@@ -1,4 +1,4 @@
-// How much of a client's time the module is told of.
+// The part of a client's timeout that is left for the policy to answer a request.
 #pragma once
 
 #include <algorithm>
@@ -7,13 +7,12 @@
 
 namespace gatetiller::decide {
 
-// A client's clock began when it sent, and it must hold the final answer when its time is up. So two spans
-// are taken off: `unseen`, what the statement may have waited before this front saw it, and `reserve` for the
-// answer's way back, since an attempt whose outcome can't be known sooner is only ended when the module's
-// time is up. Of little time the reserve takes at most a tenth. Nothing is left (0) where the client has gone
-// by now, as far as can be known.
-inline Micros client_time_left(Micros limit, Micros unseen, Micros reserve) {
-    return std::max<Micros>(0, limit - unseen - std::min(reserve, limit / 10));
+// All spans are microseconds. The client's timeout runs from when it sent the request until it has read the
+// final response, so two spans are deducted from `client_timeout`: `unseen`, the longest time for which the
+// request may have waited before this gateway read it, and `reserve`, for the response's way back, but at
+// most a tenth of `client_timeout`. Returns 0 where nothing is left: the client may have stopped waiting.
+inline Micros client_time_left(Micros client_timeout, Micros unseen, Micros reserve) {
+    return std::max<Micros>(0, client_timeout - unseen - std::min(reserve, client_timeout / 10));
 }
 
 }  // namespace gatetiller::decide
--- a/src/decide/connection_choice.cpp
+++ b/src/decide/connection_choice.cpp
@@ -5,28 +5,36 @@
 namespace gatetiller::decide {
 namespace {
 
-constexpr std::size_t kAskedMost = 2000;           // ids that a connection remembers
-constexpr Micros kIdleMargin = 2 * kSecondMicros;  // before the engine closes an idle one
+// Requests on one connection, whose ids the connection keeps to recognize late answers.
+constexpr std::size_t kMaxRequestsSent = 2000;
+// No request is sent so shortly before the engine closes an idle connection.
+constexpr Micros kIdleMargin = 2 * kSecondMicros;
+
+bool is_usable(const ConnectionSnapshot& connection, Micros now, const ConnectionLimits& limits) {
+    return !connection.retired && !connection.carried_this_request &&
+           connection.requests_sent < kMaxRequestsSent && connection.open_requests < limits.max_streams &&
+           !near_idle_timeout(connection, now, limits);
+}
+
+// Whether a request goes on `left` rather than on `right`.
+bool is_preferred(const ConnectionSnapshot& left, const ConnectionSnapshot& right) {
+    return std::pair(left.open_requests, -left.last_used) < std::pair(right.open_requests, -right.last_used);
+}
 
 }  // namespace
 
-bool near_idle_timeout(const ConnectionSnapshot& c, Micros now, const ConnectionLimits& limits) {
-    return c.open_requests == 0 && limits.idle_timeout > 0 &&
-           now - c.last_used > limits.idle_timeout - kIdleMargin;
+bool near_idle_timeout(const ConnectionSnapshot& connection, Micros now, const ConnectionLimits& limits) {
+    return connection.open_requests == 0 && limits.idle_timeout > 0 &&
+           now - connection.last_used > limits.idle_timeout - kIdleMargin;
 }
 
 ConnectionChoice choose_connection(const std::vector<ConnectionSnapshot>& connections, Micros now,
                                    const ConnectionLimits& limits) {
     ConnectionChoice choice;
-    // The fewest requests; of those the one used last, so that the others may idle away.
-    const auto rank = [&](std::size_t i) {
-        return std::pair(connections[i].open_requests, -connections[i].last_used);
-    };
     for (std::size_t i = 0; i < connections.size(); ++i) {
-        const ConnectionSnapshot& c = connections[i];
-        const bool usable = !c.retired && !c.carried_this_request && c.requests_sent < kAskedMost &&
-                            c.open_requests < limits.max_streams && !near_idle_timeout(c, now, limits);
-        if (usable && (!choice.reuse || rank(i) < rank(*choice.reuse)))
+        if (!is_usable(connections[i], now, limits))
+            continue;
+        if (!choice.reuse || is_preferred(connections[i], connections[*choice.reuse]))
             choice.reuse = i;
     }
     choice.open_if_capacity = choice.reuse && connections[*choice.reuse].open_requests > 0 &&
--- a/src/decide/connection_choice.hpp
+++ b/src/decide/connection_choice.hpp
@@ -1,6 +1,9 @@
-// Which connection to an engine a request goes out on. A connection carries one request where there are
-// connections enough, since whatever breaks one breaks all that is open on it; past their number they are
-// shared.
+// Chooses the connection to an engine for one request.
+//
+// A failing connection fails every request on it, so a request gets a connection of its own while the engine
+// may have more of them; beyond that number connections are shared (multiplexed). Among usable connections
+// the one with the fewest open requests is chosen, and of equals the one used last, so that the others reach
+// their idle timeout. Times are microseconds of one monotonic clock.
 #pragma once
 
 #include <cstddef>
@@ -11,30 +14,46 @@
 
 namespace gatetiller::decide {
 
+// Limits on the connections to one engine.
 struct ConnectionLimits {
-    std::size_t max_connections = 8;  // to one engine
-    std::size_t max_streams = 100;    // requests on one connection
+    // Connections to one engine.
+    std::size_t max_connections = 8;
+    // Open requests on one connection.
+    std::size_t max_streams = 100;
+    // Time to establish a connection.
     Micros connect_timeout = 250 * kMillisecond;
-    Micros idle_timeout = 0;  // the engine's; 0: never
+    // Time after which the engine closes an idle connection; 0: never.
+    Micros idle_timeout = 0;
 };
 
-struct ConnectionSnapshot {         // of one connection
-    std::size_t open_requests = 0;  // requests out on it
-    std::size_t requests_sent = 0;  // in its whole life
-    bool carried_this_request =
-        false;             // the request's id among them: an answer of that try must not count for this one
-    bool retired = false;  // a request was given up on it: it serves no further use
-    Micros last_used = 0;  // when something last ended on it
+// One connection at the moment of the choice.
+struct ConnectionSnapshot {
+    // Requests without a result.
+    std::size_t open_requests = 0;
+    // Requests sent on it since it was opened.
+    std::size_t requests_sent = 0;
+    // An earlier attempt of the same request was sent on it: a late answer to that attempt would be read as
+    // the answer to the new one.
+    bool carried_this_request = false;
+    // It accepts no further requests, as one was abandoned on it.
+    bool retired = false;
+    // When a request on it last ended.
+    Micros last_used = 0;
 };
 
-// Idle for nearly as long as the engine leaves it open: a request could cross its close, and nobody would
-// know whether it ran.
-bool near_idle_timeout(const ConnectionSnapshot& c, Micros now, const ConnectionLimits& limits);
+// Whether an idle connection is so close to the engine's idle timeout that a request could cross the engine's
+// close, which would leave unknown whether it was executed.
+bool near_idle_timeout(const ConnectionSnapshot& connection, Micros now, const ConnectionLimits& limits);
 
+// The verdict of choose_connection().
 struct ConnectionChoice {
-    std::optional<std::size_t> reuse;  // the best there is; nothing: only a new one will do
-    bool open_if_capacity = false;     // a new one is better, where one more may be opened
+    // Index of the best usable connection; nothing: none is usable, a new one is needed.
+    std::optional<std::size_t> reuse;
+    // A new connection is better than sharing `reuse`, where the process may open one more.
+    bool open_if_capacity = false;
 };
+
+// Chooses among the connections to one engine.
 ConnectionChoice choose_connection(const std::vector<ConnectionSnapshot>& connections, Micros now,
                                    const ConnectionLimits& limits);
 
--- a/src/decide/endpoint_state_tracker.cpp
+++ b/src/decide/endpoint_state_tracker.cpp
@@ -1,55 +1,67 @@
 #include "decide/endpoint_state_tracker.hpp"
 
 #include <algorithm>
+#include <utility>
 
 namespace gatetiller::decide {
 namespace {
 
-constexpr Micros kSameStart = 2 * kSecondMicros;  // two readings of one start differ by less: delay, rounding
+// Two readings of the same start differ by less, because of rounding and transmission delay.
+constexpr Micros kStartTolerance = 2 * kSecondMicros;
+
+bool differs(const Endpoint& left, const Endpoint& right) {
+    return left.id != right.id || left.state != right.state || left.zone != right.zone ||
+           left.kind != right.kind || left.cell != right.cell || left.started_at != right.started_at ||
+           left.share != right.share;
+}
 
 }  // namespace
 
 bool EndpointStateTracker::on_listed(const Endpoint& entry) {
-    list_ = entry;
-    return settle();
+    listed_ = entry;
+    return update_reported();
 }
 
 bool EndpointStateTracker::on_status_reported(Micros now, bool shutting_down, bool starting,
                                               std::optional<Micros> uptime) {
     if (uptime) {
-        const Micros started = now - *uptime;
-        if (started > came_up_ + kSameStart)
-            came_up_ = std::max<Micros>(started, 1);
+        const Micros started_at = now - *uptime;
+        if (started_at > process_started_at_ + kStartTolerance)
+            process_started_at_ = std::max<Micros>(started_at, 1);
     }
-    shutting_down_ = shutting_down, starting_ = starting, unheard_ = false;
-    return settle();
+    shutting_down_ = shutting_down;
+    starting_ = starting;
+    awaits_status_ = false;
+    return update_reported();
 }
 
 bool EndpointStateTracker::await_status() {
-    unheard_ = true;
-    return settle();
+    awaits_status_ = true;
+    return update_reported();
 }
 
 bool EndpointStateTracker::on_status_unavailable() {
-    unheard_ = false;
-    return settle();
+    awaits_status_ = false;
+    return update_reported();
+}
+
+bool EndpointStateTracker::hold_in_slow_start(Micros now, Micros until, Micros slow_start_window) {
+    const bool in_slow_start = reported_.started_at > 0 && now - reported_.started_at < slow_start_window;
+    slow_start_hold_ = now < until && in_slow_start;
+    return update_reported();
 }
 
-bool EndpointStateTracker::hold_in_slow_start(Micros now, Micros until, Micros warm_up) {
-    held_ = now < until && entry_.started_at > 0 && now - entry_.started_at < warm_up;
-    return settle();
+bool EndpointStateTracker::is_restricted() const {
+    return shutting_down_ || starting_ || awaits_status_ || slow_start_hold_;
 }
 
-bool EndpointStateTracker::settle() {
-    Endpoint next = list_;
-    next.started_at = std::max(list_.started_at, came_up_);
-    // One that is still starting would turn everything away: as good as draining until it is ready.
-    if (next.state == EndpointState::ready && (shutting_down_ || starting_ || unheard_ || held_))
+bool EndpointStateTracker::update_reported() {
+    Endpoint next = listed_;
+    next.started_at = std::max(listed_.started_at, process_started_at_);
+    if (next.state == EndpointState::ready && is_restricted())
         next.state = EndpointState::draining;
-    const bool changed = next.id != entry_.id || next.state != entry_.state || next.zone != entry_.zone ||
-                         next.kind != entry_.kind || next.cell != entry_.cell ||
-                         next.started_at != entry_.started_at || next.share != entry_.share;
-    entry_ = std::move(next);
+    const bool changed = differs(next, reported_);
+    reported_ = std::move(next);
     return changed;
 }
 
--- a/src/decide/endpoint_state_tracker.hpp
+++ b/src/decide/endpoint_state_tracker.hpp
@@ -1,6 +1,19 @@
-// What a front makes of all that it hears about one engine: the list's word, the engine's own word about its
-// state and its uptime. The module is told of the strictest: an engine that drains by either account gets
-// nothing new, and a process that started anew is a cold one, whatever the list says of its age.
+// The state of one engine as a gateway reports it to the policy, combined from two sources: the endpoint
+// list, and the engine's own status (GET /v1/info and /v1/info/state: state and uptime).
+//
+// Rules:
+// - The more restrictive source wins: an engine that is ready in the list is reported as draining while it
+// says
+//   that it is shutting down or starting, while its first status is awaited, or while it is held in slow
+//   start.
+// - The later start time wins: an engine whose uptime shows a new process is in slow start, whatever start
+// time
+//   the list has.
+// - An engine whose status cannot be read is not restricted: the check itself may be at fault, and the list
+// and
+//   the outcomes of attempts remain.
+//
+// Times are microseconds of one monotonic clock. Each event returns whether endpoint() has changed.
 #pragma once
 
 #include <optional>
@@ -11,30 +24,41 @@
 
 class EndpointStateTracker {
 public:
-    // Each returns whether the entry for the module has changed.
-    bool on_listed(const Endpoint& entry);  // by the list; state off: gone from it
-    // GET /v1/info and /v1/info/state: `uptime` where told. An engine that can't be asked says nothing: the
-    // list and the outcomes of attempts decide, since a check that fails may be the check's own fault.
+    // The endpoint list has this entry; state `removed`: the list no longer contains the engine.
+    bool on_listed(const Endpoint& entry);
+
+    // The engine's status was read at `now`. `uptime`: of its process, nothing where it is not reported.
     bool on_status_reported(Micros now, bool shutting_down, bool starting, std::optional<Micros> uptime);
 
-    // It will be asked for its state: until it has answered, or could not be asked, nothing is sent to it. It
-    // may be cold, and this front, just started, would take it for warm.
+    // A status request is pending whose answer must precede the first attempt: a gateway that has just
+    // started does not know whether the engine is in slow start.
     bool await_status();
+
+    // The pending status request failed.
     bool on_status_unavailable();
-    // Until then a cold engine gets nothing: a front that was killed sent it what its next life can't know
-    // of, and both together must not push it over.
-    bool hold_in_slow_start(Micros now, Micros until, Micros warm_up);
 
+    // Reports an engine in slow start as draining until `until`: attempts that an earlier process of this
+    // gateway sent count towards the engine's slow-start budget, and this process does not know them.
+    // `slow_start_window`: how long an engine is in slow start after its start.
+    bool hold_in_slow_start(Micros now, Micros until, Micros slow_start_window);
+
+    // The entry to report to the policy.
     const Endpoint& endpoint() const {
-        return entry_;
+        return reported_;
     }
 
 private:
-    bool settle();
+    bool update_reported();
+    bool is_restricted() const;
 
-    Endpoint list_, entry_;
-    bool shutting_down_ = false, starting_ = false, unheard_ = false, held_ = false;
-    Micros came_up_ = 0;  // by its own word
+    Endpoint listed_;
+    Endpoint reported_;
+    bool shutting_down_ = false;
+    bool starting_ = false;
+    bool awaits_status_ = false;
+    bool slow_start_hold_ = false;
+    // From the reported uptime; 0: none was reported.
+    Micros process_started_at_ = 0;
 };
 
 }  // namespace gatetiller::decide
--- a/src/decide/graceful_shutdown.cpp
+++ b/src/decide/graceful_shutdown.cpp
@@ -5,28 +5,32 @@
 namespace gatetiller::decide {
 namespace {
 
-constexpr Micros kCountedMost = 3 * kSecondMicros;
-constexpr Micros kKilledPast = 700 * kMillisecond;  // the deadline: the platform kills no sooner
-constexpr Micros kSpare = 150 * kMillisecond;       // for the end to be over by then
-constexpr Micros kToRead = 250 * kMillisecond;      // for clients to read the last answers and to close
+// The platform counts longer deadlines as this one.
+constexpr Micros kMaxCountedDeadline = 3 * kSecondMicros;
+// From that deadline until the platform kills the process.
+constexpr Micros kKillDelay = 700 * kMillisecond;
+// The process exits so long before it would be killed.
+constexpr Micros kExitMargin = 150 * kMillisecond;
+// For clients to read their final responses and to close.
+constexpr Micros kFinalResponseTime = 250 * kMillisecond;
 
 }  // namespace
 
 ShutdownSchedule derive_shutdown_schedule(const PolicySettings& settings) {
-    Micros longest = 0;
-    for (const auto& c : settings.classes)
-        longest = std::max(longest, c.deadline);
-    ShutdownSchedule t;
-    t.exit_at = std::min(longest, kCountedMost) + kKilledPast - kSpare;
-    t.final_responses_at = std::max(t.admit_until, t.exit_at - kToRead);
-    t.listen_until = std::min(t.listen_until, t.final_responses_at);
-    return t;
+    Micros longest_deadline = 0;
+    for (const ClassSettings& cls : settings.classes)
+        longest_deadline = std::max(longest_deadline, cls.deadline);
+    ShutdownSchedule schedule;
+    schedule.exit_at = std::min(longest_deadline, kMaxCountedDeadline) + kKillDelay - kExitMargin;
+    schedule.final_responses_at = std::max(schedule.admit_until, schedule.exit_at - kFinalResponseTime);
+    schedule.listen_until = std::min(schedule.listen_until, schedule.final_responses_at);
+    return schedule;
 }
 
-FinalResponse final_response_at_shutdown(const ClassSettings& c, bool may_have_run) {
-    const bool harmless = !may_have_run || c.idempotency == Idempotency::idempotent ||
-                          (c.idempotency == Idempotency::keyed && c.key_scope == KeyScope::all);
-    return harmless ? FinalResponse::rejected : FinalResponse::failed;
+FinalResponse final_response_at_shutdown(const ClassSettings& cls, bool may_have_run) {
+    const bool retry_is_safe = !may_have_run || cls.idempotency == Idempotency::idempotent ||
+                               (cls.idempotency == Idempotency::keyed && cls.key_scope == KeyScope::all);
+    return retry_is_safe ? FinalResponse::rejected : FinalResponse::failed;
 }
 
 }  // namespace gatetiller::decide
--- a/src/decide/graceful_shutdown.hpp
+++ b/src/decide/graceful_shutdown.hpp
@@ -1,25 +1,39 @@
-// A planned restart of a front node: how long it takes new requests, and what the last ones are told.
+// Graceful shutdown of a front node: its schedule, and the final response to requests that are still open.
 #pragma once
 
+#include <cstdint>
+
 #include "policy/gateway_policy.hpp"
 
 namespace gatetiller::decide {
 
+// Microseconds since the signal for the shutdown. Invariant: admit_until <= listen_until <=
+// final_responses_at < exit_at.
 struct ShutdownSchedule {
-    Micros admit_until = 700 * kMillisecond;           // from the signal on: clients still come for so long
-    Micros listen_until = kSecondMicros;               // at least: one that was late still gets its refusal
-    Micros final_responses_at = 3'300 * kMillisecond;  // then what is left is told so
-    Micros exit_at = 3'550 * kMillisecond;             // then it ends, whoever has not read or closed
+    // New requests are admitted, as clients learn of the shutdown with a delay.
+    Micros admit_until = 700 * kMillisecond;
+    // New connections are accepted, so that their requests are rejected rather than lost.
+    Micros listen_until = kSecondMicros;
+    // Requests that are still open are sent their final response.
+    Micros final_responses_at = 3'300 * kMillisecond;
+    // The process exits, whether or not clients have read or closed.
+    Micros exit_at = 3'550 * kMillisecond;
 };
-// The platform waits for the longest deadline, which it counts as 3 s where it is longer, and somewhat more
-// before it kills: the last answers go out shortly after that deadline.
+
+// The platform kills the process 700 ms after the longest deadline of a class, where a deadline over 3 s
+// counts as 3 s. The process exits 150 ms before that, and final responses are sent 250 ms before it exits.
 ShutdownSchedule derive_shutdown_schedule(const PolicySettings& settings);
 
-enum class FinalResponse {
+// The kind of a final response.
+enum class FinalResponse : std::uint8_t {
+    // The client may safely retry.
     rejected,
+    // The request may have been executed, and a retry may execute it again.
     failed
 };
-// A refusal says that trying again is harmless.
-FinalResponse final_response_at_shutdown(const ClassSettings& c, bool may_have_run);
+
+// The final response at shutdown to an open request of class `cls`. `may_have_run`: some attempt of it may
+// have been executed.
+FinalResponse final_response_at_shutdown(const ClassSettings& cls, bool may_have_run);
 
 }  // namespace gatetiller::decide
--- a/src/decide/node_admission.cpp
+++ b/src/decide/node_admission.cpp
@@ -2,15 +2,16 @@
 
 namespace gatetiller::decide {
 
-NodeAdmission admit(const NodeLoad& h, std::size_t bytes, const ResourceLimits& bounds,
-                    const ShutdownSchedule& times) {
-    // Under an open id whatever engines say could be the other's: it goes first, as nothing makes up for it.
-    if (h.duplicate_id)
+NodeAdmission admit(const NodeLoad& load, std::size_t statement_bytes, const ResourceLimits& limits,
+                    const ShutdownSchedule& schedule) {
+    // Answers of engines are matched by request id: with two open requests of one id they could be confused.
+    if (load.duplicate_id)
         return NodeAdmission::duplicate;
-    if (h.draining_for >= times.admit_until)
+    if (load.draining_for >= schedule.admit_until)
         return NodeAdmission::shutting_down;
-    const bool full = h.requests >= bounds.requests || h.statement_bytes + bytes > bounds.statement_bytes;
-    return full ? NodeAdmission::at_capacity : NodeAdmission::admitted;
+    if (load.requests >= limits.requests || load.statement_bytes + statement_bytes > limits.statement_bytes)
+        return NodeAdmission::at_capacity;
+    return NodeAdmission::admitted;
 }
 
 }  // namespace gatetiller::decide
--- a/src/decide/node_admission.hpp
+++ b/src/decide/node_admission.hpp
@@ -1,4 +1,4 @@
-// Whether a whole and well-formed request is taken by a front node, before the module hears of it.
+// Admission of a well-formed request at a front node, before the policy sees it.
 #pragma once
 
 #include <cstddef>
@@ -8,20 +8,34 @@
 
 namespace gatetiller::decide {
 
+// The state of the front node that admission considers.
 struct NodeLoad {
-    std::size_t requests = 0, statement_bytes = 0;  // taken and not over
-    bool duplicate_id = false;                      // one of them bears the id of the new one
-    Micros draining_for = 0;                        // since the signal; 0: no planned restart
+    // Requests that are admitted and not finished.
+    std::size_t requests = 0;
+    // Bytes of their statements.
+    std::size_t statement_bytes = 0;
+    // One of them has the id of the new request.
+    bool duplicate_id = false;
+    // Microseconds since the signal for a graceful shutdown; 0: there was none.
+    Micros draining_for = 0;
 };
 
-// Each but `taken` is refused at once: nothing of it was sent, so trying again is harmless.
+// Every verdict but `admitted` is answered with a rejection at once. As no attempt was sent, a retry by the
+// client is safe.
 enum class NodeAdmission {
+    // The request goes to the policy.
     admitted,
+    // A request with the same id is open.
     duplicate,
+    // A limit on requests or on statement bytes is reached.
     at_capacity,
+    // The time for new requests at a graceful shutdown has passed (ShutdownSchedule::admit_until).
     shutting_down
 };
-NodeAdmission admit(const NodeLoad& holding, std::size_t statement_bytes, const ResourceLimits& bounds,
-                    const ShutdownSchedule& times);
+
+// Decides on a request whose statement has `statement_bytes` bytes. A duplicate id takes precedence over the
+// other verdicts.
+NodeAdmission admit(const NodeLoad& load, std::size_t statement_bytes, const ResourceLimits& limits,
+                    const ShutdownSchedule& schedule);
 
 }  // namespace gatetiller::decide
--- a/src/decide/statement_admission.cpp
+++ b/src/decide/statement_admission.cpp
@@ -9,19 +9,21 @@
         return AdmissionVerdict::statement_too_long;
     if (statements_ >= limits_.statements)
         return AdmissionVerdict::gateway_full;
-    std::size_t& mine = by_user_[user];
-    if (mine >= limits_.statements_per_user)
+    std::size_t& statements_of_user = statements_by_user_[user];
+    if (statements_of_user >= limits_.statements_per_user)
         return AdmissionVerdict::user_limit_reached;
-    ++mine, ++statements_;
+    ++statements_of_user;
+    ++statements_;
     return AdmissionVerdict::admitted;
 }
 
 void StatementAdmission::release(const std::string& user) {
-    const auto found = by_user_.find(user);
-    assert(found != by_user_.end() && statements_ > 0);
+    const auto found = statements_by_user_.find(user);
+    assert(found != statements_by_user_.end() && statements_ > 0);
     --statements_;
-    if (--found->second == 0)
-        by_user_.erase(found);
+    --found->second;
+    if (found->second == 0)
+        statements_by_user_.erase(found);
 }
 
 }  // namespace gatetiller::decide
--- a/src/decide/statement_admission.hpp
+++ b/src/decide/statement_admission.hpp
@@ -1,6 +1,8 @@
-// How much a front holds for its clients: statements in all, for each user, and rows waiting to be fetched.
-// Bounds are put here so that a crowd or one slow reader costs a bounded part of the front, and never its
-// memory.
+// Admission of statements at a gateway, and the limit on result rows that wait to be fetched.
+//
+// The limits bound the memory of the gateway: a burst of statements or one slow reader uses at most a fixed
+// part of it. Invariant: statements() and the number of each user equal the statements admitted and not
+// released.
 #pragma once
 
 #include <cstddef>
@@ -12,19 +14,28 @@
 namespace gatetiller::decide {
 
 struct StatementLimits {
-    std::size_t statements = 50'000;  // taken and not finished
+    // Statements that are admitted and not finished.
+    std::size_t statements = 50'000;
+    // The same of one user.
     std::size_t statements_per_user = 20'000;
-    std::size_t statement_bytes = 1 << 20;  // one statement's text
-    std::size_t row_buffer_bytes =
-        2 << 20;  // bytes that one statement may have waiting before its engine is asked on
-    std::size_t total_row_buffer_bytes = 512 << 20;  // bytes waiting for all statements
-    Micros retry_after = kSecondMicros;              // hint where a statement isn't taken
+    // Bytes of one statement's text.
+    std::size_t statement_bytes = 1 << 20;
+    // Bytes of rows that one statement may have buffered before its engine is asked for more.
+    std::size_t row_buffer_bytes = 2 << 20;
+    // Bytes of rows buffered for all statements.
+    std::size_t total_row_buffer_bytes = 512 << 20;
+    // Microseconds: the Retry-After of a rejected statement.
+    Micros retry_after = kSecondMicros;
 };
 
 enum class AdmissionVerdict {
+    // The statement is admitted and counted.
     admitted,
+    // The gateway has StatementLimits::statements.
     gateway_full,
+    // The user has StatementLimits::statements_per_user.
     user_limit_reached,
+    // The text is longer than StatementLimits::statement_bytes.
     statement_too_long
 };
 
@@ -32,15 +43,20 @@
 public:
     explicit StatementAdmission(StatementLimits limits) : limits_(limits) {}
 
-    AdmissionVerdict admit(const std::string& user, std::size_t text_bytes);  // counts it where taken
+    // Decides on a statement of `user` with a text of `text_bytes` bytes, and counts it if it is admitted.
+    AdmissionVerdict admit(const std::string& user, std::size_t text_bytes);
+    // An admitted statement of `user` is finished. Precondition: there is one.
     void release(const std::string& user);
-    // Whether a statement with `waiting` bytes of rows, of `in_all` at this front, may ask its engine for
-    // more. Past the bound for all, only those with nothing waiting go on, so that every reader still gets
-    // its rows, one page at a time.
-    bool can_fetch_more(std::size_t waiting, std::size_t in_all) const {
-        return waiting < limits_.row_buffer_bytes &&
-               (waiting == 0 || in_all < limits_.total_row_buffer_bytes);
+
+    // Whether a statement with `buffered` bytes of rows, of `total_buffered` at this gateway, may ask its
+    // engine for more. Beyond the total limit only statements with an empty buffer may, one page at a time,
+    // so that every reader makes progress.
+    bool can_fetch_more(std::size_t buffered, std::size_t total_buffered) const {
+        return buffered < limits_.row_buffer_bytes &&
+               (buffered == 0 || total_buffered < limits_.total_row_buffer_bytes);
     }
+
+    // Statements that are admitted and not released.
     std::size_t statements() const {
         return statements_;
     }
@@ -51,7 +67,7 @@
 private:
     StatementLimits limits_;
     std::size_t statements_ = 0;
-    std::map<std::string, std::size_t> by_user_;
+    std::map<std::string, std::size_t> statements_by_user_;
 };
 
 }  // namespace gatetiller::decide
--- a/src/node/clients.hpp
+++ b/src/node/clients.hpp
@@ -11,6 +11,7 @@
 #include <string>
 #include <unordered_map>
 
+#include "decide/client_eviction.hpp"
 #include "decide/client_sequence_numbers.hpp"
 #include "decide/close_guard.hpp"
 #include "decide/resource_limits.hpp"
--- a/tests/decide/client_eviction_test.cpp
+++ b/tests/decide/client_eviction_test.cpp
@@ -1,12 +1,12 @@
 // Timeouts of client connections, and which one is evicted for another.
+#include "decide/client_eviction.hpp"
+
 #include <gtest/gtest.h>
 
 #include <algorithm>
 #include <optional>
 #include <vector>
 
-#include "decide/resource_limits.hpp"
-
 namespace gatetiller::decide {
 namespace {
 
