--- a/src/decide/attempt_end.cpp
+++ b/src/decide/attempt_end.cpp
@@ -1,43 +1,68 @@
 #include "decide/attempt_end.hpp"
 
-#include <array>
-
 namespace gatetiller::decide {
+namespace {
+
+constexpr int kTooManyRequests = 429;
+constexpr int kServiceUnavailable = 503;
+
+AttemptVerdict classify_status(int status) {
+    if (status == kTooManyRequests || status == kServiceUnavailable)
+        return {AttemptOutcome::rejected, false};
+    // A statement that an engine finds malformed (400, 404, 413 ...) is malformed for every engine.
+    const bool is_client_error = status >= 400 && status < 500;
+    return {AttemptOutcome::failed, is_client_error};
+}
+
+AttemptVerdict classify_document(const AttemptEnd& end) {
+    if (!end.has_error || end.error_type == "USER_ERROR")
+        return {AttemptOutcome::succeeded, true};
+    if (end.error_name == "QUERY_QUEUE_FULL" && !end.has_executed)
+        return {AttemptOutcome::rejected, false};
+    return {AttemptOutcome::failed, false};
+}
+
+}  // namespace
 
 const char* name_of(AttemptOutcome outcome) {
-    constexpr std::array kNames = {"done",         "err",        "busy",      "etimedout",
-                                   "econnrefused", "econnreset", "ecanceled", "skipped"};
-    return kNames[static_cast<std::size_t>(outcome)];
+    switch (outcome) {
+        case AttemptOutcome::succeeded:
+            return "done";
+        case AttemptOutcome::failed:
+            return "err";
+        case AttemptOutcome::rejected:
+            return "busy";
+        case AttemptOutcome::timed_out:
+            return "etimedout";
+        case AttemptOutcome::connection_refused:
+            return "econnrefused";
+        case AttemptOutcome::connection_reset:
+            return "econnreset";
+        case AttemptOutcome::cancelled:
+            return "ecanceled";
+        case AttemptOutcome::not_sent:
+            return "skipped";
+    }
+    return "unknown";
 }
 
 AttemptVerdict classify_attempt_end(const AttemptEnd& end) {
-    using How = AttemptEnd::Kind;
     switch (end.kind) {
-        case How::not_sent:
-        case How::connect_timeout:
+        case AttemptEnd::Kind::not_sent:
+        case AttemptEnd::Kind::connect_timeout:
             return {AttemptOutcome::connection_refused, false};
-        case How::local_resource_exhausted:
+        case AttemptEnd::Kind::local_resource_exhausted:
             return {AttemptOutcome::not_sent, false};
-        case How::connection_lost:
+        case AttemptEnd::Kind::connection_lost:
             return {AttemptOutcome::connection_reset, false};
-        case How::timed_out:
+        case AttemptEnd::Kind::timed_out:
             return {AttemptOutcome::timed_out, false};
-        case How::rejected:
-            // A statement that is malformed in the engine's eyes (400, 401, 403, 404, 405, 413 ...) was never
-            // run.
-            if (end.status == 429 || end.status == 503)
-                return {AttemptOutcome::rejected, false};
-            return {AttemptOutcome::failed, end.status >= 400 && end.status < 500};
-        case How::answered:
+        case AttemptEnd::Kind::rejected:
+            return classify_status(end.status);
+        case AttemptEnd::Kind::answered:
             break;
     }
-    if (!end.has_error)
-        return {AttemptOutcome::succeeded, true};
-    if (end.error_type == "USER_ERROR")
-        return {AttemptOutcome::succeeded, true};
-    if (end.error_name == "QUERY_QUEUE_FULL" && !end.has_executed)
-        return {AttemptOutcome::rejected, false};
-    return {AttemptOutcome::failed, false};
+    return classify_document(end);
 }
 
 }  // namespace gatetiller::decide
--- a/src/decide/attempt_end.hpp
+++ b/src/decide/attempt_end.hpp
@@ -1,5 +1,13 @@
-// How an attempt's end counts: what the module is told of it, and whether the engine's answer is the
-// client's.
+// Classification of an attempt's end: the outcome for the policy, and whether the engine's document is the
+// client's response.
+//
+// The outcome decides whether a statement may be executed twice, so an attempt counts as not executed only
+// where the protocol proves it:
+// - A POST that is answered with 429 or 503 in place of a document was rejected before the engine accepted
+// it;
+//   clients resend the statement on these. Any other status may come from an intermediary.
+// - An error QUERY_QUEUE_FULL of a statement of which no document showed execution: rejected in the queue.
+// - SERVER_SHUTTING_DOWN proves nothing: a drain whose time is over ends running statements with it.
 #pragma once
 
 #include <string>
@@ -8,42 +16,45 @@
 
 namespace gatetiller::decide {
 
-const char* name_of(AttemptOutcome outcome);  // for logs and metrics
+// The outcome's name in logs and metrics.
+const char* name_of(AttemptOutcome outcome);
 
+// How an attempt ended.
 struct AttemptEnd {
-    // lacked_here: not sent either, for want of something at this machine; the engine is not to blame.
     enum class Kind {
+        // The engine's last document arrived.
         answered,
+        // The connection could not be established.
         not_sent,
+        // The connection was not established in time.
         connect_timeout,
+        // This machine lacked a resource, such as a descriptor, to send it; no fault of the engine.
         local_resource_exhausted,
+        // The engine answered with a status in place of a document.
         rejected,
+        // The connection broke after the statement was sent.
         connection_lost,
+        // No answer arrived in time.
         timed_out
     };
     Kind kind = Kind::answered;
-    int status = 0;          // turned away: the status in place of a document
-    bool has_error = false;  // answered: the document holds an error
-    std::string error_type, error_name;
-    bool has_executed = false;  // some document of the attempt told of work, a running state or rows
+    // For `rejected`: the HTTP status.
+    int status = 0;
+    // For `answered`: the document has an error, of this type and name.
+    bool has_error = false;
+    std::string error_type;
+    std::string error_name;
+    // Some document of the attempt showed work, a running state or rows.
+    bool has_executed = false;
 };
 
 struct AttemptVerdict {
     AttemptOutcome outcome = AttemptOutcome::succeeded;
-    // The engine's document is the client's answer: rows, or an error that is the statement's own fault and
-    // would come again on every engine.
+    // The engine's document is the client's response: rows, or an error of the statement itself that every
+    // engine would return.
     bool for_client = false;
 };
 
-// Which outcomes prove that an attempt never ran decides whether a statement may have its effect twice, so in
-// doubt it may have run:
-// - A POST answered 429 or 503 in place of a document was turned away before the engine took it, as the
-// protocol
-//   has it: clients send the same statement again on these. Any other status may come from something in
-//   between.
-// - An error QUERY_QUEUE_FULL of a statement of which no document told of running: refused in the engine's
-// queue.
-// - SERVER_SHUTTING_DOWN proves nothing: a drain that ran out of patience ends statements with it.
 AttemptVerdict classify_attempt_end(const AttemptEnd& end);
 
 }  // namespace gatetiller::decide
--- a/src/decide/client_request.cpp
+++ b/src/decide/client_request.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <cmath>
+#include <cstdint>
 #include <utility>
 
 #include "base/text.hpp"
@@ -9,103 +10,173 @@
 namespace gatetiller::decide {
 namespace {
 
-constexpr std::size_t kIdDigits = 16, kTokenDigits = 32;
-constexpr double kCostMostMs = 1e8, kMemoryMostMb = 1e7;
+constexpr std::size_t kIdDigits = 16;
+constexpr std::size_t kIdempotencyKeyDigits = 32;
+constexpr double kMaxWorkMs = 1e8;
+constexpr double kMaxMemoryMb = 1e7;
+// A client's timeout may exceed the deadline of its class by so much.
+constexpr std::int64_t kTimeoutToleranceMs = 1000;
+// Of an invalid value, as an error shows it.
+constexpr std::size_t kMaxShownBytes = 40;
 
-bool hex(std::string_view text, std::size_t digits) {
+bool is_hex(std::string_view text, std::size_t digits) {
     return text.size() == digits && std::all_of(text.begin(), text.end(), [](char c) {
                return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'f');
            });
 }
 
-// Valid UTF-8 without NUL: overlong forms, surrogates and what lies beyond the last code point are not.
-bool text_only(std::string_view text) {
-    for (std::size_t at = 0; at < text.size();) {
-        const auto c = static_cast<unsigned char>(text[at]);
-        if (c == 0)
-            return false;
-        const std::size_t more = c < 0x80                ? 0
-                                 : c >= 0xc2 && c < 0xe0 ? 1
-                                 : c >= 0xe0 && c < 0xf0 ? 2
-                                 : c >= 0xf0 && c < 0xf5 ? 3
-                                                         : 9;
-        if (more == 9 || text.size() - at <= more)
-            return false;
-        std::uint32_t code = more == 0 ? c : c & (0x3fu >> more);
-        for (std::size_t i = 1; i <= more; ++i) {
-            const auto next = static_cast<unsigned char>(text[at + i]);
-            if ((next & 0xc0) != 0x80)
-                return false;
-            code = code << 6 | (next & 0x3f);
-        }
-        if ((more == 2 && (code < 0x800 || (code >= 0xd800 && code < 0xe000))) ||
-            (more == 3 && (code < 0x10000 || code > 0x10ffff)))
+// The number of continuation bytes after the first byte of a UTF-8 sequence; nothing where no sequence begins
+// so.
+std::optional<std::size_t> continuation_bytes(unsigned char first) {
+    if (first < 0x80)
+        return 0;
+    if (first >= 0xc2 && first < 0xe0)
+        return 1;
+    if (first >= 0xe0 && first < 0xf0)
+        return 2;
+    if (first >= 0xf0 && first < 0xf5)
+        return 3;
+    return std::nullopt;
+}
+
+// Whether a code point needs as many bytes as it was encoded in, is no surrogate, and exists.
+bool is_valid_code_point(std::uint32_t code, std::size_t continuations) {
+    if (continuations == 2)
+        return code >= 0x800 && (code < 0xd800 || code >= 0xe000);
+    if (continuations == 3)
+        return code >= 0x10000 && code <= 0x10ffff;
+    return true;
+}
+
+// The length of the valid UTF-8 sequence that `text` begins with; 0 where there is none or it is NUL.
+std::size_t sequence_length(std::string_view text) {
+    const auto first = static_cast<unsigned char>(text.front());
+    const auto continuations = continuation_bytes(first);
+    if (first == 0 || !continuations || text.size() <= *continuations)
+        return 0;
+    std::uint32_t code = *continuations == 0 ? first : first & (0x3fu >> *continuations);
+    for (std::size_t i = 1; i <= *continuations; ++i) {
+        const auto next = static_cast<unsigned char>(text[i]);
+        if ((next & 0xc0) != 0x80)
+            return 0;
+        code = code << 6 | (next & 0x3fu);
+    }
+    return is_valid_code_point(code, *continuations) ? *continuations + 1 : 0;
+}
+
+bool is_utf8_without_nul(std::string_view text) {
+    while (!text.empty()) {
+        const std::size_t length = sequence_length(text);
+        if (length == 0)
             return false;
-        at += more + 1;
+        text.remove_prefix(length);
     }
     return true;
 }
 
+// The fields of one request.
+class RequestFields {
+public:
+    explicit RequestFields(const std::map<std::string, std::string>& fields) : fields_(fields) {}
+
+    std::optional<std::string_view> find(const char* name) const {
+        const auto found = fields_.find(name);
+        return found == fields_.end() ? std::nullopt : std::optional<std::string_view>(found->second);
+    }
+    std::string_view value_or_empty(const char* name) const {
+        return find(name).value_or("");
+    }
+    // An error that names the field, its valid form and the value.
+    Error invalid(const char* name, const char* valid_form) const {
+        std::string shown(find(name).value_or("missing").substr(0, kMaxShownBytes));
+        std::replace_if(
+            shown.begin(), shown.end(),
+            [](char c) {
+                return c < ' ' || c > '~';
+            },
+            '?');
+        return Error{std::string(name) + ": " + valid_form + ", not '" + shown + "'"};
+    }
+
+private:
+    const std::map<std::string, std::string>& fields_;
+};
+
+// A number from 0 to `max`; 0 where the field is missing, nothing where it is invalid.
+std::optional<double> read_estimate(const RequestFields& fields, const char* name, double max) {
+    const auto text = fields.find(name);
+    if (!text)
+        return 0;
+    const auto value = to_number<double>(*text);
+    if (!value || !std::isfinite(*value) || *value < 0 || *value > max)
+        return std::nullopt;
+    return value;
+}
+
+const ClassSettings* find_class(const PolicySettings& settings, std::string_view name) {
+    const auto found =
+        std::find_if(settings.classes.begin(), settings.classes.end(), [&](const ClassSettings& cls) {
+            return cls.name == name;
+        });
+    return found == settings.classes.end() ? nullptr : &*found;
+}
+
+bool is_tenant(const PolicySettings& settings, std::string_view name) {
+    if (settings.tenants.empty())
+        return name.empty();
+    return std::any_of(settings.tenants.begin(), settings.tenants.end(), [&](const TenantSettings& tenant) {
+        return tenant.name == name;
+    });
+}
+
+bool is_valid_key(std::string_view key, const ClassSettings& cls) {
+    const bool optional = cls.idempotency != Idempotency::keyed;
+    return (key.empty() && optional) || is_hex(key, kIdempotencyKeyDigits);
+}
+
+Result<ClientRequest> check_fields(const RequestFields& fields, const PolicySettings& settings) {
+    ClientRequest request;
+    request.id = fields.value_or_empty("trace");
+    if (!is_hex(request.id, kIdDigits))
+        return fields.invalid("trace", "16 hex digits");
+    request.cls = find_class(settings, fields.value_or_empty("route"));
+    if (request.cls == nullptr)
+        return fields.invalid("route", "a class of the settings");
+    request.tenant = fields.value_or_empty("customer");
+    if (!is_tenant(settings, request.tenant))
+        return fields.invalid("customer", "a tenant of the settings");
+    const auto timeout_ms = to_number<std::int64_t>(fields.value_or_empty("patience"));
+    if (!timeout_ms || *timeout_ms <= 0 ||
+        *timeout_ms > request.cls->deadline / kMillisecond + kTimeoutToleranceMs)
+        return fields.invalid("patience", "milliseconds, at most the deadline of the class");
+    request.client_timeout = *timeout_ms * kMillisecond;
+    const auto work_ms = read_estimate(fields, "weight", kMaxWorkMs);
+    if (!work_ms)
+        return fields.invalid("weight", "milliseconds of work");
+    if (*work_ms > 0)
+        request.estimated_work = static_cast<Micros>(*work_ms * kMillisecond);
+    const auto memory_mb = read_estimate(fields, "heap_mb", kMaxMemoryMb);
+    if (!memory_mb)
+        return fields.invalid("heap_mb", "megabytes");
+    request.estimated_memory_mb = *memory_mb;
+    request.idempotency_key = fields.value_or_empty("nonce");
+    if (!is_valid_key(request.idempotency_key, *request.cls))
+        return fields.invalid("nonce", "32 hex digits");
+    return request;
+}
+
 }  // namespace
 
 Result<ClientRequest> check_request(const std::map<std::string, std::string>& fields, std::string_view body,
                                     const PolicySettings& settings) {
-    const auto field = [&](const char* name) -> std::optional<std::string_view> {
-        const auto found = fields.find(name);
-        return found == fields.end() ? std::nullopt : std::optional<std::string_view>(found->second);
-    };
-    const auto wrong = [&](const char* name, const char* right) {
-        std::string shown(field(name).value_or("missing").substr(0, 40));
-        for (char& c : shown)
-            if (c < ' ' || c > '~')
-                c = '?';
-        return Error{std::string(name) + ": " + right + ", not '" + shown + "'"};
-    };
-    ClientRequest r;
-    r.id = field("trace").value_or("");
-    if (!hex(r.id, kIdDigits))
-        return wrong("trace", "16 hex digits");
-    const auto route = field("route").value_or("");
-    const auto cls =
-        std::find_if(settings.classes.begin(), settings.classes.end(), [&](const ClassSettings& c) {
-            return c.name == route;
-        });
-    if (cls == settings.classes.end())
-        return wrong("route", "a class of the settings");
-    r.cls = &*cls;
-    r.tenant = field("customer").value_or("");
-    const auto is_tenant = [&](const TenantSettings& t) {
-        return t.name == r.tenant;
-    };
-    if (settings.tenants.empty() ? !r.tenant.empty()
-                                 : std::none_of(settings.tenants.begin(), settings.tenants.end(), is_tenant))
-        return wrong("customer", "a tenant of the settings");
-    const auto patience = to_number<std::int64_t>(field("patience").value_or(""));
-    if (!patience || *patience <= 0 || *patience > cls->deadline / kMillisecond + 1000)
-        return wrong("patience", "milliseconds, at most the deadline of the class");
-    r.client_timeout = *patience * kMillisecond;
-    if (const auto cost = field("weight")) {
-        const auto ms = to_number<double>(*cost);
-        if (!ms || !std::isfinite(*ms) || *ms < 0 || *ms > kCostMostMs)
-            return wrong("weight", "milliseconds of work");
-        if (*ms > 0)
-            r.estimated_work = static_cast<Micros>(*ms * kMillisecond);
-    }
-    if (const auto memory = field("heap_mb")) {
-        const auto mb = to_number<double>(*memory);
-        if (!mb || !std::isfinite(*mb) || *mb < 0 || *mb > kMemoryMostMb)
-            return wrong("heap_mb", "megabytes");
-        r.estimated_memory_mb = *mb;
-    }
-    r.idempotency_key = field("nonce").value_or("");
-    if (!(r.idempotency_key.empty() && cls->idempotency != Idempotency::keyed) &&
-        !hex(r.idempotency_key, kTokenDigits))
-        return wrong("nonce", "32 hex digits");
+    auto request = check_fields(RequestFields(fields), settings);
+    if (!request)
+        return request;
     if (body.empty() || body.size() > kMaxStatementBytes)
         return Error{"a statement of 1 to " + std::to_string(kMaxStatementBytes) + " bytes is needed"};
-    if (!text_only(body))
+    if (!is_utf8_without_nul(body))
         return Error{"the statement is not UTF-8 text"};
-    return r;
+    return request;
 }
 
 bool is_complete_rows(std::string_view text, int columns) {
@@ -114,13 +185,14 @@
         if (c == '\t') {
             ++tabs;
         } else if (c == '\n') {
-            if (std::exchange(tabs, 0) != columns - 1)
+            if (tabs != columns - 1)
                 return false;
+            tabs = 0;
         } else if (static_cast<unsigned char>(c) < ' ') {
             return false;
         }
     }
-    return tabs == 0 && (text.empty() || text.back() == '\n') && text_only(text);
+    return tabs == 0 && (text.empty() || text.back() == '\n') && is_utf8_without_nul(text);
 }
 
 }  // namespace gatetiller::decide
--- a/src/decide/graceful_shutdown.hpp
+++ b/src/decide/graceful_shutdown.hpp
@@ -7,8 +7,8 @@
 
 namespace gatetiller::decide {
 
-// Microseconds since the signal for the shutdown. Invariant: admit_until <= listen_until <=
-// final_responses_at < exit_at.
+// Microseconds since the signal for the shutdown. Invariant, for a longest deadline over 150 ms: admit_until
+// <= listen_until <= final_responses_at < exit_at.
 struct ShutdownSchedule {
     // New requests are admitted, as clients learn of the shutdown with a delay.
     Micros admit_until = 700 * kMillisecond;
--- a/src/decide/progress_reporter.cpp
+++ b/src/decide/progress_reporter.cpp
@@ -1,26 +1,42 @@
 #include "decide/progress_reporter.hpp"
 
 namespace gatetiller::decide {
+namespace {
 
-std::vector<ProgressUpdate> ProgressReporter::observe(Micros now, const QueryStats& seen) {
-    constexpr double kMega = 1048576.0, kForMemory = 1, kForLoad = 2;
-    std::vector<ProgressUpdate> told;
-    if (seen.spilled_bytes > spilled_) {
-        spilled_ = seen.spilled_bytes;
-        told.push_back({ProgressKind::spilling, static_cast<double>(spilled_) / kMega});
+constexpr double kBytesPerMebibyte = 1048576.0;
+// Values of ProgressKind::waiting.
+constexpr double kWaitsForNothing = 0;
+constexpr double kWaitsForMemory = 1;
+constexpr double kWaitsForData = 2;
+
+double waits_for(const QueryStats& stats) {
+    if (stats.queued)
+        return kWaitsForMemory;
+    if (stats.scheduled && stats.running_splits == 0 && stats.queued_splits > 0)
+        return kWaitsForData;
+    return kWaitsForNothing;
+}
+
+}  // namespace
+
+std::vector<ProgressUpdate> ProgressReporter::observe(Micros now, const QueryStats& stats) {
+    std::vector<ProgressUpdate> updates;
+    if (stats.spilled_bytes > spilled_bytes_) {
+        spilled_bytes_ = stats.spilled_bytes;
+        updates.push_back({ProgressKind::spilling, static_cast<double>(spilled_bytes_) / kBytesPerMebibyte});
     }
-    const double waits = seen.queued                                                            ? kForMemory
-                         : seen.scheduled && seen.running_splits == 0 && seen.queued_splits > 0 ? kForLoad
-                                                                                                : 0;
-    if (waits != 0) {
-        if (waits != waiting_for_ || now - waits_at_ >= period_)
-            told.push_back({ProgressKind::waiting, waits}), waits_at_ = now;
-    } else if (now - progress_at_ >= period_) {
-        told.push_back({ProgressKind::fraction_done, seen.progress / 100});
-        progress_at_ = now;
+    const double waiting_for = waits_for(stats);
+    if (waiting_for != kWaitsForNothing) {
+        if (waiting_for != waiting_for_ || now - waiting_reported_at_ >= period_) {
+            updates.push_back({ProgressKind::waiting, waiting_for});
+            waiting_reported_at_ = now;
+        }
+    } else if (now - progress_reported_at_ >= period_) {
+        updates.push_back({ProgressKind::fraction_done, stats.progress / 100});
+        progress_reported_at_ = now;
     }
-    waiting_for_ = waits;
-    return told;
+    waiting_for_ = waiting_for;
+    return updates;
 }
 
 }  // namespace gatetiller::decide
--- a/src/decide/progress_reporter.hpp
+++ b/src/decide/progress_reporter.hpp
@@ -1,37 +1,53 @@
-// What an engine's documents tell of a running attempt, in the module's words and at the module's pace.
+// Turns the statistics in an engine's documents into progress updates for the policy, at a limited rate.
+//
+// The policy extrapolates an attempt's end from its progress per update and expects one update a period: more
+// frequent updates would make a query that has just begun look as if it never ended. So progress is reported
+// once a period, the first one a period after the attempt's start. Two facts are reported as soon as they are
+// seen: that the attempt spills (each time the spilled bytes grow), and that it waits (when it begins to wait
+// or waits for something else, and then once a period). Times are microseconds of one monotonic clock.
 #pragma once
 
+#include <cstdint>
 #include <vector>
 
 #include "policy/gateway_policy.hpp"
 
 namespace gatetiller::decide {
 
-struct QueryStats {       // of one document's stats
-    double progress = 0;  // per cent
-    bool queued = false, scheduled = false;
-    std::int64_t queued_splits = 0, running_splits = 0, spilled_bytes = 0;
+// The statistics of one document.
+struct QueryStats {
+    // Per cent.
+    double progress = 0;
+    // The engine has the query in its queue: it waits for memory.
+    bool queued = false;
+    // The query is scheduled; with queued and without running splits it waits for data to be loaded.
+    bool scheduled = false;
+    std::int64_t queued_splits = 0;
+    std::int64_t running_splits = 0;
+    std::int64_t spilled_bytes = 0;
 };
 
+// One update for the policy. `value`: for spilling MiB, for waiting 1 (memory) or 2 (data), for fraction_done
+// a fraction from 0 to 1.
 struct ProgressUpdate {
     ProgressKind kind;
     double value;
 };
 
-// One attempt's notes. The module judges an attempt by its progress at a known pace: told more often, a short
-// query that has only begun looks as if it would never end and is called off. So progress is told once a
-// period, from the attempt's start on. What is news goes out at once, each a first time and then once a
-// period: that it spills (MB written, once more than before), that it waits for memory (the engine queues it)
-// or for a load (scheduled, none of its splits runs).
+// Reports the progress of one attempt.
 class ProgressReporter {
 public:
-    ProgressReporter(Micros started, Micros period)
-        : period_(period), progress_at_(started), waits_at_(started - period) {}
-    std::vector<ProgressUpdate> observe(Micros now, const QueryStats& seen);
+    ProgressReporter(Micros started_at, Micros period)
+        : period_(period), progress_reported_at_(started_at), waiting_reported_at_(started_at - period) {}
+    // The updates to report for a document that arrived at `now`.
+    std::vector<ProgressUpdate> observe(Micros now, const QueryStats& stats);
 
 private:
-    Micros period_, progress_at_, waits_at_;
-    std::int64_t spilled_ = 0;
+    Micros period_;
+    Micros progress_reported_at_;
+    Micros waiting_reported_at_;
+    std::int64_t spilled_bytes_ = 0;
+    // The value of the last document: what the attempt waits for, 0 for nothing.
     double waiting_for_ = 0;
 };
 
--- a/src/decide/request_lifecycle.cpp
+++ b/src/decide/request_lifecycle.cpp
@@ -2,15 +2,15 @@
 
 namespace gatetiller::decide {
 
-bool RequestLifecycle::allows(RequestEvent h) const {
-    switch (h) {
+bool RequestLifecycle::allows(RequestEvent event) const {
+    switch (event) {
         case RequestEvent::attempt_started:
-            return phase_ == RequestPhase::queued && !out_;
-        // An answer that is whole at the front is given page by page: its first rows change nothing any more.
+            return phase_ == RequestPhase::queued && !attempt_in_flight_;
+        // Once a complete response is available, its first rows no longer change the phase.
         case RequestEvent::streaming_started:
             return phase_ == RequestPhase::attempting;
         case RequestEvent::attempt_ended:
-            return out_;
+            return attempt_in_flight_;
         case RequestEvent::response_ready:
             return phase_ == RequestPhase::queued || phase_ == RequestPhase::attempting ||
                    phase_ == RequestPhase::streaming;
@@ -22,19 +22,20 @@
     return false;
 }
 
-bool RequestLifecycle::apply(RequestEvent h) {
-    if (!allows(h))
+bool RequestLifecycle::apply(RequestEvent event) {
+    if (!allows(event))
         return false;
-    switch (h) {
+    switch (event) {
         case RequestEvent::attempt_started:
-            phase_ = RequestPhase::attempting, out_ = true;
+            phase_ = RequestPhase::attempting;
+            attempt_in_flight_ = true;
             break;
         case RequestEvent::streaming_started:
             phase_ = RequestPhase::streaming;
             break;
         case RequestEvent::attempt_ended:
-            out_ = false;
-            // Where rows have gone out only an answer can follow: the front's own, that they are not whole.
+            attempt_in_flight_ = false;
+            // After streaming only a final response can follow: an error that the rows are incomplete.
             if (phase_ == RequestPhase::attempting)
                 phase_ = RequestPhase::queued;
             break;
--- a/src/decide/request_lifecycle.hpp
+++ b/src/decide/request_lifecycle.hpp
@@ -1,6 +1,9 @@
-// The life of one statement at a front, from its taking to the moment nothing of it is left: one small state
-// machine, so that what may happen when stands in one place. The module decides what is done; this keeps the
-// doing straight.
+// The state machine of one request at a gateway, from admission until all of its state can be released.
+//
+// The policy decides what is done; this machine refuses events that are not possible in the present phase.
+//
+// Invariants: at most one attempt is in flight; no attempt starts after rows were streamed to the client or
+// after the final response; there is at most one final response, and the request is closed once.
 #pragma once
 
 #include <cstdint>
@@ -8,20 +11,31 @@
 namespace gatetiller::decide {
 
 enum class RequestPhase : std::uint8_t {
-    queued,      // no attempt is out: the module holds it
-    attempting,  // an attempt is out, no row has gone to the client
-    streaming,   // rows have gone to the client, the attempt is still out: nothing is tried again
-    answered,    // the final document waits for the client
-    closed,      // the client has its final document, or has left
+    // No attempt is in flight, the policy has the request queued.
+    queued,
+    // An attempt is in flight, no row was sent to the client.
+    attempting,
+    // Rows were sent to the client, so that no further attempt is possible.
+    streaming,
+    // The final response is available to the client.
+    answered,
+    // The client has the final response, or has disconnected.
+    closed,
 };
 
 enum class RequestEvent : std::uint8_t {
-    attempt_started,      // an attempt went out
-    streaming_started,    // a document with rows goes to the client for the first time
-    attempt_ended,        // the attempt ended without an answer for the client
-    response_ready,       // the final document is at hand: an engine's, or this front's own
-    response_delivered,   // the client got it
-    client_disconnected,  // the client cancelled, or stopped asking
+    // An attempt was sent.
+    attempt_started,
+    // The first rows were sent to the client.
+    streaming_started,
+    // The attempt ended without a response for the client.
+    attempt_ended,
+    // The final response is available: an engine's or this gateway's own.
+    response_ready,
+    // The client received the final response.
+    response_delivered,
+    // The client cancelled the request or stopped polling for it.
+    client_disconnected,
 };
 
 class RequestLifecycle {
@@ -29,23 +43,27 @@
     RequestPhase phase() const {
         return phase_;
     }
-    // Whether it may happen now. What may not is passed over by take(), which says so.
-    bool allows(RequestEvent h) const;
-    bool apply(RequestEvent h);
+    // Whether `event` is possible now.
+    bool allows(RequestEvent event) const;
+    // Applies `event`. False, without a change, where it is not possible now.
+    bool apply(RequestEvent event);
 
+    // Whether an attempt is in flight. May be so after the final response, where it could not be cancelled.
     bool attempt_in_flight() const {
-        return out_;
-    }  // an attempt is out; may be so after the end, where it can't be called off
+        return attempt_in_flight_;
+    }
+    // Whether the request has its final response or is closed.
     bool finished() const {
         return phase_ == RequestPhase::answered || phase_ == RequestPhase::closed;
     }
+    // Whether the request's state can be released.
     bool releasable() const {
-        return phase_ == RequestPhase::closed && !out_;
+        return phase_ == RequestPhase::closed && !attempt_in_flight_;
     }
 
 private:
     RequestPhase phase_ = RequestPhase::queued;
-    bool out_ = false;
+    bool attempt_in_flight_ = false;
 };
 
 }  // namespace gatetiller::decide
