--- a/src/node/fault_injection.hpp
+++ b/src/node/fault_injection.hpp
@@ -5,8 +5,8 @@
 
 #include <cstddef>
 
+#include "decide/client_eviction.hpp"
 #include "decide/readiness_guard.hpp"
-#include "decide/resource_limits.hpp"
 #include "discovery/dns_endpoint_source.hpp"
 #include "policy/gateway_policy.hpp"
 
