--- a/src/node/client_sessions.hpp
+++ b/src/node/client_sessions.hpp
@@ -16,6 +16,7 @@
 #include <unordered_map>
 #include <utility>
 
+#include "decide/client_eviction.hpp"
 #include "decide/client_sequence_numbers.hpp"
 #include "decide/close_guard.hpp"
 #include "decide/resource_limits.hpp"
