--- a/src/policy/active_request.hpp
+++ b/src/policy/active_request.hpp
@@ -70,7 +70,7 @@
     bool in_key_order = false;  // waits or runs in its ordering key's line
     Micros not_before = 0;      // no attempt earlier
     std::vector<Attempt> attempts;
-    double projected_run = 0;              // run time that the notes of its cancelled attempt told
+    double projected_run = 0;              // run time projected by the notes of its cancelled attempt
     int first_endpoint = -1;               // of the first attempt that may have executed; -1: none may have
     Micros first_attempt_at = 0;           // when that one was dispatched
     int priority = -1;                     // last one granted; -1: none
--- a/src/policy/concurrency_limit.cpp
+++ b/src/policy/concurrency_limit.cpp
@@ -41,10 +41,11 @@
     if (endpoint.health.pauses(input.class_index, now))
         return RoomVerdict::paused;
     // Work that no gateway counts any more runs on there, left by timeouts or by a gateway that is gone.
-    if (fleet.queries_at(endpoint, usual, now) * usual.threads > kOverloadThreadsPerCore * endpoint.cores)
+    const double queries = fleet.queries_at(endpoint, usual, now);
+    if (queries * usual.threads > kOverloadThreadsPerCore * endpoint.cores)
         return RoomVerdict::overloaded;
     // Without recent reports the others' queries are a guess, which must not fill memory.
-    const double others = fleet.other_queries_at(endpoint, usual, now);
+    const double others = fleet.other_queries(endpoint, queries);
     const double used_mb =
         endpoint.expected_mb +
         (fleet.has_recent_report(now) ? kCountedMemoryShare * others * usual.memory_mb : 0);
--- a/src/policy/endpoint_selection.cpp
+++ b/src/policy/endpoint_selection.cpp
@@ -79,7 +79,7 @@
 
 }  // namespace
 
-// While nothing has told its work, a query may take as long as its objective: a gateway that has just started
+// While its work is not known, a query may take as long as its objective: a gateway that has just started
 // must not overload an endpoint by a guess, by its first answers, which are those of the shortest queries, or
 // by the mean of a few estimates, which is mostly too low. Later it counts halfway between its own estimate
 // and the usual work: estimates err, and those that look short mostly towards too little.
@@ -124,7 +124,8 @@
             work += left / attempt.threads * endpoint.cores;
     }
     const UsualQuery& usual = input.statistics.usual();
-    work += input.fleet.other_queries_at(endpoint, usual, input.now) * usual.work;
+    work +=
+        input.fleet.other_queries(endpoint, input.fleet.queries_at(endpoint, usual, input.now)) * usual.work;
     const double capacity =
         endpoint.cores * warm_capacity_share(input.settings, endpoint.description.started_at, input.now);
     const double slowdown = std::max(1.0, endpoint.slowdown / input.fleet.usual_slowdown());
--- a/src/policy/fleet.cpp
+++ b/src/policy/fleet.cpp
@@ -113,10 +113,8 @@
     return reported + (fleet_mean - reported) * std::min(1.0, age / lifetime);
 }
 
-double Fleet::other_queries_at(const EndpointStatus& endpoint, const UsualQuery& usual, Micros now) const {
-    if (settings_->instance_count < 2)
-        return 0;
-    return std::max(0.0, queries_at(endpoint, usual, now) - endpoint.open_at_report);
+double Fleet::other_queries(const EndpointStatus& endpoint, double queries) const {
+    return settings_->instance_count < 2 ? 0 : std::max(0.0, queries - endpoint.open_at_report);
 }
 
 bool Fleet::under_pressure(const EndpointStatus& endpoint, Micros now) {
--- a/src/policy/fleet.hpp
+++ b/src/policy/fleet.hpp
@@ -89,8 +89,8 @@
 
     // Queries on an endpoint of all gateways, as its last report and the fleet's mean tell.
     double queries_at(const EndpointStatus& endpoint, const UsualQuery& usual, Micros now) const;
-    // And those of other gateways.
-    double other_queries_at(const EndpointStatus& endpoint, const UsualQuery& usual, Micros now) const;
+    // Those of other gateways, of `queries` on it in all.
+    double other_queries(const EndpointStatus& endpoint, double queries) const;
     // Whether an endpoint is slow or reports that it is busy.
     static bool under_pressure(const EndpointStatus& endpoint, Micros now);
     // Whether an endpoint's recent report tells of no load that would explain a rejection.
--- a/src/policy/workload_statistics.cpp
+++ b/src/policy/workload_statistics.cpp
@@ -13,10 +13,10 @@
 constexpr double kSensitiveHysteresis = 0.1;  // of that limit, to be passed before a class changes side
 constexpr double kUncontendedShare = 0.3;     // of the lowest latencies, which hold little contention
 constexpr double kUnknownAnswers = 3;         // so many answers don't replace a guessed work yet
-constexpr double kCalmAnswers = 10;           // answers before a calm run time counts, where work isn't told
-constexpr double kCalmGrowth = 1.002;         // a second; doubles in about six minutes
-constexpr double kLargestRunRatio = 3;        // over the usual one, for one answer
-constexpr double kLowestCostRatio = 0.05;     // true cost over estimate
+constexpr double kCalmAnswers = 10;        // answers before a calm run time counts, where work isn't reported
+constexpr double kCalmGrowth = 1.002;      // a second; doubles in about six minutes
+constexpr double kLargestRunRatio = 3;     // over the usual one, for one answer
+constexpr double kLowestCostRatio = 0.05;  // true cost over estimate
 constexpr double kHighestCostRatio = 20;
 
 }  // namespace
@@ -83,23 +83,23 @@
 void WorkloadStatistics::learn_cost(const ActiveRequest& request, const Attempt& attempt,
                                     const AttemptCompleted& completed) {
     ClassStatistics& statistics = classes_[request.class_index];
-    const double told_work = completed.work_ms * kMillisecond;
+    const double reported_work = completed.work_ms * kMillisecond;
     if (learns_memory() && attempt.granted_mb > 0 && !attempt.spilled)
         statistics.memory_ratio *= 1 - kCostStep * kUncontendedShare;
     if (completed.work_ms > 0) {
         if (request.estimated_work > 0)
             smooth(statistics.work_ratio,
-                   std::clamp(told_work / request.estimated_work, kLowestCostRatio, kHighestCostRatio),
+                   std::clamp(reported_work / request.estimated_work, kLowestCostRatio, kHighestCostRatio),
                    kCostStep);
         // The first answer replaces the guess that stood before it.
-        smooth(statistics.work, told_work, std::max(kCostStep, 1 / (statistics.answers + 1)));
+        smooth(statistics.work, reported_work, std::max(kCostStep, 1 / (statistics.answers + 1)));
         if (completed.needed_mb > 0 && request.estimated_memory_mb > 0)
             smooth(statistics.memory_ratio,
                    std::clamp(completed.needed_mb / request.estimated_memory_mb, kLowestCostRatio,
                               kHighestCostRatio),
                    kCostStep);
     } else if (request.estimated_work > 0) {
-        // Work isn't told: the ratio follows a low percentile of thread time over estimate.
+        // Work isn't reported: the ratio follows a low percentile of thread time over estimate.
         const double seen =
             static_cast<double>(completed.duration) * attempt.threads / request.estimated_work;
         statistics.work_ratio *= seen > statistics.work_ratio ? 1 + kCostStep * kUncontendedShare
@@ -112,8 +112,8 @@
 std::optional<double> WorkloadStatistics::learn_run(const ActiveRequest& request, const Attempt& attempt,
                                                     const AttemptCompleted& completed) {
     ClassStatistics& statistics = classes_[request.class_index];
-    const double told_work = completed.work_ms * kMillisecond;
-    const double known_work = told_work > 0 ? told_work : request.estimated_work;
+    const double reported_work = completed.work_ms * kMillisecond;
+    const double known_work = reported_work > 0 ? reported_work : request.estimated_work;
     const double base = known_work > 0
                             ? known_work
                             : static_cast<double>(settings_->classes[request.class_index].latency_objective);
@@ -124,9 +124,10 @@
     smooth(statistics.run_ratio, ratio, std::max(kCostStep, 1 / statistics.answers));
     if (known_work <= 0 && statistics.answers > kUnknownAnswers)
         statistics.work = statistics.run_ratio * base;
-    if (statistics.answers < kCalmAnswers && told_work <= 0)
+    if (statistics.answers < kCalmAnswers && reported_work <= 0)
         return std::nullopt;
-    statistics.calm_run_ratio = told_work > 0 ? 1 : std::min(statistics.calm_run_ratio, statistics.run_ratio);
+    statistics.calm_run_ratio =
+        reported_work > 0 ? 1 : std::min(statistics.calm_run_ratio, statistics.run_ratio);
     return ratio / statistics.calm_run_ratio;
 }
 
--- a/src/policy/workload_statistics.hpp
+++ b/src/policy/workload_statistics.hpp
@@ -28,7 +28,7 @@
     double estimated_work = 0;             // usual estimate; 0: none came
     Micros first_unestimated_at = 0;       // when its first request without an estimate came
     double estimates = 0;                  // that came
-    double answers = 0;                    // that told a run time
+    double answers = 0;                    // with a run time
     double run_ratio = 1;                  // thread time over known work: usual
     double calm_run_ratio = kNoCalmRatio;  // and the least of it, without contention
     bool sensitive = false;                // its usual run time is short
