--- a/tests/policy/fleet_test.cpp
+++ b/tests/policy/fleet_test.cpp
@@ -21,14 +21,14 @@
 }
 // A short query that comes back at once from whatever engine had it, with so many queries reported there.
 void hear(Rig& rig, const std::string& id, double concurrent) {
-    rig.demand(id, "short");
-    ASSERT_FALSE(rig.sends.empty());
-    ASSERT_EQ(rig.sends.back().id, id);
+    rig.arrive(id, "short");
+    ASSERT_FALSE(rig.dispatches.empty());
+    ASSERT_EQ(rig.dispatches.back().id, id);
     AttemptCompleted c;
-    c.id = id, c.engine = rig.sends.back().engine, c.duration = 100'000, c.request_finished = true;
+    c.id = id, c.engine = rig.dispatches.back().engine, c.duration = 100'000, c.request_finished = true;
     c.load_report = LoadReport{};
     c.load_report->running_queries = concurrent;
-    rig.feed(c);
+    rig.handle(c);
 }
 // A front of so many that knows one engine, just started.
 Rig beside_cold(const PolicySettings& s, std::uint64_t seed) {
@@ -36,7 +36,7 @@
     Endpoint cold = engine(1);
     cold.started_at = 1;
     rig.at(1);
-    rig.list({cold});
+    rig.update_endpoints({cold});
     return rig;
 }
 
@@ -44,26 +44,26 @@
 
 TEST(Fleet, WithoutReportsAFrontKeepsToItsPartOfAllEngines) {
     Rig rig(one_of(170));
-    rig.list(fleet(30));  // 240 cores: C comes to 2.8 threads a front
-    rig.demands(20, "l", "long");
-    rig.demands(20, "s", "short");
-    EXPECT_EQ(rig.sends_of('l'), 1);  // one of each side may always be out
-    EXPECT_EQ(rig.sends_of('s'), 1);
+    rig.update_endpoints(fleet(30));  // 240 cores: C comes to 2.8 threads a front
+    rig.arrive_many(20, "l", "long");
+    rig.arrive_many(20, "s", "short");
+    EXPECT_EQ(rig.dispatches_of('l'), 1);  // one of each side may always be out
+    EXPECT_EQ(rig.dispatches_of('s'), 1);
 }
 
 // Long queries asked for ten at a time each second, each answered after so long; how many are out at most.
 int most_out(Micros taken, int seconds = 12) {
     Rig rig(one_of(170));
-    rig.list(fleet(30));
+    rig.update_endpoints(fleet(30));
     int n = 0;
     std::size_t most = 0;
     for (int second = 1; second <= seconds; ++second) {
         while (n < second * 10)
-            rig.demand(nth("l", n++), "long");
+            rig.arrive(nth("l", n++), "long");
         rig.run_until(second * 1'000'000);
-        most = std::max(most, rig.sends.size());
-        for (const DispatchAttempt& send : std::exchange(rig.sends, {}))
-            rig.outcome(send.id, 0, send.engine, AttemptOutcome::succeeded, true, taken);
+        most = std::max(most, rig.dispatches.size());
+        for (const DispatchAttempt& send : std::exchange(rig.dispatches, {}))
+            rig.complete(send.id, 0, send.engine, AttemptOutcome::succeeded, true, taken);
     }
     return static_cast<int>(most);
 }
@@ -79,63 +79,63 @@
 
 TEST(Fleet, ReportsOfRoomLetMorePass) {
     Rig rig(one_of(170));
-    rig.list(fleet(30));
+    rig.update_endpoints(fleet(30));
     for (int i = 0; i < 10; ++i)
         hear(rig, nth("h", i), 2);
-    rig.demands(10, "l", "long");
-    EXPECT_EQ(rig.sends_of('l'), 10);
+    rig.arrive_many(10, "l", "long");
+    EXPECT_EQ(rig.dispatches_of('l'), 10);
 }
 
-TEST(Fleet, BestEffortWaitsWhileReportsTellOfACrowdAndSensitiveGoesOn) {
+TEST(Fleet, BestEffortWaitsWhileReportsShowCongestionAndSensitiveGoesOn) {
     Rig rig(one_of(170));
-    rig.list(fleet(30));
+    rig.update_endpoints(fleet(30));
     for (int i = 0; i < 25; ++i)
         hear(rig, nth("h", i), 19);
-    rig.demand("l", "long");
-    EXPECT_EQ(rig.sends_of('l'), 0);
-    rig.demand("s", "short");
-    EXPECT_EQ(rig.sends_of('s'), 1);
+    rig.arrive("l", "long");
+    EXPECT_EQ(rig.dispatches_of('l'), 0);
+    rig.arrive("s", "short");
+    EXPECT_EQ(rig.dispatches_of('s'), 1);
     rig.run_until(4'000'000, false);  // no report is young any more: one goes out and hears
-    EXPECT_EQ(rig.sends_of('l'), 1);
+    EXPECT_EQ(rig.dispatches_of('l'), 1);
 }
 
 TEST(Fleet, AStuckAttemptDoesNotKeepThePart) {
     PolicySettings s = one_of(170);
     s.can_cancel = false;
     Rig rig(s);
-    rig.list(fleet(30));
-    rig.demand("s0", "short");
+    rig.update_endpoints(fleet(30));
+    rig.arrive("s0", "short");
     for (const char* id : {"s1", "s2", "s3", "s4"})
-        rig.demand(id, "short");
-    const auto before = rig.sends.size();
+        rig.arrive(id, "short");
+    const auto before = rig.dispatches.size();
     rig.run_until(3'000'000, false);
-    EXPECT_GT(rig.sends.size(), before);
+    EXPECT_GT(rig.dispatches.size(), before);
     EXPECT_EQ(rig.cancels.size(), 0u);
 }
 
-TEST(Fleet, AReportOfAJamHoldsAsLongAsWhatItCounts) {
+TEST(Fleet, AReportOfOverloadHoldsAsLongAsWhatItCounts) {
     for (const double held : {60.0, 2.0}) {
         Rig rig(one_of(2));
-        rig.list({engine(1)});
+        rig.update_endpoints({engine(1)});
         for (int i = 0; i < 30; ++i)
             hear(rig, nth("w", i), 2);  // and what a query costs
-        rig.demand("l", "long");
-        rig.outcome("l", 0, 1, AttemptOutcome::succeeded, true, 1'000'000);
+        rig.arrive("l", "long");
+        rig.complete("l", 0, 1, AttemptOutcome::succeeded, true, 1'000'000);
         hear(rig, "h", held);
         rig.run_until(3'200'000, false);
-        const auto before = rig.sends.size();
-        rig.demand("a", "long");
-        EXPECT_EQ(rig.sends.size() - before, held > 50 ? 0u : 1u);
+        const auto before = rig.dispatches.size();
+        rig.arrive("a", "long");
+        EXPECT_EQ(rig.dispatches.size() - before, held > 50 ? 0u : 1u);
     }
 }
 
-TEST(Fleet, MemoryReckonedForOthersBarsNothingWhereNoReportTells) {
+TEST(Fleet, MemoryEstimatedForOthersBarsNothingWithoutReports) {
     PolicySettings s = one_of(4);
     s.kinds = {{"std", 8, 100}};  // four queries fill an engine
     Rig rig(s);
-    rig.list(fleet(2));
-    rig.demand("l", "long");
-    EXPECT_EQ(rig.sends.size(), 1u);
+    rig.update_endpoints(fleet(2));
+    rig.arrive("l", "long");
+    EXPECT_EQ(rig.dispatches.size(), 1u);
 }
 
 TEST(Fleet, ColdEngineStaysInBudgetOverAllFrontsAndIsUsed) {
@@ -149,15 +149,15 @@
         for (int me = 0; me < kFronts; ++me) {
             Rig rig = beside_cold(s, seed * 1000 + static_cast<std::uint64_t>(me));
             const auto take = [&] {
-                while (!rig.sends.empty())  // an answer may free the next
-                    for (const DispatchAttempt& send : std::exchange(rig.sends, {})) {
+                while (!rig.dispatches.empty())  // an answer may free the next
+                    for (const DispatchAttempt& send : std::exchange(rig.dispatches, {})) {
                         window[static_cast<std::size_t>(rig.now / 2'000'000)] += 0.1, all += 0.1;
-                        rig.outcome(send.id, 0, 1, AttemptOutcome::succeeded, true);
+                        rig.complete(send.id, 0, 1, AttemptOutcome::succeeded, true);
                     }
             };
             for (int step = 0; step < 7; ++step) {  // far more is asked for than the engine may get
                 for (int i = 0; i < 3; ++i)
-                    rig.demand(nth("s", step * 3 + i), "short");
+                    rig.arrive(nth("s", step * 3 + i), "short");
                 take();
                 rig.run_until(2'000'000 * (step + 1) - 900'000, false);
                 take();
@@ -169,23 +169,23 @@
     }
 }
 
-TEST(Fleet, ALongQueryDoesNotGoToAColdEngineByLot) {
+TEST(Fleet, ALongQueryDoesNotGoToAColdEngineByDraw) {
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
         Rig rig = beside_cold(one_of(150), seed);
-        rig.demand("l", "long");
+        rig.arrive("l", "long");
         rig.run_until(8'000'000, false);
-        EXPECT_EQ(rig.sends.size(), 0u);
+        EXPECT_EQ(rig.dispatches.size(), 0u);
     }
 }
 
-TEST(Fleet, ProbesStayWithinAShareOfTheRequests) {
+TEST(Fleet, HealthChecksStayWithinAShareOfTheRequests) {
     PolicySettings s = one_of(170);
     s.can_health_check = true;
     s.load_report_source = LoadReportSource::health_checks;
     Rig rig(s);
-    rig.list(fleet(30));
+    rig.update_endpoints(fleet(30));
     for (int i = 0; i < 50; ++i) {
-        rig.demand(nth("s", i), "short");
+        rig.arrive(nth("s", i), "short");
         rig.run_until(300'000 * (i + 1), false);
     }
     int probes = 0;
@@ -204,14 +204,14 @@
             PolicySettings s = one_of(fronts);
             s.kinds = {{"std", 0, 0}};  // nothing told of cores or memory
             Rig rig(s);
-            rig.list(fleet(engines));
-            rig.demands(8, "s", "short");
-            rig.demands(8, "l", "long");
-            rig.list({});  // the list shrinks while work is out
-            for (const DispatchAttempt& send : std::exchange(rig.sends, {}))
-                rig.outcome(send.id, 0, send.engine, AttemptOutcome::connection_reset);
+            rig.update_endpoints(fleet(engines));
+            rig.arrive_many(8, "s", "short");
+            rig.arrive_many(8, "l", "long");
+            rig.update_endpoints({});  // the list shrinks while work is out
+            for (const DispatchAttempt& send : std::exchange(rig.dispatches, {}))
+                rig.complete(send.id, 0, send.engine, AttemptOutcome::connection_reset);
             rig.run_until(25'000'000, false);
-            EXPECT_EQ(rig.refusals.size() + rig.failures.size(), 16u);
+            EXPECT_EQ(rig.sheds.size() + rig.failures.size(), 16u);
         }
 }
 
@@ -225,30 +225,30 @@
         s.slow_start_window = s.overload_window = s.drain_grace = 0;
         s.slow_start_capacity_share = s.overload_factor = 0;
         Rig rig(s);
-        rig.list(fleet(5));
+        rig.update_endpoints(fleet(5));
         std::size_t answered = 0;
         int n = 0;
         for (int jump = 1; jump <= 8; ++jump) {
             for (int i = 0; i < 6; ++i) {
-                rig.feed(unestimated(nth("q", n++), i % 2 ? "short" : "long", 4'000'000));
+                rig.handle(unestimated(nth("q", n++), i % 2 ? "short" : "long", 4'000'000));
             }
-            for (const DispatchAttempt& send : std::exchange(rig.sends, {})) {
-                rig.outcome(send.id, 0, send.engine, AttemptOutcome::succeeded, true, 50'000);
-                rig.outcome(send.id, 0, send.engine, AttemptOutcome::succeeded, true,
-                            50'000);  // an ended one again
+            for (const DispatchAttempt& send : std::exchange(rig.dispatches, {})) {
+                rig.complete(send.id, 0, send.engine, AttemptOutcome::succeeded, true, 50'000);
+                rig.complete(send.id, 0, send.engine, AttemptOutcome::succeeded, true,
+                             50'000);  // an ended one again
                 ++answered;
             }
             rig.at(rig.now + 3'000'000);
-            rig.feed(TimerFired{0});
+            rig.handle(TimerFired{0});
         }
         rig.run_until(rig.now + 5'000'000, false);
-        for (const DispatchAttempt& send : rig.sends) {
-            rig.outcome(send.id, 0, send.engine, AttemptOutcome::succeeded, true);
+        for (const DispatchAttempt& send : rig.dispatches) {
+            rig.complete(send.id, 0, send.engine, AttemptOutcome::succeeded, true);
             ++answered;
         }
         EXPECT_GT(answered, 0u);
         for (int i = 0; i < n; ++i)
-            EXPECT_LE(rig.refused(nth("q", i)) + rig.failed(nth("q", i)), 1) << fronts << ' ' << i;
-        EXPECT_EQ(answered + rig.refusals.size() + rig.failures.size(), static_cast<std::size_t>(n));
+            EXPECT_LE(rig.shed_count(nth("q", i)) + rig.failed_count(nth("q", i)), 1) << fronts << ' ' << i;
+        EXPECT_EQ(answered + rig.sheds.size() + rig.failures.size(), static_cast<std::size_t>(n));
     }
 }
--- /dev/null
+++ b/tests/policy/outlier_detector_test.cpp
@@ -0,0 +1,56 @@
+// Ejection and its doubling times, and what an attempt's end says about its endpoint.
+#include "policy/outlier_detector.hpp"
+
+#include <gtest/gtest.h>
+
+using namespace gatetiller;
+using namespace gatetiller::policy;
+
+TEST(OutlierDetector, TwoFailuresInARowEjectAndTheTimeDoubles) {
+    EndpointHealth health;
+    health.add_error(1'000'000);
+    EXPECT_TRUE(health.accepts(1'000'000, true));
+    EXPECT_FALSE(health.accepts(1'000'000, false));  // suspected: one request at a time
+    health.add_error(1'000'000);
+    EXPECT_FALSE(health.accepts(1'499'999, true));
+    EXPECT_TRUE(health.accepts(1'500'000, true));
+    health.eject(1'500'000);
+    EXPECT_FALSE(health.accepts(2'499'999, true));
+    EXPECT_TRUE(health.accepts(2'500'000, true));
+}
+
+TEST(OutlierDetector, AWithdrawnErrorLeavesNoSuspicion) {
+    EndpointHealth health;
+    health.withdraw_error(health.add_error(0));
+    EXPECT_FALSE(health.suspected());
+}
+
+TEST(OutlierDetector, ARejectionPausesOneClassOrAll) {
+    EndpointHealth health;
+    health.pause_class(1, 0);
+    EXPECT_TRUE(health.pauses(1, 999'999));
+    EXPECT_FALSE(health.pauses(1, 1'000'000));
+    EXPECT_FALSE(health.pauses(0, 0));
+    health.pause_all(0);
+    EXPECT_TRUE(health.pauses(0, 999'999));
+}
+
+TEST(OutlierDetector, ATimeoutCountsOnlyWithoutASignOfLife) {
+    EXPECT_EQ(judge_health({AttemptOutcome::timed_out, 10, 9}), HealthVerdict::unreachable);
+    EXPECT_EQ(judge_health({AttemptOutcome::timed_out, 10, 10}), HealthVerdict::none);
+    EXPECT_EQ(judge_health({AttemptOutcome::connection_reset, 10, 20}), HealthVerdict::unreachable);
+    EXPECT_EQ(judge_health({AttemptOutcome::cancelled, 10, 9}), HealthVerdict::none);
+    EXPECT_EQ(judge_health({AttemptOutcome::rejected, 10, 9}), HealthVerdict::overloaded);
+}
+
+TEST(OutlierDetector, SilenceCountsFromTheLastSignOrTheGatewaysStall) {
+    SilenceEvidence evidence;
+    evidence.progress_period = 1'000'000;
+    evidence.last_alive = 1'000'000;
+    evidence.now = 2'599'999;
+    EXPECT_FALSE(is_silent(evidence));
+    evidence.now = 2'600'000;
+    EXPECT_TRUE(is_silent(evidence));
+    evidence.gateway_resumed_at = 1'000'001;
+    EXPECT_FALSE(is_silent(evidence));
+}
--- a/tests/policy/rig.hpp
+++ b/tests/policy/rig.hpp
@@ -60,39 +60,39 @@
 
 class Rig {
 public:
-    explicit Rig(PolicySettings s, std::uint64_t seed = 7) : brain(0, seed, std::move(s)) {
-        keep(brain.start());
+    explicit Rig(PolicySettings s, std::uint64_t seed = 7) : gateway(0, seed, std::move(s)) {
+        keep(gateway.start());
     }
 
     void at(Micros time) {
         now = time;
     }
-    void feed(const Event& event) {
-        keep(brain.handle(now, event));
+    void handle(const Event& event) {
+        keep(gateway.handle(now, event));
     }
-    void list(std::vector<Endpoint> engines) {
-        feed(EndpointUpdate{EndpointUpdateKind::full, std::move(engines)});
+    void update_endpoints(std::vector<Endpoint> engines) {
+        handle(EndpointUpdate{EndpointUpdateKind::full, std::move(engines)});
     }
-    void demand(const std::string& id, const std::string& type, const std::string& key = "",
+    void arrive(const std::string& id, const std::string& type, const std::string& key = "",
                 const std::string& tenant = "") {
         RequestArrived d;
         d.id = id, d.class_name = type, d.ordering_key = key, d.tenant = tenant;
         d.time_left = type == "short" ? 4'000'000 : type == "keyed" ? 25'000'000 : 20'000'000;
         d.estimated_work = type == "short" ? 100'000 : 2'000'000;
         d.estimated_memory_mb = 20;
-        feed(d);
+        handle(d);
     }
-    void demands(int count, const std::string& name, const std::string& type,
-                 const std::string& tenant = "") {
+    void arrive_many(int count, const std::string& name, const std::string& type,
+                     const std::string& tenant = "") {
         for (int i = 0; i < count; ++i)
-            demand(nth(name, i), type, "", tenant);
+            arrive(nth(name, i), type, "", tenant);
     }
-    void outcome(const std::string& id, int attempt, EngineId engine, AttemptOutcome outcome,
-                 bool finished = false, Micros taken = 100'000) {
+    void complete(const std::string& id, int attempt, EngineId engine, AttemptOutcome outcome,
+                  bool finished = false, Micros taken = 100'000) {
         AttemptCompleted c;
         c.id = id, c.attempt = attempt, c.engine = engine, c.outcome = outcome, c.request_finished = finished;
         c.duration = taken;
-        feed(c);
+        handle(c);
     }
     // Rings timers up to a time; with `calm`, every engine that holds work also says that it lives.
     void run_until(Micros end, bool calm = true) {
@@ -100,42 +100,43 @@
             const auto [due, name] = *timers.begin();
             timers.erase(timers.begin());
             now = std::max(now, due);
-            if (calm && !sends.empty())
-                feed(AttemptProgress{sends.back().id, 0, sends.back().engine, ProgressKind::waiting, 1});
-            feed(TimerFired{name});
+            if (calm && !dispatches.empty())
+                handle(AttemptProgress{dispatches.back().id, 0, dispatches.back().engine,
+                                       ProgressKind::waiting, 1});
+            handle(TimerFired{name});
         }
         now = std::max(now, end);
     }
-    int refused(const std::string& id) const {
-        return count(refusals, id);
+    int shed_count(const std::string& id) const {
+        return count(sheds, id);
     }
-    int failed(const std::string& id) const {
+    int failed_count(const std::string& id) const {
         return count(failures, id);
     }
     Micros ended_at(const std::string& id) const {
-        return ends.at(id);
+        return ended.at(id);
     }
-    int sends_of(char initial, std::size_t from = 0) const {
+    int dispatches_of(char initial, std::size_t from = 0) const {
         const auto named = [&](const DispatchAttempt& send) {
             return send.id[0] == initial;
         };
         return static_cast<int>(
-            std::count_if(sends.begin() + static_cast<std::ptrdiff_t>(from), sends.end(), named));
+            std::count_if(dispatches.begin() + static_cast<std::ptrdiff_t>(from), dispatches.end(), named));
     }
-    std::vector<std::string> sent_ids() const {
+    std::vector<std::string> dispatched_ids() const {
         std::vector<std::string> ids;
-        for (const DispatchAttempt& send : sends)
+        for (const DispatchAttempt& send : dispatches)
             ids.push_back(send.id);
         return ids;
     }
 
-    GatewayPolicy brain;
+    GatewayPolicy gateway;
     Micros now = 0;
-    std::vector<DispatchAttempt> sends;
+    std::vector<DispatchAttempt> dispatches;
     std::vector<CancelAttempt> cancels;
-    std::vector<ResourceGrant> terms;
+    std::vector<ResourceGrant> grants;
     std::vector<Action> others;
-    std::vector<ShedRequest> refusals;
+    std::vector<ShedRequest> sheds;
     std::vector<FailRequest> failures;
     std::set<std::pair<Micros, std::int64_t>> timers;
 
@@ -150,22 +151,22 @@
     void keep(const std::vector<Action>& actions) {
         for (const Action& action : actions) {
             if (const auto* a = std::get_if<DispatchAttempt>(&action))
-                sends.push_back(*a);
+                dispatches.push_back(*a);
             else if (const auto* b = std::get_if<ShedRequest>(&action))
-                refusals.push_back(*b), ends[b->id] = now;
+                sheds.push_back(*b), ended[b->id] = now;
             else if (const auto* c = std::get_if<FailRequest>(&action))
-                failures.push_back(*c), ends[c->id] = now;
+                failures.push_back(*c), ended[c->id] = now;
             else if (const auto* d = std::get_if<CancelAttempt>(&action))
                 cancels.push_back(*d);
             else if (const auto* e = std::get_if<ResourceGrant>(&action))
-                terms.push_back(*e);
+                grants.push_back(*e);
             else if (const auto* f = std::get_if<StartTimer>(&action))
                 timers.emplace(now + f->delay, f->timer);
             else
                 others.push_back(action);
         }
     }
-    std::map<std::string, Micros> ends;
+    std::map<std::string, Micros> ended;
 };
 
 }  // namespace gatetiller::testing
