--- a/src/policy/endpoint_selection.cpp
+++ b/src/policy/endpoint_selection.cpp
@@ -144,6 +144,8 @@
     if (eligible.size() > 1)
         std::erase(eligible, first);
     const int second = eligible[input.random.index(eligible.size())];
+    if (first == second)
+        return first;
     const double first_load = load_estimate(input, request, input.fleet[first]);
     const double second_load = load_estimate(input, request, input.fleet[second]);
     return first_load <= second_load ? first : second;
--- a/src/policy/fleet.cpp
+++ b/src/policy/fleet.cpp
@@ -135,12 +135,4 @@
            queries_at(endpoint, usual, now) * usual.threads <= kSaturationThreadsPerCore * endpoint.cores;
 }
 
-bool Fleet::has_recent_report(Micros now) const {
-    return last_report_at_ && now - *last_report_at_ <= kReportLifetime;
-}
-
-double Fleet::threads_per_core(Micros now) const {
-    return has_recent_report(now) ? threads_per_core_ : kSaturationThreadsPerCore;
-}
-
 }  // namespace gatetiller::policy
--- a/src/policy/fleet.hpp
+++ b/src/policy/fleet.hpp
@@ -97,9 +97,13 @@
     bool reports_room(const EndpointStatus& endpoint, const UsualQuery& usual, Micros now) const;
 
     // Whether any endpoint has reported recently.
-    bool has_recent_report(Micros now) const;
+    bool has_recent_report(Micros now) const {
+        return last_report_at_ && now - *last_report_at_ <= kReportLifetime;
+    }
     // Mean threads a core; the saturation point while nothing reports.
-    double threads_per_core(Micros now) const;
+    double threads_per_core(Micros now) const {
+        return has_recent_report(now) ? threads_per_core_ : kSaturationThreadsPerCore;
+    }
     // Mean run time over expected run time, at least 1: what all share is no endpoint's fault.
     double usual_slowdown() const {
         return std::max(1.0, completed_slowdown_);
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -6,7 +6,6 @@
 namespace {
 
 constexpr double kErrorStep = 0.15;
-constexpr double kSuspectedErrorRate = 0.1;
 constexpr double kEjectionErrorRate = 0.25;  // two failures in a row reach it
 constexpr Micros kFirstEjectionTime = 500 * kMillisecond;
 constexpr Micros kLongestEjectionTime = 4 * kSecondMicros;
@@ -14,14 +13,6 @@
 
 }  // namespace
 
-bool EndpointHealth::accepts(Micros now, bool idle) const {
-    return now >= ejected_until_ && (!suspected() || idle);
-}
-
-bool EndpointHealth::suspected() const {
-    return error_rate_ >= kSuspectedErrorRate;
-}
-
 bool EndpointHealth::pauses(int class_index, Micros now) const {
     if (now < paused_until_)
         return true;
--- a/src/policy/outlier_detector.hpp
+++ b/src/policy/outlier_detector.hpp
@@ -18,9 +18,13 @@
 class EndpointHealth {
 public:
     // Whether a request may go there. `idle`: it has no attempt of this gateway.
-    bool accepts(Micros now, bool idle) const;
+    bool accepts(Micros now, bool idle) const {
+        return now >= ejected_until_ && (!suspected() || idle);
+    }
     // Whether its error rate is so high that it gets one request at a time.
-    bool suspected() const;
+    bool suspected() const {
+        return error_rate_ >= kSuspectedErrorRate;
+    }
     // Whether its last word was that it takes no connection.
     bool refuses_connections() const {
         return refuses_connections_;
@@ -44,6 +48,8 @@
     void reset();
 
 private:
+    static constexpr double kSuspectedErrorRate = 0.1;
+
     double error_rate_ = 0;
     Micros ejected_until_ = 0;
     Micros ejection_time_ = 0;  // of the last ejection; 0: none that counts
