--- a/src/policy/fleet.hpp
+++ b/src/policy/fleet.hpp
@@ -89,17 +89,21 @@
 
     // Queries on an endpoint of all gateways, as its last report and the fleet's mean tell.
     double queries_at(const EndpointStatus& endpoint, const UsualQuery& usual, Micros now) const;
-    // And those of other gateways.
-    double other_queries_at(const EndpointStatus& endpoint, const UsualQuery& usual, Micros now) const;
+    // Those of other gateways, of `queries` on it in all.
+    double other_queries(const EndpointStatus& endpoint, double queries) const;
     // Whether an endpoint is slow or reports that it is busy.
     static bool under_pressure(const EndpointStatus& endpoint, Micros now);
     // Whether an endpoint's recent report tells of no load that would explain a rejection.
     bool reports_room(const EndpointStatus& endpoint, const UsualQuery& usual, Micros now) const;
 
     // Whether any endpoint has reported recently.
-    bool has_recent_report(Micros now) const;
+    bool has_recent_report(Micros now) const {
+        return last_report_at_ && now - *last_report_at_ <= kReportLifetime;
+    }
     // Mean threads a core; the saturation point while nothing reports.
-    double threads_per_core(Micros now) const;
+    double threads_per_core(Micros now) const {
+        return has_recent_report(now) ? threads_per_core_ : kSaturationThreadsPerCore;
+    }
     // Mean run time over expected run time, at least 1: what all share is no endpoint's fault.
     double usual_slowdown() const {
         return std::max(1.0, completed_slowdown_);
