--- a/tests/policy/rig.hpp
+++ b/tests/policy/rig.hpp
@@ -17,9 +17,14 @@
     PolicySettings s;
     const auto add = [&](const char* name, Idempotency effect, Micros aim, Micros deadline, double threads) {
         ClassSettings c;
-        c.name = name, c.idempotency = effect, c.latency_objective = aim, c.deadline = deadline,
+        c.name = name;
+        c.idempotency = effect;
+        c.latency_objective = aim;
+        c.deadline = deadline;
         c.threads = threads;
-        c.objective_stretch = 2, c.late_value_share = 0.5, c.key_scope = KeyScope::all,
+        c.objective_stretch = 2;
+        c.late_value_share = 0.5;
+        c.key_scope = KeyScope::all;
         c.key_window = 5'000'000;
         s.classes.push_back(c);
     };
@@ -35,9 +40,12 @@
     s.max_memory_share = 0.4;
     s.sends_retry_after = true;
     s.max_retry_after = 2'000'000;
-    s.slow_start_capacity_share = 0.3, s.slow_start_window = 15'000'000, s.overload_factor = 3,
+    s.slow_start_capacity_share = 0.3;
+    s.slow_start_window = 15'000'000;
+    s.overload_factor = 3;
     s.overload_window = 2'000'000;
-    s.drain_grace = 1'000'000, s.response_grace = 20'000;
+    s.drain_grace = 1'000'000;
+    s.response_grace = 20'000;
     return s;
 }
 
@@ -47,14 +55,19 @@
 
 inline Endpoint engine(EngineId id, std::int64_t cell = 0) {
     Endpoint e;
-    e.id = id, e.zone = "z1", e.kind = "std", e.cell = cell;
+    e.id = id;
+    e.zone = "z1";
+    e.kind = "std";
+    e.cell = cell;
     return e;
 }
 
 // A query of which nothing is estimated.
 inline RequestArrived unestimated(const std::string& id, const std::string& type, Micros time_left) {
     RequestArrived d;
-    d.id = id, d.class_name = type, d.time_left = time_left;
+    d.id = id;
+    d.class_name = type;
+    d.time_left = time_left;
     return d;
 }
 
@@ -76,7 +89,10 @@
     void arrive(const std::string& id, const std::string& type, const std::string& key = "",
                 const std::string& tenant = "") {
         RequestArrived d;
-        d.id = id, d.class_name = type, d.ordering_key = key, d.tenant = tenant;
+        d.id = id;
+        d.class_name = type;
+        d.ordering_key = key;
+        d.tenant = tenant;
         d.time_left = type == "short" ? 4'000'000 : type == "keyed" ? 25'000'000 : 20'000'000;
         d.estimated_work = type == "short" ? 100'000 : 2'000'000;
         d.estimated_memory_mb = 20;
@@ -90,7 +106,11 @@
     void complete(const std::string& id, int attempt, EngineId engine, AttemptOutcome outcome,
                   bool finished = false, Micros taken = 100'000) {
         AttemptCompleted c;
-        c.id = id, c.attempt = attempt, c.engine = engine, c.outcome = outcome, c.request_finished = finished;
+        c.id = id;
+        c.attempt = attempt;
+        c.engine = engine;
+        c.outcome = outcome;
+        c.request_finished = finished;
         c.duration = taken;
         handle(c);
     }
@@ -148,14 +168,19 @@
             n += one.id == id;
         return n;
     }
+    template <typename T>
+    void keep_end(std::vector<T>& kept, const T& action) {
+        kept.push_back(action);
+        ended[action.id] = now;
+    }
     void keep(const std::vector<Action>& actions) {
         for (const Action& action : actions) {
             if (const auto* a = std::get_if<DispatchAttempt>(&action))
                 dispatches.push_back(*a);
             else if (const auto* b = std::get_if<ShedRequest>(&action))
-                sheds.push_back(*b), ended[b->id] = now;
+                keep_end(sheds, *b);
             else if (const auto* c = std::get_if<FailRequest>(&action))
-                failures.push_back(*c), ended[c->id] = now;
+                keep_end(failures, *c);
             else if (const auto* d = std::get_if<CancelAttempt>(&action))
                 cancels.push_back(*d);
             else if (const auto* e = std::get_if<ResourceGrant>(&action))
