--- a/src/policy/key_order.hpp
+++ b/src/policy/key_order.hpp
@@ -1,4 +1,4 @@
-// Runs the requests of one ordering key one after another, in the order of arrival (rule 3). After an attempt
+// Runs the requests of one ordering key one after another, in the order of arrival (rule 5). After an attempt
 // that may still be running somewhere, the key pauses: later requests wait until the pause is over.
 #pragma once
 
--- a/src/policy/request_lifecycle.hpp
+++ b/src/policy/request_lifecycle.hpp
@@ -1,5 +1,5 @@
 // Moves requests through their life: queued, dispatched, and given up or finished. All actions that dispatch,
-// shed or fail a request are made here, so that they keep the seven rules (README).
+// shed or fail a request are made here, so that they keep the seven rules (docs/architecture.md).
 #pragma once
 
 #include "policy/actions.hpp"
--- a/src/policy/retry_policy.hpp
+++ b/src/policy/retry_policy.hpp
@@ -1,4 +1,4 @@
-// Whether a request may get another attempt, and how it may end (rules 1, 2, 5 and 6).
+// Whether a request may get another attempt, and how it may end (rules 1, 2, 6 and 7).
 //
 // A request has at most one open attempt. After an attempt that may have executed, a non-idempotent request
 // gets no other, and a keyed one only where and while endpoints drop the repeat. Later attempts of all
--- a/src/policy/settings.hpp
+++ b/src/policy/settings.hpp
@@ -99,7 +99,7 @@
     bool sends_retry_after = false;  // a shed request's answer carries a time after which to retry
     Micros max_retry_after = 0;      // the largest such time
     int max_attempts = 1;            // for one request
-    // Parameters of the seven rules (README).
+    // Parameters of the seven rules (docs/architecture.md).
     Micros response_grace = 0;
     Micros watch_deadline = 0;             // by when a lost subscription must be asked for again
     Micros drain_grace = 0;                // how long a draining endpoint may still get requests
