--- a/src/node/endpoint_registry.hpp
+++ b/src/node/endpoint_registry.hpp
@@ -17,6 +17,7 @@
 
 #include "decide/attempt_guard.hpp"
 #include "decide/endpoint_list.hpp"
+#include "decide/resource_limits.hpp"
 #include "discovery/dns_endpoint_source.hpp"
 #include "net/loop.hpp"
 #include "node/config.hpp"
