--- a/src/core/policy_driver.cpp
+++ b/src/core/policy_driver.cpp
@@ -5,16 +5,16 @@
 namespace gatetiller::core {
 
 PolicyDriver::PolicyDriver(net::Loop& loop, std::uint64_t seed, PolicySettings settings,
-                           ActionHandler carry_out)
-    : loop_(loop), brain_(loop.now(), seed, std::move(settings)), carry_out_(std::move(carry_out)) {}
+                           ActionHandler apply_action)
+    : loop_(loop), policy_(loop.now(), seed, std::move(settings)), apply_action_(std::move(apply_action)) {}
 
 PolicyDriver::~PolicyDriver() {
-    for (const auto& [key, timer] : bells_)
+    for (const auto& [key, timer] : timers_)
         loop_.cancel(timer);
 }
 
 void PolicyDriver::start() {
-    apply(brain_.start());
+    apply(policy_.start());
 }
 
 void PolicyDriver::post(Event event) {
@@ -24,7 +24,7 @@
     while (!events_.empty()) {
         const Event next = std::move(events_.front());
         events_.pop_front();
-        apply(brain_.handle(loop_.now(), next));
+        apply(policy_.handle(loop_.now(), next));
     }
     posting_ = false;
 }
@@ -33,12 +33,12 @@
     for (const Action& action : actions) {
         const auto* timer = std::get_if<StartTimer>(&action);
         if (!timer) {
-            carry_out_(action);
+            apply_action_(action);
             continue;
         }
-        const std::int64_t key = ++last_bell_;
-        bells_[key] = loop_.after(timer->delay, [this, key, name = timer->timer] {
-            bells_.erase(key);
+        const std::int64_t key = ++last_timer_key_;
+        timers_[key] = loop_.after(timer->delay, [this, key, name = timer->timer] {
+            timers_.erase(key);
             post(TimerFired{name});
         });
     }
--- a/src/core/policy_driver.hpp
+++ b/src/core/policy_driver.hpp
@@ -1,5 +1,5 @@
-// core: what stands between any front and the module. Events go in, one at a time and in order; timers that
-// the module sets are kept; every other action goes to the front, which carries it out. Both fronts use it.
+// Runs a GatewayPolicy on an event loop, for any front: events go in one at a time and in order, timers that
+// the policy starts are kept here, and every other action goes to the front's handler.
 #pragma once
 
 #include <cstdint>
@@ -14,31 +14,33 @@
 
 class PolicyDriver {
 public:
-    using ActionHandler = std::function<void(const Action&)>;  // never a SetTimer
-    // Settings that contradict themselves throw std::invalid_argument, as the module's constructor does.
-    PolicyDriver(net::Loop& loop, std::uint64_t seed, PolicySettings settings, ActionHandler carry_out);
+    using ActionHandler = std::function<void(const Action&)>;  // never a StartTimer
+    // The loop outlives it. Settings that contradict themselves throw std::invalid_argument.
+    PolicyDriver(net::Loop& loop, std::uint64_t seed, PolicySettings settings, ActionHandler apply_action);
     ~PolicyDriver();
     PolicyDriver(const PolicyDriver&) = delete;
     PolicyDriver& operator=(const PolicyDriver&) = delete;
 
-    void start();  // the module's actions at the start; once, before the first event
-    // Events that come up while actions are carried out wait for their turn, so that the module sees them in
-    // order.
+    // Applies the policy's actions at the start; to be called once, before the first event.
+    void start();
+    // Hands an event to the policy and applies its actions. Events posted meanwhile wait for their turn, so
+    // that the policy gets them in order.
     void post(Event event);
+    // The policy's current alpha; for metrics.
     double alpha() const {
-        return brain_.alpha();
+        return policy_.alpha();
     }
 
 private:
     void apply(const std::vector<Action>& actions);
 
     net::Loop& loop_;
-    GatewayPolicy brain_;
-    ActionHandler carry_out_;
+    GatewayPolicy policy_;
+    ActionHandler apply_action_;
     std::deque<Event> events_;
     bool posting_ = false;
-    std::map<std::int64_t, net::TimerId> bells_;
-    std::int64_t last_bell_ = 0;
+    std::map<std::int64_t, net::TimerId> timers_;
+    std::int64_t last_timer_key_ = 0;
 };
 
 }  // namespace gatetiller::core
--- a/src/node/engine_connection.cpp
+++ b/src/node/engine_connection.cpp
@@ -86,10 +86,6 @@
     return "connection " + std::to_string(number_) + " to " + address_;
 }
 
-std::size_t EngineConnection::unsent_bytes() const {
-    return stream_ ? stream_->unsent() : 0;
-}
-
 void EngineConnection::trace(const std::string& what) const {
     pool_.trace(name() + " " + what + " open=" + std::to_string(open_.size()) +
                 " ms=" + std::to_string((loop_.now() - opened_at_) / kMillisecond));
--- a/src/node/engine_connection.hpp
+++ b/src/node/engine_connection.hpp
@@ -130,7 +130,9 @@
     void end_all(decide::ConnectionEnd end, StreamState stream_state, const char* reason);
 
     std::string name() const;
-    std::size_t unsent_bytes() const;
+    std::size_t unsent_bytes() const {
+        return stream_ ? stream_->unsent() : 0;
+    }
     void trace(const std::string& what) const;
 
     net::Loop& loop_;
