--- a/src/decide/account.cpp
+++ b/src/decide/account.cpp
@@ -110,7 +110,8 @@
     const auto parts = split(tag.substr(prefix.size()), '.');
     if (parts.size() != 3 || parts[0].size() != 16)
         return std::nullopt;
-    const auto request = to_number<std::uint32_t>(parts[1]), attempt = to_number<std::uint32_t>(parts[2]);
+    const auto request = to_number<std::uint32_t>(parts[1]);
+    const auto attempt = to_number<std::uint32_t>(parts[2]);
     if (!request || !attempt)
         return std::nullopt;
     return AttemptTag{std::string(parts[0]), *request, *attempt};
--- a/src/decide/charge.cpp
+++ b/src/decide/charge.cpp
@@ -34,14 +34,16 @@
 void Charges::add_work(Line& line, const std::string& kind, Micros taken, const Settlement& s, Micros span,
                        std::int64_t grant_bytes) {
     auto& finding = findings_[static_cast<std::size_t>(s.finding)];
-    ++finding.queries, finding.work += s.work;
+    ++finding.queries;
+    finding.work += s.work;
     ++line.attempts;
     line.unlogged += !s.logged && s.finding != SettlementFinding::never_ran;
     line.work[static_cast<std::size_t>(s.waste)] += s.work;
     line.after_leaving += s.after_leaving;
     const std::size_t wasted = s.waste != WastedWork::none;
     Usage u{s.work, Exact{grant_bytes} * span, Exact{s.peak_bytes} * span, s.spilled_bytes};
-    line.granted_byte_micros += u.granted_byte_micros, line.used_byte_micros += u.used_byte_micros;
+    line.granted_byte_micros += u.granted_byte_micros;
+    line.used_byte_micros += u.used_byte_micros;
     line.spilled[wasted] += s.spilled_bytes;
     if (const Rates* rates = prices_.at(taken, kind))
         line.amount[wasted] += amount_of(u, *rates);
@@ -70,9 +72,10 @@
     line.repeats += repeat;
 }
 
-void Charges::add_alone(LineKey key, const LoggedQuery& q, const Settlement& s) {
+void Charges::add_alone(LineKey key, const LoggedQuery& logged, const Settlement& settled) {
     const std::string kind = key.kind;
-    add_work(lines_[std::move(key)], kind, q.created, s, std::max<Micros>(0, q.ended - q.created), 0);
+    const Micros span = std::max<Micros>(0, logged.ended - logged.created);
+    add_work(lines_[std::move(key)], kind, logged.created, settled, span, 0);
 }
 
 }  // namespace gatetiller::decide
--- a/src/decide/charge.hpp
+++ b/src/decide/charge.hpp
@@ -14,6 +14,7 @@
 struct LineKey {
     std::string team, cls, kind;  // kind: of engine; "-" for requests that were never sent
     int day = 0;                  // of the period, from 0
+    // NOLINTNEXTLINE(modernize-use-nullptr): a false report of clang 14 on defaulted comparisons.
     auto operator<=>(const LineKey&) const = default;
 };
 
--- a/src/decide/client_request.hpp
+++ b/src/decide/client_request.hpp
@@ -36,7 +36,7 @@
 };
 
 // Bytes of one statement.
-constexpr std::size_t kMaxStatementBytes = 32 * 1024;
+constexpr std::size_t kMaxStatementBytes = std::size_t{32} * 1024;
 
 // Validates the fields and the statement (`body`: UTF-8 without NUL, from 1 to kMaxStatementBytes bytes) of
 // one request. The error names the first invalid field and its valid form.
--- a/src/decide/money.cpp
+++ b/src/decide/money.cpp
@@ -53,17 +53,17 @@
                      "; write a decimal such as '0.000125'"};
     };
     const auto point = text.find('.');
-    const std::string_view whole = text.substr(0, point),
-                           part = point == std::string_view::npos ? "" : text.substr(point + 1);
-    if (whole.empty() || (point != std::string_view::npos && part.empty()))
+    const std::string_view integer = text.substr(0, point);
+    const std::string_view fraction = point == std::string_view::npos ? "" : text.substr(point + 1);
+    if (integer.empty() || (point != std::string_view::npos && fraction.empty()))
         return wrong("digits are missing");
-    if (part.size() > kPriceDecimals)
+    if (fraction.size() > kPriceDecimals)
         return wrong("more than nine decimals");
-    if (whole.size() > 9)
+    if (integer.size() > 9)
         return wrong("it is too large");
-    std::string digits(whole);
-    digits += part;
-    digits.append(kPriceDecimals - part.size(), '0');
+    std::string digits(integer);
+    digits += fraction;
+    digits.append(kPriceDecimals - fraction.size(), '0');
     if (digits.find_first_not_of("0123456789") != std::string::npos)
         return wrong("not a plain decimal");
     return *to_number<std::int64_t>(digits);
@@ -83,8 +83,10 @@
 
 std::vector<std::string> rounded(const std::vector<Exact>& parts, int decimals) {
     const Exact unit = power_of_ten(kAmountDecimals - decimals);
-    Exact total = 0, given = 0;
+    Exact total = 0;
+    Exact given = 0;
     std::vector<Exact> units;
+    units.reserve(parts.size());
     for (const Exact part : parts) {
         total += part;
         units.push_back(floor_of(part, unit));
@@ -103,6 +105,7 @@
     for (std::size_t i = 0; missing > 0 && i < order.size(); ++i, --missing)
         ++fair[order[i]];
     std::vector<std::string> texts;
+    texts.reserve(fair.size());
     for (const Exact n : fair)
         texts.push_back(with_point(n, decimals));
     return texts;
--- a/src/decide/money.hpp
+++ b/src/decide/money.hpp
@@ -14,10 +14,11 @@
 
 namespace gatetiller::decide {
 
-__extension__ typedef __int128 Exact;
+// Only a typedef can be marked as an extension.
+__extension__ typedef __int128 Exact;  // NOLINT(modernize-use-using): see above
 
 // "0.000125" as 125'000 billionths. More than nine decimals is an error: it could not be kept exactly.
-Result<std::int64_t> read_price(std::string_view decimal);
+Result<std::int64_t> read_price(std::string_view text);
 
 struct Rates {  // billionths of the currency
     std::int64_t core_second = 0, gb_second_granted = 0, gb_second_used = 0,
--- a/src/decide/quota.cpp
+++ b/src/decide/quota.cpp
@@ -13,7 +13,8 @@
     : settings_(settings), slot_(std::max<Micros>(1, settings.window / kSlots)) {
     const int fronts = std::max(1, settings.fronts);
     for (Budget& b : budgets) {
-        b.soft_limit /= fronts, b.hard_limit /= fronts;
+        b.soft_limit /= fronts;
+        b.hard_limit /= fronts;
         teams_.push_back({std::move(b)});
     }
 }
@@ -25,10 +26,13 @@
     return found == teams_.end() ? nullptr : &*found;
 }
 const Quota::Team* Quota::find(const std::string& team) const {
-    return const_cast<Quota*>(this)->find(team);
+    const auto found = std::find_if(teams_.begin(), teams_.end(), [&](const Team& t) {
+        return t.budget.team == team;
+    });
+    return found == teams_.end() ? nullptr : &*found;
 }
 
-void Quota::turn(Team& t, Micros now) const {
+void Quota::expire_slots(Team& t, Micros now) const {
     const std::int64_t slot = slot_of(now);
     // More than a window at once empties all of them, each once.
     for (int i = 0; t.newest < slot && i < kSlots; ++i) {
@@ -48,7 +52,7 @@
     Team* t = find(team);
     if (!t || work <= 0 || ago < 0)
         return;
-    turn(*t, now);
+    expire_slots(*t, now);
     // Ages are counted in whole slots back from now, as the loop's time may be younger than the window.
     const std::int64_t back = ago / slot_;
     if (back >= kSlots)
@@ -57,13 +61,13 @@
     t->sum += work;
 }
 
-QuotaState Quota::wanted(const Team& t) const {
+QuotaState Quota::target_state(const Team& t) const {
     // A state that is held is left only once use has fallen clearly below its budget.
-    const auto over = [&](Micros budget, bool held) {
+    const auto over = [&](Micros budget, bool in_state) {
         if (budget <= 0)
             return false;
         const double at =
-            held ? settings_.back_at * static_cast<double>(budget) : static_cast<double>(budget);
+            in_state ? settings_.back_at * static_cast<double>(budget) : static_cast<double>(budget);
         return static_cast<double>(t.sum) >= at;
     };
     if (over(t.budget.hard_limit, t.state == QuotaState::over_hard_limit))
@@ -73,15 +77,20 @@
     return QuotaState::within_budget;
 }
 
+void Quota::enter(Team& t, QuotaState state, Micros now) {
+    t.state = state;
+    t.since = now;
+}
+
 QuotaState Quota::state(const std::string& team, Micros now) {
     Team* t = find(team);
     if (!t)
         return QuotaState::within_budget;
-    turn(*t, now);
-    const QuotaState next = wanted(*t);
+    expire_slots(*t, now);
+    const QuotaState next = target_state(*t);
     // Up at once, down only after a while: a team at the brim must not flicker.
     if (next > t->state || (next < t->state && now - t->since >= settings_.stay))
-        t->state = next, t->since = now;
+        enter(*t, next, now);
     return t->state;
 }
 
@@ -104,7 +113,7 @@
     if (!t)
         return 0;
     Team copy = *t;
-    turn(copy, now);
+    expire_slots(copy, now);
     return copy.sum;
 }
 
--- a/src/decide/quota.hpp
+++ b/src/decide/quota.hpp
@@ -36,7 +36,7 @@
 };
 
 struct QuotaSettings {
-    Micros window = 24 * 3600 * kSecondMicros;
+    Micros window = Micros{24} * 3600 * kSecondMicros;
     int fronts = 1;
     double back_at = 0.9;              // of a budget: below this the state is left again
     Micros stay = 10 * kSecondMicros;  // and not before so long in it
@@ -74,8 +74,9 @@
     std::int64_t slot_of(Micros t) const {
         return t / slot_;
     }
-    void turn(Team& t, Micros now) const;  // lets go of slots that have left the window
-    QuotaState wanted(const Team& t) const;
+    void expire_slots(Team& t, Micros now) const;  // lets go of slots that have left the window
+    QuotaState target_state(const Team& t) const;
+    static void enter(Team& t, QuotaState state, Micros now);
 
     QuotaSettings settings_;
     Micros slot_;
--- a/src/decide/settlement.cpp
+++ b/src/decide/settlement.cpp
@@ -25,7 +25,9 @@
     const bool never = a.state == AttemptState::rejected || a.state == AttemptState::unreachable ||
                        a.state == AttemptState::not_sent;
     if (logged.empty()) {
-        s.work = a.work, s.peak_bytes = a.peak_bytes, s.spilled_bytes = a.spilled_bytes;
+        s.work = a.work;
+        s.peak_bytes = a.peak_bytes;
+        s.spilled_bytes = a.spilled_bytes;
         s.finding = never     ? SettlementFinding::never_ran
                     : a.whole ? SettlementFinding::journal_lacks
                               : SettlementFinding::unlogged;
@@ -34,7 +36,8 @@
     s.logged = true;
     Micros ran = 0;
     for (const LoggedQuery& q : logged) {
-        s.work += q.work, s.spilled_bytes += q.spilled_bytes;
+        s.work += q.work;
+        s.spilled_bytes += q.spilled_bytes;
         s.peak_bytes = std::max(s.peak_bytes, q.peak_bytes);
         ran = std::max(ran, q.ended - q.created);
     }
@@ -65,23 +68,27 @@
     return s;
 }
 
-Settlement settle_alone(const LoggedQuery& q, const IncarnationRecord* life) {
+Settlement settle_alone(const LoggedQuery& logged, const IncarnationRecord* incarnation) {
     Settlement s;
     s.logged = true;
     s.waste = WastedWork::unrecorded;
-    s.work = q.work, s.peak_bytes = q.peak_bytes, s.spilled_bytes = q.spilled_bytes;
-    if (!q.name) {
+    s.work = logged.work;
+    s.peak_bytes = logged.peak_bytes;
+    s.spilled_bytes = logged.spilled_bytes;
+    if (!logged.name) {
         s.finding = SettlementFinding::direct;
         s.waste = WastedWork::none;  // whom it served is not ours to say
         return s;
     }
-    if (!life) {
+    if (!incarnation) {
         s.finding = SettlementFinding::other_life;
         return s;
     }
-    const bool covered = std::any_of(life->gaps.begin(), life->gaps.end(), [&](const LedgerGap& g) {
-        return q.created >= g.from - life->clock_slack && q.created <= g.to + life->clock_slack;
-    });
+    const bool covered =
+        std::any_of(incarnation->gaps.begin(), incarnation->gaps.end(), [&](const LedgerGap& gap) {
+            return logged.created >= gap.from - incarnation->clock_slack &&
+                   logged.created <= gap.to + incarnation->clock_slack;
+        });
     s.finding = covered ? SettlementFinding::in_gap : SettlementFinding::ledger_lacks;
     return s;
 }
--- a/src/decide/settlement.hpp
+++ b/src/decide/settlement.hpp
@@ -61,8 +61,8 @@
     std::vector<LedgerGap> gaps;
     Micros clock_slack = 0;  // between an engine's clock and the front's, and for its steps
 };
-// A logged query that no ledger row answers to. `life`: none where no ledger of that life was given.
-Settlement settle_alone(const LoggedQuery& logged, const IncarnationRecord* life);
+// A logged query that no ledger row answers to. `incarnation`: null where no ledger of that life was given.
+Settlement settle_alone(const LoggedQuery& logged, const IncarnationRecord* incarnation);
 
 // Repeats: requests of one tenant and class with the same key, within the window of the first of them.
 // Add all, in any order; then finish; then ask.
--- a/src/decide/table_group.cpp
+++ b/src/decide/table_group.cpp
@@ -1,5 +1,8 @@
 #include "decide/table_group.hpp"
 
+#include <algorithm>
+#include <array>
+#include <optional>
 #include <string>
 #include <vector>
 
@@ -32,36 +35,64 @@
     return sql.size();
 }
 
+// The end of the comment that begins at `at`; nothing where none begins.
+std::optional<std::size_t> comment_end(std::string_view sql, std::size_t at) {
+    if (sql.substr(at, 2) == "--")
+        return std::min(sql.find('\n', at), sql.size());
+    if (sql.substr(at, 2) != "/*")
+        return std::nullopt;
+    const std::size_t end = sql.find("*/", at + 2);
+    return end == std::string_view::npos ? sql.size() : end + 2;
+}
+
+bool is_blank(char c) {
+    return c == ' ' || c == '\t' || c == '\n' || c == '\r';
+}
+
+bool is_digit(char c) {
+    return c >= '0' && c <= '9';
+}
+
+Token quoted_name(std::string_view quoted) {
+    return {std::string(quoted.size() > 1 ? quoted.substr(1, quoted.size() - 2) : ""), true, true};
+}
+
+// Reads the token at `at`, which is neither blank nor in a comment, and advances `at` past it.
+Token read_token(std::string_view sql, std::size_t& at) {
+    const std::size_t begin = at;
+    const char first = sql[begin];
+    if (first == '\'') {
+        at = past_quoted(sql, begin, first);
+        return {"'"};
+    }
+    if (first == '"' || first == '`') {
+        at = past_quoted(sql, begin, first);
+        return quoted_name(sql.substr(begin, at - begin));
+    }
+    if (starts_name(first)) {
+        while (at < sql.size() && in_name(sql[at]))
+            ++at;
+        return {std::string(sql.substr(begin, at - begin)), true};
+    }
+    if (is_digit(first)) {
+        // The dots of a number separate no names.
+        while (at < sql.size() && (in_name(sql[at]) || sql[at] == '.'))
+            ++at;
+        return {"0"};
+    }
+    ++at;
+    return {std::string(1, first)};
+}
+
 std::vector<Token> tokens_of(std::string_view sql) {
     std::vector<Token> tokens;
     for (std::size_t at = 0; at < sql.size();) {
-        const char c = sql[at];
-        if (c == '\'') {
-            at = past_quoted(sql, at, c);
-            tokens.push_back({"'"});
-        } else if (sql.substr(at, 2) == "--") {
-            at = std::min(sql.find('\n', at), sql.size());
-        } else if (sql.substr(at, 2) == "/*") {
-            const std::size_t end = sql.find("*/", at + 2);
-            at = end == std::string_view::npos ? sql.size() : end + 2;
-        } else if (c == '"' || c == '`') {
-            const std::size_t end = past_quoted(sql, at, c);
-            tokens.push_back({std::string(sql.substr(at + 1, end > at + 1 ? end - at - 2 : 0)), true, true});
-            at = end;
-        } else if (starts_name(c)) {
-            const std::size_t from = at;
-            while (at < sql.size() && in_name(sql[at]))
-                ++at;
-            tokens.push_back({std::string(sql.substr(from, at - from)), true});
-        } else if (c >= '0' && c <= '9') {  // a number holds dots that part no names
-            while (at < sql.size() && (in_name(sql[at]) || sql[at] == '.'))
-                ++at;
-            tokens.push_back({"0"});
-        } else {
-            if (c != ' ' && c != '\t' && c != '\n' && c != '\r')
-                tokens.push_back({std::string(1, c)});
+        if (const auto end = comment_end(sql, at))
+            at = *end;
+        else if (is_blank(sql[at]))
             ++at;
-        }
+        else
+            tokens.push_back(read_token(sql, at));
     }
     return tokens;
 }
@@ -76,10 +107,10 @@
 bool before_table(const Token& t) {
     if (!t.name || t.quoted)
         return false;
-    for (const char* word : {"from", "join", "into", "update", "table"})
-        if (same_word(t.text, word))
-            return true;
-    return false;
+    constexpr std::array kKeywords = {"from", "join", "into", "update", "table"};
+    return std::any_of(kKeywords.begin(), kKeywords.end(), [&](const char* keyword) {
+        return same_word(t.text, keyword);
+    });
 }
 
 }  // namespace
