--- a/src/decide/account.cpp
+++ b/src/decide/account.cpp
@@ -16,21 +16,21 @@
 }  // namespace
 
 const char* name_of(RequestState s) {
-    constexpr const char* kNames[kRequestStates] = {"open",   "interrupted", "served",    "refused",
-                                                    "failed", "cut",         "cancelled", "abandoned"};
+    static constexpr const char* kNames[kRequestStates] = {"open",   "interrupted", "served",    "refused",
+                                                           "failed", "cut",         "cancelled", "abandoned"};
     return kNames[static_cast<int>(s)];
 }
 
 const char* name_of(AttemptState s) {
-    constexpr const char* kNames[kAttemptStates] = {"out",         "interrupted", "answered", "error",
-                                                    "turned_away", "unreachable", "lost",     "late",
-                                                    "called_off",  "not_sent"};
+    static constexpr const char* kNames[kAttemptStates] = {"out",         "interrupted", "answered", "error",
+                                                           "turned_away", "unreachable", "lost",     "late",
+                                                           "called_off",  "not_sent"};
     return kNames[static_cast<int>(s)];
 }
 
 const char* name_of(WastedWork w) {
-    constexpr const char* kNames[kWastes] = {"none", "failed",    "lost", "late",        "called_off",
-                                             "left", "unfetched", "cut",  "interrupted", "unrecorded"};
+    static constexpr const char* kNames[kWastes] = {"none", "failed",    "lost", "late",        "called_off",
+                                                    "left", "unfetched", "cut",  "interrupted", "unrecorded"};
     return kNames[static_cast<int>(w)];
 }
 
--- a/src/decide/engine_exchange.hpp
+++ b/src/decide/engine_exchange.hpp
@@ -1,4 +1,5 @@
-// What the answers of a platform engine come to: pages that make a whole result, and what an end proves.
+// The result of one exchange with an engine over the platform's protocol: the pages of a result, the outcome
+// for the policy, and what the end of a connection proves about a request on it.
 #pragma once
 
 #include <optional>
@@ -10,13 +11,19 @@
 
 namespace gatetiller::decide {
 
+// How an exchange ended, and what the engine returned.
 struct ExchangeResult {
     enum class Status {
-        completed,           // every page is there
-        rejected,            // SHED: it never ran
-        failed,              // FAULT: it may have run
-        deadline_passed,     // LATE: it never ran
-        connection_refused,  // no connection came about: it never ran
+        // Every page arrived.
+        completed,
+        // SHED: not executed.
+        rejected,
+        // FAULT: it may have been executed.
+        failed,
+        // LATE: not executed.
+        deadline_passed,
+        // No connection was established: not executed.
+        connection_refused,
         not_sent,  // not wholly written when its connection ended, taken back unwritten, or kept by this
                    // machine for want of a descriptor, a port or the like: it never ran, and its engine is
                    // not to blame
--- a/src/decide/ledger_state.cpp
+++ b/src/decide/ledger_state.cpp
@@ -5,14 +5,14 @@
 namespace gatetiller::decide {
 
 const char* name_of(StoreError t) {
-    constexpr const char* kNames[] = {
+    static constexpr const char* kNames[] = {
         "none",      "disk full", "read-only", "corrupt", "kept by another process",
         "no access", "I/O error", "lagging",   "killed",  "not a ledger"};
     return kNames[static_cast<int>(t)];
 }
 
 LedgerGap gap_after_kill(Micros last, Micros began, Micros tail) {
-    constexpr Micros kUnsure = 10 * kSecondMicros;
+    static constexpr Micros kUnsure = 10 * kSecondMicros;
     LedgerGap g{StoreError::killed, last, std::max(began, last + tail), -1, -1};
     if (began < last)
         g.from = began - kUnsure;
--- a/src/decide/pattern.hpp
+++ b/src/decide/pattern.hpp
@@ -1,4 +1,5 @@
-// Patterns as routes and teams have them: `*` for any run of characters; an empty one fits everything.
+// Matching of the patterns in routes and teams: `*` stands for any run of characters, and an empty pattern
+// matches everything.
 #pragma once
 
 #include <algorithm>
@@ -7,16 +8,17 @@
 
 namespace gatetiller::decide {
 
+// Whether `pattern` matches all of `text`.
 inline bool pattern_fits(std::string_view pattern, std::string_view text) {
     return pattern.empty() || glob_matches(pattern, text);
 }
 
-// Each pattern fits some tag.
+// Whether each of `patterns` matches at least one of `tags`.
 template <typename Patterns, typename Tags>
 bool patterns_fit(const Patterns& patterns, const Tags& tags) {
-    return std::all_of(patterns.begin(), patterns.end(), [&](const auto& wanted) {
+    return std::all_of(patterns.begin(), patterns.end(), [&](const auto& pattern) {
         return std::any_of(tags.begin(), tags.end(), [&](std::string_view tag) {
-            return glob_matches(wanted, tag);
+            return glob_matches(pattern, tag);
         });
     });
 }
--- a/src/decide/quota.cpp
+++ b/src/decide/quota.cpp
@@ -5,7 +5,7 @@
 namespace gatetiller::decide {
 
 const char* name_of(QuotaState s) {
-    constexpr const char* kNames[] = {"within", "soft", "hard"};
+    static constexpr const char* kNames[] = {"within", "soft", "hard"};
     return kNames[static_cast<int>(s)];
 }
 
--- a/src/decide/routing.cpp
+++ b/src/decide/routing.cpp
@@ -7,10 +7,10 @@
 namespace gatetiller::decide {
 namespace {
 
-bool fits(const Route& r, const Traits& t) {
-    return pattern_fits(r.user, t.user) && pattern_fits(r.source, t.source) &&
-           pattern_fits(r.catalog, t.catalog) && pattern_fits(r.schema, t.schema) &&
-           patterns_fit(r.tags, t.tags);
+bool matches(const Route& route, const Traits& traits) {
+    return pattern_fits(route.user, traits.user) && pattern_fits(route.source, traits.source) &&
+           pattern_fits(route.catalog, traits.catalog) && pattern_fits(route.schema, traits.schema) &&
+           patterns_fit(route.tags, traits.tags);
 }
 
 std::string value_of(const std::string& from, const Traits& t) {
@@ -31,8 +31,8 @@
     return "";
 }
 
-// All fronts give a group the same number. Never 0, which means none.
-std::int64_t number_of(const std::string& name) {
+// Equal at every gateway, and never 0, which means no group.
+std::int64_t group_number(const std::string& name) {
     if (name.empty())
         return 0;
     return static_cast<std::int64_t>(hash_of(name) >> 12 | 1);
@@ -44,13 +44,13 @@
     : routes_(std::move(routes)), tenants_(std::move(tenants)) {}
 
 std::optional<Routed> Router::route(const Traits& traits) const {
-    const auto found = std::find_if(routes_.begin(), routes_.end(), [&](const Route& r) {
-        return fits(r, traits);
+    const auto found = std::find_if(routes_.begin(), routes_.end(), [&](const Route& candidate) {
+        return matches(candidate, traits);
     });
     if (found == routes_.end())
         return std::nullopt;
     Routed to{found->cls, found->tenant, value_of(found->key_from, traits),
-              number_of(value_of(found->group_from, traits))};
+              group_number(value_of(found->group_from, traits))};
     if (to.tenant.empty())
         to.tenant = value_of(found->tenant_from, traits);
     if (!tenants_.empty() && std::find(tenants_.begin(), tenants_.end(), to.tenant) == tenants_.end())
--- a/src/decide/routing.hpp
+++ b/src/decide/routing.hpp
@@ -1,5 +1,6 @@
-// decide: decisions beside the module's, as pure functions and small state machines: no I/O, no clock.
-// This file: which class and tenant a statement belongs to, and what key and group it carries.
+// Routing of a statement: its class, tenant, idempotency key and group, from what the client sent with it.
+//
+// Routes are tried in order and the first match decides. Patterns are those of pattern.hpp.
 #pragma once
 
 #include <map>
@@ -11,15 +12,17 @@
 
 namespace gatetiller::decide {
 
-struct Traits {  // what a client said along with a statement
+// What a client sent with a statement.
+struct Traits {
     std::string user, source, catalog, schema, trace_token;
     std::vector<std::string> tags;
 };
 
-// One route. Patterns have `*` for any run of characters; an empty one matches everything. All must match.
+// One route: the patterns that a statement must match, all of them, and what it is assigned.
 struct Route {
     std::string user, source, catalog, schema;
-    std::vector<std::string> tags;  // each must match some tag of the statement
+    // Each must match at least one tag of the statement.
+    std::vector<std::string> tags;
     std::string cls;
     std::string tenant;       // by name, or empty: from `tenant_from`
     std::string tenant_from;  // "user", "source", "catalog", "schema", or "tag:PREFIX"
@@ -27,16 +30,18 @@
     std::string group_from;   // "catalog", "schema", or "tag:PREFIX"; empty: no group
 };
 
+// The verdict of a Router.
 struct Routed {
     std::string cls, tenant, key;
-    std::int64_t group = 0;  // a number of its own for each group's name; 0: none
+    // A hash of the group's name, the same at every gateway; 0: no group.
+    std::int64_t group = 0;
 };
 
 class Router {
 public:
     Router(std::vector<Route> routes, std::vector<std::string> tenants);
-    // The first route that matches decides; nothing where none does. A tenant that the settings don't know
-    // counts as the last of them, which is the usual place for "everyone else".
+    // By the first route that matches; nothing where none does. A tenant that is not one of `tenants` is
+    // replaced by the last of them, the default tenant.
     std::optional<Routed> route(const Traits& traits) const;
 
 private:
--- a/src/decide/settlement.cpp
+++ b/src/decide/settlement.cpp
@@ -8,9 +8,9 @@
 namespace gatetiller::decide {
 
 const char* name_of(SettlementFinding f) {
-    constexpr const char* kNames[kFindings] = {"agreed",  "unseen_end",    "never_ran",    "unlogged",
-                                               "in_gap",  "other_life",    "direct",       "worked_on",
-                                               "differs", "journal_lacks", "ledger_lacks", "ran_after_all"};
+    static constexpr const char* kNames[kFindings] = {
+        "agreed", "unseen_end", "never_ran", "unlogged",      "in_gap",       "other_life",
+        "direct", "worked_on",  "differs",   "journal_lacks", "ledger_lacks", "ran_after_all"};
     return kNames[static_cast<int>(f)];
 }
 
--- a/src/decide/table_group.cpp
+++ b/src/decide/table_group.cpp
@@ -107,7 +107,7 @@
 bool before_table(const Token& t) {
     if (!t.name || t.quoted)
         return false;
-    constexpr std::array kKeywords = {"from", "join", "into", "update", "table"};
+    static constexpr std::array kKeywords = {"from", "join", "into", "update", "table"};
     return std::any_of(kKeywords.begin(), kKeywords.end(), [&](const char* keyword) {
         return same_word(t.text, keyword);
     });
--- a/src/decide/table_group.hpp
+++ b/src/decide/table_group.hpp
@@ -1,5 +1,5 @@
-// Which group of tables a statement reads or writes, by the platform's naming: the number behind the
-// underscore in the name of a schema.
+// The group of tables that a statement reads or writes, by the platform's naming convention: the number after
+// the last underscore in a schema's name.
 #pragma once
 
 #include <cstdint>
@@ -7,9 +7,10 @@
 
 namespace gatetiller::decide {
 
-// 17 of `sales_17.orders`; 0 where no schema tells one. What stands in strings and comments does not count,
-// nor does the schema `staging`. A name behind FROM, JOIN, INTO, UPDATE or TABLE goes before others that look
-// like one, such as an alias and its column.
+// The group of the first table name after FROM, JOIN, INTO, UPDATE or TABLE whose schema has one; failing
+// that, of the first dotted name that has one (which may be an alias with its column); 0 where there is none.
+// 17 for `sales_17.orders`. Strings, comments and the schema `staging` have no group. Any text is valid
+// input.
 std::int64_t table_group(std::string_view sql);
 
 }  // namespace gatetiller::decide
