--- a/src/decide/endpoint_list.cpp
+++ b/src/decide/endpoint_list.cpp
@@ -36,9 +36,9 @@
 
 }  // namespace
 
-std::optional<EndpointUpdate> EndpointList::take(std::uint64_t number,
-                                                 const std::vector<DiscoveredEndpoint>& list, Micros now,
-                                                 Micros wall, Micros requested_at) {
+std::optional<EndpointUpdate> EndpointList::apply(std::uint64_t number,
+                                                  const std::vector<DiscoveredEndpoint>& list, Micros now,
+                                                  Micros wall, Micros requested_at) {
     const auto serial = static_cast<std::uint32_t>(number);
     const auto verdict = serials_.classify(serial, requested_at, now);
     if (verdict == UpdateVerdict::restarted)
@@ -64,9 +64,9 @@
     return mark_suspects(effective);
 }
 
-std::optional<EndpointUpdate> EndpointList::take(std::uint64_t number,
-                                                 const std::vector<DiscoveredEndpoint>& list, Micros now,
-                                                 Micros wall) {
+std::optional<EndpointUpdate> EndpointList::apply(std::uint64_t number,
+                                                  const std::vector<DiscoveredEndpoint>& list, Micros now,
+                                                  Micros wall) {
     const auto serial = static_cast<std::uint32_t>(number);
     if (!serials_.advances(serial))
         return std::nullopt;
--- a/src/decide/endpoint_list.hpp
+++ b/src/decide/endpoint_list.hpp
@@ -61,13 +61,13 @@
     // Applies an answer of a discovery source: the complete `list` with its serial `number`, requested at
     // `requested_at` and received at `now`. Returns what changes for the policy, or nothing; the first
     // accepted list is an update of kind `cached`, every other one `incremental`.
-    std::optional<EndpointUpdate> take(std::uint64_t number, const std::vector<DiscoveredEndpoint>& list,
-                                       Micros now, Micros wall, Micros requested_at);
+    std::optional<EndpointUpdate> apply(std::uint64_t number, const std::vector<DiscoveredEndpoint>& list,
+                                        Micros now, Micros wall, Micros requested_at);
     // Applies the list of a configuration: accepted where its serial is newer, ignored otherwise.
-    std::optional<EndpointUpdate> take(std::uint64_t number, const std::vector<DiscoveredEndpoint>& list,
-                                       Micros now, Micros wall);
+    std::optional<EndpointUpdate> apply(std::uint64_t number, const std::vector<DiscoveredEndpoint>& list,
+                                        Micros now, Micros wall);
     // Confirms the accepted list by an answer of which only the serial was read. False where its content must
-    // be applied by take(): it is another serial, or some endpoint is suspect.
+    // be applied by apply(): it is another serial, or some endpoint is suspect.
     bool confirm(std::uint64_t number, Micros now);
 
     // The serial of the accepted list; 0 where there is none.
--- a/src/node/endpoint_registry.cpp
+++ b/src/node/endpoint_registry.cpp
@@ -54,7 +54,7 @@
 
 void EndpointRegistry::apply_configured(std::uint64_t serial,
                                         const std::vector<decide::DiscoveredEndpoint>& endpoints) {
-    apply(list_.take(serial, endpoints, loop_.now(), wall_now()));
+    apply(list_.apply(serial, endpoints, loop_.now(), wall_now()));
 }
 
 void EndpointRegistry::apply_received(const discovery::ReceivedUpdate& update) {
@@ -64,7 +64,7 @@
                     std::to_string(update.endpoints.size()) + " engines asked " +
                     std::to_string((loop_.now() - update.polled_at) / kMillisecond) +
                     " ms ago, current: " + list_text());
-    auto change = list_.take(update.serial, update.endpoints, loop_.now(), wall_now(), update.polled_at);
+    auto change = list_.apply(update.serial, update.endpoints, loop_.now(), wall_now(), update.polled_at);
     if (update.serial < previous && list_.serial() == update.serial)
         deps_.log("the name service's numbering has started anew: list " + std::to_string(previous) +
                   " was current, " + std::to_string(update.serial) + " is now");
--- a/tests/decide/endpoint_list_test.cpp
+++ b/tests/decide/endpoint_list_test.cpp
@@ -19,27 +19,27 @@
 
 TEST(EngineList, OnlyNewerListsCountAndWhatTheyLackIsGone) {
     EndpointList list;
-    const auto first = list.take(3, {engine("a", "h:1"), engine("b", "h:2")}, 0, 0);
+    const auto first = list.apply(3, {engine("a", "h:1"), engine("b", "h:2")}, 0, 0);
     ASSERT_TRUE(first);
     EXPECT_EQ(first->kind, EndpointUpdateKind::cached);
     EXPECT_EQ(first->endpoints.size(), 2u);
-    EXPECT_FALSE(list.take(3, {}, 0, 0));  // the same number
-    EXPECT_FALSE(list.take(2, {}, 0, 0));  // an older list
-    const auto second = list.take(4, {engine("b", "h:2", EndpointState::draining)}, 0, 0);
+    EXPECT_FALSE(list.apply(3, {}, 0, 0));  // the same number
+    EXPECT_FALSE(list.apply(2, {}, 0, 0));  // an older list
+    const auto second = list.apply(4, {engine("b", "h:2", EndpointState::draining)}, 0, 0);
     ASSERT_TRUE(second);
     EXPECT_EQ(second->kind, EndpointUpdateKind::incremental);
     ASSERT_EQ(second->endpoints.size(), 2u);
     EXPECT_EQ(second->endpoints[0].state, EndpointState::draining);
     EXPECT_EQ(second->endpoints[1].state, EndpointState::removed);
     EXPECT_EQ(second->endpoints[1].id, first->endpoints[0].id);
-    EXPECT_FALSE(list.take(5, {engine("b", "h:2", EndpointState::draining)}, 0, 0));  // nothing changed
+    EXPECT_FALSE(list.apply(5, {engine("b", "h:2", EndpointState::draining)}, 0, 0));  // nothing changed
     EXPECT_EQ(list.serial(), 5u);
 }
 
 TEST(EngineList, ANewEngineAtAnOldAddressIsAnotherOne) {
     EndpointList list;
-    const auto first = list.take(1, {engine("a", "h:1")}, 0, 0);
-    const auto second = list.take(2, {engine("b", "h:1")}, 0, 0);
+    const auto first = list.apply(1, {engine("a", "h:1")}, 0, 0);
+    const auto second = list.apply(2, {engine("b", "h:1")}, 0, 0);
     ASSERT_TRUE(second);
     ASSERT_EQ(second->endpoints.size(), 2u);
     EXPECT_NE(second->endpoints[0].id, first->endpoints[0].id);
@@ -48,16 +48,16 @@
 
 TEST(EngineList, AStartIsPutOnTheLoopsClockOnce) {
     EndpointList list;
-    ASSERT_TRUE(list.take(1, {engine("b", "h:2")}, 40 * kSecondMicros, 94 * kSecondMicros));
+    ASSERT_TRUE(list.apply(1, {engine("b", "h:2")}, 40 * kSecondMicros, 94 * kSecondMicros));
     auto young = engine("a", "h:1");
     young.started_at = 100 * kSecondMicros;
-    auto change = list.take(2, {engine("b", "h:2"), young}, 50 * kSecondMicros, 104 * kSecondMicros);
+    auto change = list.apply(2, {engine("b", "h:2"), young}, 50 * kSecondMicros, 104 * kSecondMicros);
     EXPECT_EQ(change->endpoints[0].started_at, 46 * kSecondMicros);
     young.state = EndpointState::draining;  // the wall clock has been set back meanwhile
-    change = list.take(3, {engine("b", "h:2"), young}, 51 * kSecondMicros, 90 * kSecondMicros);
+    change = list.apply(3, {engine("b", "h:2"), young}, 51 * kSecondMicros, 90 * kSecondMicros);
     EXPECT_EQ(change->endpoints[0].started_at, 46 * kSecondMicros);
     young.started_at = 0;
-    change = list.take(4, {engine("b", "h:2"), young}, 52 * kSecondMicros, 0);
+    change = list.apply(4, {engine("b", "h:2"), young}, 52 * kSecondMicros, 0);
     EXPECT_EQ(change->endpoints[0].started_at, 0);
 }
 
@@ -67,13 +67,13 @@
     for (const Micros step : {kHour, 30 * kSecondMicros, -30 * kSecondMicros, -kHour}) {
         EndpointList list;
         const Micros wall = 100'000 * kSecondMicros;
-        ASSERT_TRUE(list.take(1, {engine("a", "h:1")}, 10 * kSecondMicros, wall));
-        EXPECT_FALSE(list.take(1, {engine("a", "h:1")}, 20 * kSecondMicros, wall + 10 * kSecondMicros,
-                               20 * kSecondMicros));
+        ASSERT_TRUE(list.apply(1, {engine("a", "h:1")}, 10 * kSecondMicros, wall));
+        EXPECT_FALSE(list.apply(1, {engine("a", "h:1")}, 20 * kSecondMicros, wall + 10 * kSecondMicros,
+                                20 * kSecondMicros));
         auto young = engine("b", "h:2");
         young.started_at = wall + 20'500 * kMillisecond;  // by a clock that is right
         const auto change =
-            list.take(2, {engine("a", "h:1"), young}, 21 * kSecondMicros, wall + 11 * kSecondMicros + step);
+            list.apply(2, {engine("a", "h:1"), young}, 21 * kSecondMicros, wall + 11 * kSecondMicros + step);
         ASSERT_TRUE(change);
         EXPECT_GE(change->endpoints[0].started_at, 20 * kSecondMicros) << step;
         EXPECT_LE(change->endpoints[0].started_at, 21 * kSecondMicros) << step;
@@ -87,7 +87,7 @@
         auto young = engine("a", "h:1"), old = engine("b", "h:2");
         young.started_at = started, old.started_at = started - 4 * kHour;
         EndpointList list;
-        const auto change = list.take(1, {young, old}, now, started + kSecondMicros + step);
+        const auto change = list.apply(1, {young, old}, now, started + kSecondMicros + step);
         ASSERT_TRUE(change);
         EXPECT_EQ(change->endpoints[0].started_at, now) << step;
         EXPECT_LT(change->endpoints[1].started_at, now - kHour) << step;
@@ -101,7 +101,7 @@
         auto older = engine("a", "h:1"), latest = engine("b", "h:2");
         older.started_at = started - 8 * kSecondMicros, latest.started_at = started;
         EndpointList list;
-        const auto change = list.take(1, {older, latest}, now, started + kSecondMicros + step);
+        const auto change = list.apply(1, {older, latest}, now, started + kSecondMicros + step);
         ASSERT_TRUE(change);
         EXPECT_EQ(change->endpoints[0].started_at, now - 8 * kSecondMicros) << step;
         EXPECT_EQ(change->endpoints[1].started_at, now) << step;
@@ -112,9 +112,9 @@
     EndpointList list;
     auto a = engine("a", "h:1");
     a.started_at = 50 * kSecondMicros;
-    ASSERT_TRUE(list.take(1, {a}, 100 * kSecondMicros, 160 * kSecondMicros));
+    ASSERT_TRUE(list.apply(1, {a}, 100 * kSecondMicros, 160 * kSecondMicros));
     a.started_at = 150 * kSecondMicros;
-    const auto change = list.take(2, {a}, 103 * kSecondMicros, 4'000 * kSecondMicros);
+    const auto change = list.apply(2, {a}, 103 * kSecondMicros, 4'000 * kSecondMicros);
     ASSERT_TRUE(change);
     EXPECT_GE(change->endpoints[0].started_at, 100 * kSecondMicros);
 }
@@ -127,7 +127,7 @@
     std::optional<EndpointUpdate> hear(std::uint64_t number,
                                        const std::vector<decide::DiscoveredEndpoint>& engines) {
         now += 250 * kMillisecond;
-        return list.take(number, engines, now, now, now);
+        return list.apply(number, engines, now, now, now);
     }
     const std::vector<decide::DiscoveredEndpoint> on{engine("a", "h:1"), engine("b", "h:2")};
     const std::vector<decide::DiscoveredEndpoint> drains{engine("a", "h:1", EndpointState::draining),
@@ -219,7 +219,7 @@
     const Micros asked = now - kSecondMicros;
     for (int i = 0; i < 50; ++i) {
         now += 100 * kMillisecond;
-        EXPECT_FALSE(list.take(8, drains, now, now, asked));
+        EXPECT_FALSE(list.apply(8, drains, now, now, asked));
     }
     EXPECT_EQ(list.serial(), 9u);
 }
--- a/tests/soak/planted.cpp
+++ b/tests/soak/planted.cpp
@@ -25,11 +25,11 @@
 constexpr EngineId kUnlistedEngine = 0;
 
 void plant_in_class(ClassSettings& settings) {
-    if (planted("repeat_of_once") && settings.idempotency == Idempotency::non_idempotent)
+    if (planted("retry_of_non_idempotent") && settings.idempotency == Idempotency::non_idempotent)
         settings.idempotency = Idempotency::idempotent;
-    if (planted("repeat_past_key_window"))
+    if (planted("retry_past_key_window"))
         settings.key_window = kEndlessKeyWindow;
-    if (planted("repeat_outside_key_scope"))
+    if (planted("retry_outside_key_scope"))
         settings.key_scope = KeyScope::all;
     if (planted("send_against_placement"))
         settings.allowed_zones.reset();
@@ -38,7 +38,7 @@
 class PlantedFaults final : public FaultInjection {
 public:
     PolicySettings policy_settings(PolicySettings settings) const override {
-        if (planted("send_over_attempt_cap"))
+        if (planted("send_over_max_attempts"))
             settings.max_attempts += kExtraAttempts;
         if (planted("cold_engine_taken_for_warm"))
             settings.slow_start_window = 0;
@@ -71,10 +71,10 @@
         return attempt > 0 && planted("send_to_unlisted_engine") ? kUnlistedEngine : engine;
     }
     std::size_t slow_start_attempts_per_attempt() const override {
-        return planted("send_over_cold_budget") ? kSlowStartWeight : 1;
+        return planted("send_over_slow_start_budget") ? kSlowStartWeight : 1;
     }
     bool doubles_first_attempt() const override {
-        return planted("send_while_attempt_out");
+        return planted("send_while_attempt_in_flight");
     }
     bool sends_stale_time_left() const override {
         return planted("stale_deadline");
@@ -83,13 +83,13 @@
         return planted("send_past_drain_grace");
     }
     bool begins_in_spite_of_violation() const override {
-        return planted("guard_off") || planted("send_after_client_left");
+        return planted("guard_off") || planted("send_after_client_disconnected");
     }
     bool sends_after_client_left() const override {
-        return planted("send_after_client_left");
+        return planted("send_after_client_disconnected");
     }
     bool sends_after_final_response() const override {
-        return planted("send_after_final");
+        return planted("send_after_final_response");
     }
 
     bool loses_response(Micros deadline) const override {
@@ -100,14 +100,14 @@
             return false;
         if (planted("close_with_request_open") && client.open_requests > 0)
             return true;
-        return planted("close_with_answer_unsent") && client.open_requests == 0 && client.has_unsent;
+        return planted("close_with_response_unsent") && client.open_requests == 0 && client.has_unsent;
     }
     bool closes_over_unread_bytes() const override {
         return planted("close_over_unread_bytes");
     }
 
     decide::ReadinessContext readiness(decide::ReadinessContext context) const override {
-        context.has_endpoints = context.has_endpoints && !planted("ready_without_list");
+        context.has_endpoints = context.has_endpoints && !planted("ready_without_endpoints");
         context.is_listening = context.is_listening && !planted("ready_without_listener");
         context.handles_signals = context.handles_signals && !planted("ready_without_signals");
         return context;
