--- a/src/decide/attempt_guard.hpp
+++ b/src/decide/attempt_guard.hpp
@@ -61,6 +61,8 @@
 // The number of requests of mean work that an engine in slow start may receive within the overload window
 // from all gateways together, where `share_requests` of them fit its share of capacity. The allowance above
 // `share_requests` covers random variation: 2 * sqrt(n) + 2, or 3 * sqrt(n) + 3 below 30 requests.
+// Unlike policy::slow_start_budget this counts requests, not work. The guard compares it with the attempts of
+// this gateway alone, so it cannot see a breach by several gateways together.
 double slow_start_budget(double share_requests);
 
 // The number of requests that fit the slow-start share of an engine's capacity within the overload window.
--- a/src/decide/client_eviction.hpp
+++ b/src/decide/client_eviction.hpp
@@ -1,7 +1,8 @@
 // Timeouts of client connections, and which connection is closed to make room for a new client.
 //
-// A connection is never timed out or evicted while a response is owed to the client or not fully written, or
-// while received bytes are unread: a close would lose them. Times are microseconds of one monotonic clock.
+// An open connection is never timed out or evicted while a response is owed to the client or not fully
+// written, or while received bytes are unread: a close would lose them. One that this side has shut down is
+// timed out after linger_timeout. Times are microseconds of one monotonic clock.
 #pragma once
 
 #include <cstddef>
--- a/src/decide/endpoint_list.hpp
+++ b/src/decide/endpoint_list.hpp
@@ -11,13 +11,12 @@
 //   that the answer lacks or has as draining are reported as draining (suspects). Other content under the
 //   accepted serial is accepted when the same content comes twice in a row.
 // - Once the numbering has restarted, the answer is accepted. Endpoints that were draining then, or were
-// removed
-//   within the last 60 s, are reported as draining for 10 s more, as the source may only be lagging behind.
+//   removed within the last 60 s, are reported as draining for 10 s more, as the source may only be lagging
+//   behind.
 // - A start time is converted to the monotonic clock once, when it first appears (estimate_start() below).
-// The
-//   wall clock alone never makes an engine old: it is no older than the last confirmation of a list without
-//   that start; in the first list it counts as just started unless it appears to be at least two hours old;
-//   and it is always older than the list's latest start by the difference of the two.
+//   The wall clock alone never makes an engine old: it is no older than the last confirmation of a list
+//   without that start; in the first list it counts as just started unless it appears to be at least two
+//   hours old; and it is always older than the list's latest start by the difference of the two.
 //
 // Invariants: an EngineId belongs to one name for ever while the name is listed, and is never reused; an
 // address may pass from one name to another. Times are microseconds: `now` of the monotonic clock, `wall` of
--- a/src/front/front.hpp
+++ b/src/front/front.hpp
@@ -53,7 +53,7 @@
     void drain(std::function<void()> done);
     // Takes over engines, endpoint source and routes of new settings; the rest needs a restart.
     void reload(const config::FrontSettings& settings);
-    // Admission level of the policy.
+    // Share of free slots that the policy offers to latency-sensitive requests first, in [0.05, 0.95].
     double alpha() const {
         return driver_.alpha();
     }
--- a/src/node/attempt_dispatcher.cpp
+++ b/src/node/attempt_dispatcher.cpp
@@ -33,14 +33,15 @@
 void AttemptDispatcher::dispatch(ActiveRequest& request, EngineId engine_id, Micros timeout) {
     Attempt& attempt = add_attempt(request, engine_id, timeout);
     const auto context = context_of(attempt);
-    const auto slow_start_requests = endpoints_.slow_start_requests(attempt.engine);
-    const auto permit = guard_.permit(context, *request.class_settings, slow_start_requests);
+    const auto slow_start_share_requests = endpoints_.slow_start_share_requests(attempt.engine);
+    const auto permit = guard_.permit(context, *request.class_settings, slow_start_share_requests);
     RegisteredEngine* const engine = endpoints_.find(attempt.engine);
     if (engine)
         ++engine->in_flight;
     if (!permit) {
-        events_.on_violation(*guard_.find_violation(context, *request.class_settings, slow_start_requests),
-                             name_of(attempt));
+        events_.on_violation(
+            *guard_.find_violation(context, *request.class_settings, slow_start_share_requests),
+            name_of(attempt));
         return complete(attempt, AttemptOutcome::not_sent);
     }
     attempt.in_flight = request.lifecycle.apply(decide::RequestEvent::attempt_started);
@@ -190,7 +191,7 @@
         complete(attempt, AttemptOutcome::not_sent);
 }
 
-// Whether or not the policy may cancel it: nothing begins for a client that has left.
+// Does not depend on PolicySettings::can_cancel: no attempt may begin for a client that has left.
 void AttemptDispatcher::on_client_left(ActiveRequest& request) {
     Attempt* const attempt = request.attempt_in_flight();
     if (!attempt)
--- a/src/node/client_sessions.hpp
+++ b/src/node/client_sessions.hpp
@@ -34,8 +34,9 @@
     std::uint64_t accepted = 0;   // connections
     std::uint64_t malformed = 0;  // messages that ended their connection
     std::uint64_t evicted = 0;    // connections closed at once for others
-    std::uint64_t overdue = 0;    // connections closed for saying nothing, or only a part of a request
-    std::uint64_t waits = 0;      // times that newcomers waited until a connection could be evicted
+    std::uint64_t overdue =
+        0;  // times that no complete request arrived in time; the connection may have been kept
+    std::uint64_t waits = 0;  // times that newcomers waited until a connection could be evicted
     std::array<std::uint64_t, decide::kCloseReasons> closed{};  // connections, by reason
 };
 
--- a/src/node/endpoint_registry.cpp
+++ b/src/node/endpoint_registry.cpp
@@ -87,7 +87,7 @@
         connections->end_all("the engine has another address");
     // What still waits to go out to an engine that is not ready would begin after its drain grace.
     events_.on_applied();
-    discard_at_drained();
+    reset_before_grace_ends();
 }
 
 // Gives each listed engine connections to its address, and returns those to earlier addresses.
@@ -149,9 +149,10 @@
     deps_.log(text);
 }
 
-// What the kernel still holds for a draining engine would begin after its grace. Its connections to it are
-// reset shortly before that, and what was in flight there is retried by the new list where it may be.
-void EndpointRegistry::discard_at_drained() {
+// Bytes that a draining engine has not acknowledged could start an attempt there after its grace.
+// Connections with such bytes are reset shortly before the grace ends; the policy retries their attempts
+// where allowed.
+void EndpointRegistry::reset_before_grace_ends() {
     const Micros grace = std::max<Micros>(0, settings_.policy.drain_grace - kDiscardLead);
     std::vector<EngineId> due;
     Micros next_at = 0;  // 0: nothing is pending
@@ -170,7 +171,7 @@
     if (next_at > 0)
         discard_timer_ = loop_.after(next_at - loop_.now(), [this] {
             discard_timer_ = 0;
-            discard_at_drained();
+            reset_before_grace_ends();
         });
     for (const EngineId id : due) {
         const RegisteredEngine* const engine = find(id);
@@ -230,7 +231,7 @@
     mean_work_ = mean_work_ > 0 ? mean_work_ + kWorkSmoothing * (sample - mean_work_) : sample;
 }
 
-std::optional<double> EndpointRegistry::slow_start_requests(EngineId id) const {
+std::optional<double> EndpointRegistry::slow_start_share_requests(EngineId id) const {
     const RegisteredEngine* const engine = find(id);
     if (!engine)
         return std::nullopt;
--- a/src/node/endpoint_registry.hpp
+++ b/src/node/endpoint_registry.hpp
@@ -48,7 +48,8 @@
     struct Events {
         // An update for the policy.
         std::function<void(EndpointUpdate)> on_update;
-        // The policy knows it: attempts that still wait for an engine that is not ready are to be withdrawn.
+        // Called after the policy received that update: attempts of which nothing was sent yet to an engine
+        // that is not ready are to be withdrawn.
         std::function<void()> on_applied;
     };
 
@@ -89,9 +90,10 @@
 
     // The estimated work of an accepted request, in microseconds on one thread.
     void record_work(Micros work);
-    // How many requests of mean work an engine in slow start may get from all nodes within the window;
-    // nothing where that is unknown.
-    std::optional<double> slow_start_requests(EngineId id) const;
+    // How many requests of mean work fit the engine's slow-start share within the overload window, for all
+    // nodes together and without the guard's allowance (decide::slow_start_budget); nothing where that is
+    // unknown.
+    std::optional<double> slow_start_share_requests(EngineId id) const;
     void record_slow_start_send(EngineId id, Micros at, std::size_t attempts);
 
     // ---- Operation
@@ -114,7 +116,7 @@
     decide::ConnectionLimits connection_limits() const;
     void record(const EndpointUpdate& update);
     void log_state(const RegisteredEngine& engine, const Endpoint& endpoint) const;
-    void discard_at_drained();
+    void reset_before_grace_ends();
     void log_list_age();
     Micros wall_now() const;
 
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -84,7 +84,8 @@
     decide::ViolationCounts violations_;
     std::uint64_t bad_lists_ = 0;  // responses of the name service that were ignored
 
-    // Each part refers to those before it alone; the events above lead back.
+    // Each part holds references only to parts declared before it. Calls to later parts go through
+    // callbacks (the Events structs above and the action callback of policy_).
     core::PolicyDriver policy_;
     ClientSessions clients_;
     discovery::DnsEndpointSource discovery_;
--- a/src/policy/active_request.hpp
+++ b/src/policy/active_request.hpp
@@ -71,12 +71,12 @@
     Micros not_before = 0;      // no attempt earlier
     std::vector<Attempt> attempts;
     double projected_run = 0;              // run time projected by the notes of its cancelled attempt
-    int first_endpoint = -1;               // of the first attempt that may have executed; -1: none may have
-    Micros first_attempt_at = 0;           // when that one was dispatched
+    int first_executed_endpoint = -1;      // of the first attempt that may have executed; -1: none may have
+    Micros first_executed_at = 0;          // when that one was dispatched
     int priority = -1;                     // last one granted; -1: none
     QueueSide side = QueueSide::deferred;  // while queued
-    Micros rank = 0;                       // while queued: least first
-    bool deferred = false;                 // by load shedding
+    Micros rank = 0;        // while queued, least first: dispatch_by, or work_per_value() if deferred
+    bool deferred = false;  // because of overload (select_deferred)
 
     bool has_open_attempt() const {
         return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& attempt) {
--- a/src/policy/concurrency_limit.cpp
+++ b/src/policy/concurrency_limit.cpp
@@ -57,8 +57,9 @@
         threads + others * usual.threads <= kSaturationThreadsPerCore * endpoint.cores)
         return RoomVerdict::room;
     // Where gateways outnumber threads, the part of one endpoint is under one query: the limit holds over the
-    // fleet too. Sensitive queries pass it while reports tell of room, and best-effort ones wait while they
-    // tell of none. An overloaded endpoint reports nothing: crawling notes of progress tell of it too.
+    // fleet too. Sensitive queries are exempt from that limit while reports show the fleet below its
+    // saturation point; best-effort ones wait while it is above its limit. An overloaded endpoint sends no
+    // reports, so very slow progress of running attempts also counts as no room.
     const double part = kThreadsPerCoreLimit / input.settings.instance_count * part_factor_;
     const double fleet_threads_per_core = fleet.threads_per_core(now);
     if (!input.sensitive && fleet_threads_per_core > kThreadsPerCoreLimit)
--- a/src/policy/concurrency_limit.hpp
+++ b/src/policy/concurrency_limit.hpp
@@ -43,7 +43,8 @@
 
 class ConcurrencyLimit {
 public:
-    // Counts an attempt in this gateway's part, and takes it out once.
+    // `add` counts an attempt in this gateway's part; `remove` takes it out and has no effect a second
+    // time.
     void add(const Attempt& attempt);
     void remove(Attempt& attempt);
 
--- a/src/policy/endpoint_selection.cpp
+++ b/src/policy/endpoint_selection.cpp
@@ -43,8 +43,9 @@
     if (!endpoint.takes_requests() || !allows(class_settings.allowed_kinds, description.kind) ||
         !allows(class_settings.allowed_zones, description.zone))
         return false;
-    if (request.first_endpoint >= 0 && class_settings.idempotency == Idempotency::keyed &&
-        !in_key_scope(class_settings.key_scope, input.fleet[request.first_endpoint].description, description))
+    if (request.first_executed_endpoint >= 0 && class_settings.idempotency == Idempotency::keyed &&
+        !in_key_scope(class_settings.key_scope, input.fleet[request.first_executed_endpoint].description,
+                      description))
         return false;
     return !in_slow_start(input.settings, description.started_at, input.now) ||
            slow_start_admits(input, request, endpoint);
--- a/src/policy/endpoint_selection.hpp
+++ b/src/policy/endpoint_selection.hpp
@@ -28,11 +28,13 @@
 
 constexpr int kNoEndpoint = -1;
 
-// The index of the endpoint for the request's next attempt, or kNoEndpoint. The retry policy allows one.
+// The index of the endpoint for the request's next attempt, or kNoEndpoint. Precondition: judge_attempt()
+// allows an attempt.
 int select_endpoint(const SelectionInput& input, const ActiveRequest& request);
 
-// Work that a query counts for at an endpoint in slow start, in microseconds of one core. `first`: it would
-// be the window's first there.
+// Work that a query counts for at an endpoint in slow start, in microseconds of one core.
+// first_slow_start_work is for the first query that this gateway sends there in the overload window,
+// slow_start_work for all later ones.
 struct SlowStartWorkInput {
     const ClassSettings& class_settings;
     const ClassStatistics& statistics;
--- a/src/policy/events.hpp
+++ b/src/policy/events.hpp
@@ -80,7 +80,7 @@
 // A client's request arrived.
 struct RequestArrived {
     std::string id;
-    std::string class_name;  // a request of an unknown class is passed over
+    std::string class_name;  // a request of an unknown class is ignored: no action follows
     std::string tenant;
     std::string ordering_key;              // empty: no order to keep
     Micros time_left = 0;                  // until the client gives up
--- a/src/policy/fair_queue.cpp
+++ b/src/policy/fair_queue.cpp
@@ -6,8 +6,9 @@
 namespace gatetiller::policy {
 namespace {
 
-constexpr std::size_t kRequestsTried = 8;  // of a queue whose first ones cannot go
-constexpr double kBacklogShare = 0.5;      // of the shortest objective
+constexpr std::size_t kMaxRequestsTried =
+    8;  // of one queue for one slot, while those before them cannot be dispatched
+constexpr double kBacklogShare = 0.5;  // of the shortest objective
 constexpr double kLeastValue = 1e-3;
 constexpr double kLeastFairShare = 0.01;
 
@@ -31,16 +32,16 @@
     return input.request.work / std::max(value * share, kLeastValue);
 }
 
-std::vector<int> select_deferred(std::vector<SheddingCandidate> waiting, double work_limit) {
+std::vector<int> select_deferred(std::vector<DeferralCandidate> waiting, double work_limit) {
     double work = 0;
-    for (const SheddingCandidate& candidate : waiting)
+    for (const DeferralCandidate& candidate : waiting)
         work += candidate.work;
     std::sort(
-        waiting.begin(), waiting.end(), [](const SheddingCandidate& left, const SheddingCandidate& right) {
+        waiting.begin(), waiting.end(), [](const DeferralCandidate& left, const DeferralCandidate& right) {
             return std::pair(left.work_per_value, left.slot) > std::pair(right.work_per_value, right.slot);
         });
     std::vector<int> slots;
-    for (const SheddingCandidate& candidate : waiting) {
+    for (const DeferralCandidate& candidate : waiting) {
         if (work <= work_limit)
             break;
         work -= candidate.work;
@@ -94,7 +95,7 @@
 bool FairQueue::serve_from(const std::set<Entry>& entries, const TryDispatch& try_dispatch) {
     std::size_t tried = 0;
     for (const auto& [rank, sequence, slot] : entries) {
-        if (++tried > kRequestsTried)
+        if (++tried > kMaxRequestsTried)
             return false;
         if (try_dispatch(slot))  // changes `entries`, so the loop ends
             return true;
--- a/src/policy/fair_queue.hpp
+++ b/src/policy/fair_queue.hpp
@@ -36,15 +36,15 @@
 double work_per_value(const QueueInput& input);
 
 // A request that waits on the sensitive or best-effort side.
-struct SheddingCandidate {
+struct DeferralCandidate {
     double work_per_value = 0;
     int slot = 0;
     double work = 0;
 };
 
-// Load shedding. Returns the slots to defer, in their order: those that cost most for their value, until the
+// Overload: returns the slots to defer, in this order: those that cost most for their value, until the
 // rest fits in `work_limit`.
-std::vector<int> select_deferred(std::vector<SheddingCandidate> waiting, double work_limit);
+std::vector<int> select_deferred(std::vector<DeferralCandidate> waiting, double work_limit);
 
 // Work that the sensitive and best-effort sides may hold.
 struct BacklogInput {
--- a/src/policy/gateway_policy.cpp
+++ b/src/policy/gateway_policy.cpp
@@ -232,9 +232,9 @@
     if (!state_.settings.cost_in_responses && (succeeded || ended_while_alive))
         state_.limit.observe_late(!succeeded ||
                                   completed.duration > request.objective_at - request.arrived_at);
-    if (!proves_not_executed(outcome) && request.first_endpoint < 0) {
-        request.first_endpoint = attempt.endpoint;
-        request.first_attempt_at = attempt.dispatched_at;
+    if (!proves_not_executed(outcome) && request.first_executed_endpoint < 0) {
+        request.first_executed_endpoint = attempt.endpoint;
+        request.first_executed_at = attempt.dispatched_at;
     }
     if (succeeded)
         learn_from_success(request, attempt, completed);
@@ -371,7 +371,7 @@
     advance_key_order();
     lifecycle_.expire();
     policy::monitor_attempts(state_);
-    lifecycle_.shed_load();
+    lifecycle_.defer_overload();
     if (state_.now - refit_at_ >= kRefitPeriod) {
         refit_at_ = state_.now;
         state_.statistics.refit(state_.now);
--- a/src/policy/key_order.hpp
+++ b/src/policy/key_order.hpp
@@ -18,7 +18,7 @@
     void add(RequestTable& requests, int slot);
     // Whether a request may be dispatched as far as its key's order goes.
     bool has_turn(const RequestTable& requests, const ActiveRequest& request, Micros now) const;
-    // Lets later requests of the key wait until then.
+    // No later request of the key may be dispatched before `until`.
     void pause(const std::string& key, Micros until);
     // Drops the requests that are over from the heads of the lines, and ends pauses. Calls
     // `on_head(slot)` for the head of each line that is left.
--- a/src/policy/outlier_detector.hpp
+++ b/src/policy/outlier_detector.hpp
@@ -25,7 +25,7 @@
     bool suspected() const {
         return error_rate_ >= kSuspectedErrorRate;
     }
-    // Whether its last word was that it takes no connection.
+    // Whether it refused a connection and no attempt has succeeded there since.
     bool refuses_connections() const {
         return refuses_connections_;
     }
--- a/src/policy/request_lifecycle.cpp
+++ b/src/policy/request_lifecycle.cpp
@@ -115,7 +115,8 @@
     request.attempts.push_back(attempt);
 }
 
-// Before an attempt: memory, and the priority if it changed.
+// Grants memory and priority, if there is memory to grant or the priority changed. `memory_mb` is 0 for a
+// running attempt, whose memory cannot change.
 void RequestLifecycle::grant_resources(ActiveRequest& request, double memory_mb) {
     const int priority = endpoint_priority(state_->settings, state_->statistics, request, state_->now);
     const bool new_priority = state_->settings.supports_priorities && priority != request.priority;
@@ -193,8 +194,8 @@
         grant_resources(request, 0);
 }
 
-void RequestLifecycle::shed_load() {
-    std::vector<SheddingCandidate> waiting;
+void RequestLifecycle::defer_overload() {
+    std::vector<DeferralCandidate> waiting;
     for (int slot = 0; slot < state_->requests.size(); ++slot) {
         const ActiveRequest& request = state_->requests[slot];
         if (request.queued && request.side != QueueSide::deferred)
--- a/src/policy/request_lifecycle.hpp
+++ b/src/policy/request_lifecycle.hpp
@@ -17,12 +17,13 @@
     void proceed(int slot);
     // Dispatches queued requests until no endpoint has room for the next ones.
     void dispatch_queued();
-    // The client has its answer from elsewhere, or is gone: nothing more is owed.
+    // Ends a request whose client has its final response or is gone: takes it out of the queue and cancels
+    // its open attempts, where they can be cancelled and its response has not started.
     void finish(int slot);
     // Once a tick: gives up what has no time left, moves what became late, and updates priorities.
     void expire();
     // Once a tick: defers queued requests while more is held than can be served in time.
-    void shed_load();
+    void defer_overload();
 
 private:
     bool may_attempt(const ActiveRequest& request) const;
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -27,12 +27,12 @@
         return AttemptVerdict::attempts_used;
     if (request.has_open_attempt())
         return AttemptVerdict::attempt_open;
-    if (request.first_endpoint >= 0) {
+    if (request.first_executed_endpoint >= 0) {
         const ClassSettings& class_settings = input.settings.classes[request.class_index];
         if (class_settings.idempotency == Idempotency::non_idempotent)
             return AttemptVerdict::may_have_executed;
         if (class_settings.idempotency == Idempotency::keyed &&
-            input.now >= request.first_attempt_at + class_settings.key_window)
+            input.now >= request.first_executed_at + class_settings.key_window)
             return AttemptVerdict::key_window_over;
     }
     if (!request.attempts.empty() && !input.budget.allows_retry(input.settings))
@@ -49,7 +49,7 @@
 bool may_shed(const ClassSettings& class_settings, const ActiveRequest& request) {
     if (class_settings.idempotency == Idempotency::idempotent)
         return true;
-    if (request.first_endpoint < 0 && !request.has_open_attempt())
+    if (request.first_executed_endpoint < 0 && !request.has_open_attempt())
         return true;
     return class_settings.idempotency == Idempotency::keyed && class_settings.key_scope == KeyScope::all;
 }
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -3,8 +3,9 @@
 namespace gatetiller::policy {
 namespace {
 
-constexpr double kBudgetMargin = 0.6;       // of the budget that is used: endpoints' speeds vary
-constexpr double kCountedCapacity = 0.85;   // of an endpoint's cores
+constexpr double kUsedBudgetShare =
+    0.6;  // share of the platform's budget that is used, as endpoints' speeds vary
+constexpr double kCountedCoreShare = 0.85;  // share of an endpoint's cores that counts as capacity
 constexpr double kLargestDrawnShare = 0.1;  // of the budget, for a query admitted by draw
 
 }  // namespace
@@ -22,8 +23,8 @@
 }
 
 double slow_start_budget(const PolicySettings& settings, double cores) {
-    return kBudgetMargin * settings.overload_factor * settings.slow_start_capacity_share * kCountedCapacity *
-           cores * static_cast<double>(settings.overload_window);
+    return kUsedBudgetShare * settings.overload_factor * settings.slow_start_capacity_share *
+           kCountedCoreShare * cores * static_cast<double>(settings.overload_window);
 }
 
 bool SlowStartUse::admits(const SlowStartRequest& request) const {
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -41,7 +41,7 @@
     void expire(Micros window_start);
     // Whether a new number is to be drawn.
     bool draw_expired(Micros now) const;
-    // `draw` is uniform in [0, 1) and holds until then.
+    // `draw` is uniform in [0, 1) and holds until `until`.
     void set_draw(double draw, Micros until);
 
 private:
--- a/src/store/ledger.hpp
+++ b/src/store/ledger.hpp
@@ -1,5 +1,5 @@
-// The ledger in its file: every request's account as rows, written in batches of which each is there to the
-// row or not at all.
+// The ledger in its file: every request's account as rows, written in batches, each of which is in the file
+// completely or not at all.
 //
 // The same file form serves a front (one incarnation after another) and the accounting store (rows of many
 // fronts and the engines' journals, see accounting_store.hpp). An incarnation is one run of a front, from its
@@ -84,8 +84,8 @@
     }
 
     // Begins an incarnation, to which write() adds from then on. Whatever earlier ones had in flight is
-    // marked as interrupted, and the gap of a killed one is added. A name that is there already is gone on
-    // with, as when a front lost its file for a while.
+    // marked as interrupted, and the gap of a killed one is added. An existing name is continued, for example
+    // after a front could not reach its file for a while.
     StoreFailure begin_incarnation(const std::string& name, const std::string& front, Micros wall,
                                    RecoveredState& recovered);
     StoreFailure end_incarnation(Micros wall);
--- a/src/store/ledger_writer.cpp
+++ b/src/store/ledger_writer.cpp
@@ -105,7 +105,7 @@
     handed_over_rows_ += next.rows.size();
     append(shared_, next);
     shared_now_ = now;
-    work_waits_ = true;
+    batch_waits_ = true;
 }
 
 LedgerWriterStatus LedgerWriter::status() const {
@@ -175,11 +175,11 @@
         {
             std::unique_lock guard(mutex_);
             handed_over_.wait(guard, [this] {
-                return work_waits_ || stop_;
+                return batch_waits_ || stop_;
             });
             if (stop_)
                 return;
-            work_waits_ = false;
+            batch_waits_ = false;
             now = shared_now_;
         }
         write_pending(now);
--- a/src/store/ledger_writer.hpp
+++ b/src/store/ledger_writer.hpp
@@ -57,8 +57,8 @@
         return settings_.flush_interval;
     }
 
-    // Where the last row of a request or an attempt is queued. As long as it is, the next one replaces it:
-    // what begins and ends within a flush is one row.
+    // Position in the queue of the last row of a request or an attempt. Until that row is handed over, a
+    // newer row replaces it, so that what begins and ends within one flush is one row.
     struct QueueSlot {
         std::uint64_t flush = 0;
         std::size_t index = 0;
@@ -138,7 +138,7 @@
     std::vector<std::string> log_lines_;
     std::vector<Ledger::WorkSample> work_history_;
     PreviousIncarnation previous_;
-    bool work_waits_ = false;
+    bool batch_waits_ = false;
     bool stop_ = false;
     decide::StoreError error_ = decide::StoreError::none;
     decide::StoreError last_error_ = decide::StoreError::none;
--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -19,8 +19,8 @@
         request_.deadline_at = 1'000;
         request_.attempts.resize(1);
         request_.attempts[0].open = false;
-        request_.first_endpoint = 0;
-        request_.first_attempt_at = 100;
+        request_.first_executed_endpoint = 0;
+        request_.first_executed_at = 100;
     }
     AttemptVerdict judge(Micros now) const {
         return judge_attempt({settings_, budget_, request_, now});
@@ -57,7 +57,7 @@
 TEST_F(RetryPolicy, NeverRepeatsWhatMayHaveExecutedAndMustNotTwice) {
     idempotency() = Idempotency::non_idempotent;
     EXPECT_EQ(judge(500), AttemptVerdict::may_have_executed);
-    request_.first_endpoint = -1;
+    request_.first_executed_endpoint = -1;
     EXPECT_EQ(judge(500), AttemptVerdict::allowed);
 }
 
@@ -89,7 +89,7 @@
     EXPECT_TRUE(may_shed(settings_.classes[0], request_));
     idempotency() = Idempotency::non_idempotent;
     EXPECT_FALSE(may_shed(settings_.classes[0], request_));
-    request_.first_endpoint = -1;
+    request_.first_executed_endpoint = -1;
     EXPECT_TRUE(may_shed(settings_.classes[0], request_));
 }
 
