--- a/src/cli/node.cpp
+++ b/src/cli/node.cpp
@@ -114,7 +114,7 @@
         std::fprintf(stderr, "%s\n", (signals ? bound.error() : signals.error()).c_str());
         return 1;
     }
-    const auto readiness = faults.readiness({front.has_list(), front.is_listening(), signals.ok()});
+    const auto readiness = faults.readiness({front.has_endpoint_list(), front.is_listening(), signals.ok()});
     if (decide::ReadinessGuard::permit(readiness))
         say_line(bound->text());
     else
--- a/src/node/attempt_dispatcher.cpp
+++ b/src/node/attempt_dispatcher.cpp
@@ -50,17 +50,17 @@
     start_timers(attempt);
     if (context.target.in_slow_start)
         endpoints_.record_slow_start_send(attempt.engine, attempt.dispatched_at,
-                                          deps_.faults->slow_start_attempts_per_attempt());
+                                          deps_.faults->slow_start_weight_of_attempt());
     send(attempt, *engine, *permit);
-    if (!attempt.over && attempt.number == 0 && deps_.faults->doubles_first_attempt())
+    if (!attempt.over && attempt.number == 0 && deps_.faults->duplicates_first_attempt())
         dispatch(request, engine_id, timeout);
 }
 
 Attempt& AttemptDispatcher::add_attempt(ActiveRequest& request, EngineId engine, Micros timeout) {
     const int number = static_cast<int>(request.attempts.size());
     AttemptHandler& handler = *this;
-    request.attempts.push_back(
-        std::make_unique<Attempt>(handler, loop_, request, number, deps_.faults->target_of(engine, number)));
+    request.attempts.push_back(std::make_unique<Attempt>(handler, loop_, request, number,
+                                                         deps_.faults->engine_for_attempt(engine, number)));
     Attempt& attempt = *request.attempts.back();
     attempt.expires_at = request.deadline;
     if (timeout > 0)
@@ -101,7 +101,7 @@
     const ActiveRequest& request = attempt.request;
     const Micros now = deps_.faults->sends_stale_time_left() ? attempt.dispatched_at : loop_.now();
     const Micros time_left = attempt.expires_at - now;
-    const bool is_awaited = !request.lifecycle.finished() || deps_.faults->sends_after_client_left();
+    const bool is_awaited = !request.lifecycle.finished() || deps_.faults->sends_after_client_disconnected();
     if (attempt.over || time_left <= 0 || !is_awaited)
         return std::nullopt;
     std::string fields = "kind=" + request.class_settings->name +
@@ -123,8 +123,8 @@
     context.attempt_in_flight = false;  // it is this one
     const auto violation = guard_.find_violation(context, *attempt.request.class_settings, std::nullopt);
     const bool engine_ready =
-        endpoints_.state(attempt.engine) == EndpointState::ready || deps_.faults->begins_at_drained_engine();
-    const bool permitted = !violation || deps_.faults->begins_in_spite_of_violation();
+        endpoints_.state(attempt.engine) == EndpointState::ready || deps_.faults->begins_at_draining_engine();
+    const bool permitted = !violation || deps_.faults->begins_despite_violation();
     const bool may_begin = !attempt.over && engine_ready && permitted;
     if (deps_.trace)
         deps_.trace(name_of(attempt) + (may_begin ? " begins" : " may not begin any more") +
--- a/src/node/client_sessions.cpp
+++ b/src/node/client_sessions.cpp
@@ -379,7 +379,7 @@
     Connection& connection = *connections_.at(id);
     if (connection.is_closing())
         return;
-    if (faults_.closes_over_unread_bytes())
+    if (faults_.closes_with_unread_bytes())
         connection.set_unread_until(loop_.now() + 1);
     if (const auto permit = permit_close(connection, reason))
         connection.close(*permit);
@@ -405,7 +405,7 @@
     std::vector<ClientId> timed_out;
     for (const auto& [id, connection] : connections_) {
         const auto snapshot = connection->snapshot();
-        if (faults_.closes_owing(snapshot))
+        if (faults_.closes_while_response_owed(snapshot))
             (void)permit_close(*connection, decide::CloseReason::request_timeout);
         if (decide::has_timed_out(snapshot, loop_.now(), timeouts_))
             timed_out.push_back(id);
@@ -450,7 +450,7 @@
     std::vector<ClientId> idle;
     for (const auto& [id, connection] : connections_) {
         const auto snapshot = connection->snapshot();
-        if (faults_.closes_owing(snapshot))
+        if (faults_.closes_while_response_owed(snapshot))
             (void)permit_close(*connection, decide::CloseReason::shutdown);
         const auto evictable_at = decide::evictable_at(snapshot, timeouts_);
         if (!snapshot.closing && evictable_at && *evictable_at <= loop_.now())
--- a/src/node/endpoint_registry.cpp
+++ b/src/node/endpoint_registry.cpp
@@ -31,7 +31,7 @@
       limits_(limits),
       deps_(deps),
       events_(std::move(events)),
-      list_(deps.faults->follows_restarted_numbering()),
+      list_(deps.faults->accepts_restarted_serials()),
       wall_offset_(loop.wall() - loop.now()) {
     refresh_connection_limit();
     pool_.trace = deps_.trace;
--- a/src/node/endpoint_registry.hpp
+++ b/src/node/endpoint_registry.hpp
@@ -101,7 +101,7 @@
     // To be called about once a second: forgets engines that are gone, closes expiring connections, and logs
     // when the list grows old.
     void tick();
-    bool has_list() const {
+    bool has_endpoint_list() const {
         return !list_.endpoints().empty() || list_.serial() > 0;
     }
     // For logs: the list's serial and for how long it has not been confirmed.
--- a/src/node/fault_injection.hpp
+++ b/src/node/fault_injection.hpp
@@ -34,7 +34,7 @@
         return settings;
     }
     // Whether a numbering of endpoint lists that starts anew is ever adopted.
-    virtual bool follows_restarted_numbering() const {
+    virtual bool accepts_restarted_serials() const {
         return true;
     }
 
@@ -45,16 +45,16 @@
         return true;
     }
     // The engine that an attempt goes to in place of this; `attempt` counts from 0.
-    virtual EngineId target_of(EngineId engine, int attempt) const {
+    virtual EngineId engine_for_attempt(EngineId engine, int attempt) const {
         (void)attempt;
         return engine;
     }
     // How many attempts one attempt counts as in the slow start's window.
-    virtual std::size_t slow_start_attempts_per_attempt() const {
+    virtual std::size_t slow_start_weight_of_attempt() const {
         return 1;
     }
     // Whether the first attempt is followed by a second one at once.
-    virtual bool doubles_first_attempt() const {
+    virtual bool duplicates_first_attempt() const {
         return false;
     }
     // Whether the time left sent to the engine is that of the dispatch, not of the moment of sending.
@@ -62,15 +62,15 @@
         return false;
     }
     // Whether an attempt may begin at an engine that is not ready any more.
-    virtual bool begins_at_drained_engine() const {
+    virtual bool begins_at_draining_engine() const {
         return false;
     }
     // Whether an attempt may begin in spite of what AttemptGuard finds at that moment.
-    virtual bool begins_in_spite_of_violation() const {
+    virtual bool begins_despite_violation() const {
         return false;
     }
     // Whether a request is sent again, and goes on being sent, after its client has left.
-    virtual bool sends_after_client_left() const {
+    virtual bool sends_after_client_disconnected() const {
         return false;
     }
     // Whether a request is sent again after its final response.
@@ -86,12 +86,12 @@
         return false;
     }
     // Whether this connection is closed although its client is owed something.
-    virtual bool closes_owing(const decide::ClientSnapshot& client) const {
+    virtual bool closes_while_response_owed(const decide::ClientSnapshot& client) const {
         (void)client;
         return false;
     }
     // Whether a connection is closed as if bytes had come on it that were not read.
-    virtual bool closes_over_unread_bytes() const {
+    virtual bool closes_with_unread_bytes() const {
         return false;
     }
 
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -38,8 +38,8 @@
     // Returns the address that clients connect to. Where it fails it may be called again, and goes on where
     // it failed.
     Result<net::Address> start();
-    bool has_list() const {
-        return endpoints_.has_list();
+    bool has_endpoint_list() const {
+        return endpoints_.has_endpoint_list();
     }
     bool is_listening() const {
         return clients_.is_listening();
--- a/src/node/request_dispatcher.cpp
+++ b/src/node/request_dispatcher.cpp
@@ -52,7 +52,7 @@
     if (with_.deps.trace)
         with_.deps.trace(request->name() + " cancelled by client " + std::to_string(client));
     with_.policy.post(ClientDisconnected{request->id});
-    if (with_.deps.faults->sends_after_client_left())
+    if (with_.deps.faults->sends_after_client_disconnected())
         with_.attempts.repeat_first_attempt(*request);
     with_.attempts.on_client_left(*request);
     if (request->lifecycle.releasable())
--- a/tests/faults/node_faults_test.cpp
+++ b/tests/faults/node_faults_test.cpp
@@ -17,7 +17,7 @@
 namespace gatetiller::testing {
 namespace {
 
-class NodeFaults : public SocketRig {
+class NodeFaults : public SocketNodeTest {
 protected:
     ~NodeFaults() override {
         control.heal();
@@ -32,30 +32,30 @@
                                       {Call::connect, ENETUNREACH},
                                       {Call::socket, ENOBUFS}}) {
         node.reset(), clients.clear(), engines.clear(), settings.known_endpoints.clear();
-        names.close("n0");
-        settings.listen = at("");
-        engine("s-" + std::to_string(error));
+        name_service.close("n0");
+        settings.listen = listen_address("");
+        add_engine("s-" + std::to_string(error));
         start();
-        auto& c = client();
-        ASSERT_TRUE(until([&] {
+        auto& c = add_client();
+        ASSERT_TRUE(run_until([&] {
             c.probe();
             return c.ready();
         }));
         control.fail(call, error);
-        c.ask(ask());
+        c.ask(make_request());
         const Micros since = loop.now();
-        ASSERT_TRUE(until([&] {
+        ASSERT_TRUE(run_until([&] {
             return loop.now() - since > 120 * kMillisecond;
         }));
         control.heal();
-        ASSERT_TRUE(until([&] {
+        ASSERT_TRUE(run_until([&] {
             return c.open() == 0;
         }));
         EXPECT_EQ(c.got().begin()->second.how, "served") << std::strerror(error);
         EXPECT_NE(node->status().find("no_connection=0"), std::string::npos)
             << std::strerror(error) << ": " << node->status();
     }
-    expect_rules_kept();
+    expect_no_violations();
 }
 
 // What waited unread because this machine lacked memory or descriptors has less of its time left.
@@ -63,25 +63,25 @@
     for (const auto& [call, error] :
          {std::pair{Call::recv, ENOMEM}, {Call::accept, EMFILE}, {Call::accept, ENOBUFS}}) {
         node.reset(), clients.clear(), engines.clear(), settings.known_endpoints.clear();
-        names.close("n0");
-        settings.listen = at("");
-        engine("s-" + std::to_string(static_cast<int>(call)) + std::to_string(error));
+        name_service.close("n0");
+        settings.listen = listen_address("");
+        add_engine("s-" + std::to_string(static_cast<int>(call)) + std::to_string(error));
         start();
-        auto& before = client();
+        auto& before = add_client();
         before.probe();
-        ASSERT_TRUE(until([&] {
+        ASSERT_TRUE(run_until([&] {
             return before.ready();
         }));
         control.fail(call, error);
-        auto& c = call == Call::accept ? client() : before;
-        const auto a = ask("lookup", 300);
+        auto& c = call == Call::accept ? add_client() : before;
+        const auto a = make_request("lookup", 300);
         c.ask(a);
         const Micros asked = loop.now();
-        ASSERT_TRUE(until([&] {
+        ASSERT_TRUE(run_until([&] {
             return loop.now() - asked > 700 * kMillisecond;
         }));
         control.heal();
-        ASSERT_TRUE(until([&] {
+        ASSERT_TRUE(run_until([&] {
             return c.open() == 0;
         }));
         const Micros deadline = asked + a.patience;
@@ -96,35 +96,35 @@
 // Its client goes while it goes out, and the settings let nothing be called off: it would begin for nobody.
 TEST_F(NodeFaults, ARequestGivenUpInTheMiddleOfItsSendingNeverBegins) {
     settings.policy.can_cancel = false;
-    engine("s-1");
+    add_engine("s-1");
     start();
-    auto& c = client();
-    auto a = ask();
+    auto& c = add_client();
+    auto a = make_request();
     a.sql += std::string(20'000, 'x');
     const auto seq = c.ask(a);
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         return log.find(a.trace + " lookup accepted") != std::string::npos;
     }));
     control.short_per_mille = 1000;
     control.fail(Call::send, EAGAIN, 900);
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         return control.shortened > 10;
     }));
     c.give_up(seq);
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         return log.find(a.trace + " lookup cancelled") != std::string::npos;
     }));
     control.heal();
-    auto& after = client();
-    after.ask(ask());
-    ASSERT_TRUE(until([&] {
+    auto& after = add_client();
+    after.ask(make_request());
+    ASSERT_TRUE(run_until([&] {
         return after.open() == 0;
     }));
     EXPECT_EQ(after.got().at(1).how, "served");
     for (const auto& r : records.engines)
         EXPECT_FALSE(r.entry.event == "arrived" && r.entry.trace == a.trace)
             << "began for a client that had gone";
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         return node->active_requests() == 0;
     }));
 }
@@ -132,26 +132,26 @@
 // What was written when it began is no longer true when its last byte goes out much later: it goes again,
 // with what is left.
 TEST_F(NodeFaults, ARequestWrittenInPartForLongIsWrittenAnew) {
-    engine("s-1");
+    add_engine("s-1");
     start();
-    auto& c = client();
-    auto a = ask("lookup", 300);
+    auto& c = add_client();
+    auto a = make_request("lookup", 300);
     a.sql += std::string(20'000, 'x');
     c.ask(a);
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         return log.find(a.trace + " lookup accepted") != std::string::npos;
     }));
     control.short_per_mille = 1000;
     control.fail(Call::send, ENOBUFS, 900);
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         return control.shortened > 10;
     }));
     const Micros begun = loop.now();
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         return loop.now() - begun > 300 * kMillisecond;
     }));
     control.heal();
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         return c.open() == 0;
     }));
     EXPECT_EQ(c.got().begin()->second.how, "served");
@@ -160,25 +160,25 @@
     ASSERT_NE(cut, std::string::npos) << "with the deadline of its first byte:\n" << log;
     const Micros after = std::stoll(log.substr(log.find("ms=", cut) + 3)) * kMillisecond;
     EXPECT_LE(after, 250 * kMillisecond) << log.substr(cut, 120);
-    expect_rules_kept();
+    expect_no_violations();
 }
 
 // An hour either way between two lists: the engine listed in between is new all the same.
 TEST_F(NodeFaults, AStepOfTheWallClockMakesNoNewEngineWarm) {
-    engine("s-1");
+    add_engine("s-1");
     start();
     for (const int hours : {1, -1}) {
         const Micros right = loop.wall() - control.wall_offset_us;
         control.wall_offset_us = hours * 3600 * kSecondMicros;
         const std::string name = "s-young-" + std::to_string(hours + 1);
-        names.put({name,
-                   "z",
-                   "std",
-                   {{"n0", *net::Address::parse("127.0.0.1:1")}},
-                   false,
-                   0,
-                   right / kMillisecond});
-        ASSERT_TRUE(until(
+        name_service.put({name,
+                          "z",
+                          "std",
+                          {{"n0", *net::Address::parse("127.0.0.1:1")}},
+                          false,
+                          0,
+                          right / kMillisecond});
+        ASSERT_TRUE(run_until(
             [&] {
                 return log.find("engine " + name) != std::string::npos;
             },
@@ -206,9 +206,9 @@
     ASSERT_NE(static_cast<void*>(control), MAP_FAILED);
     net::PollLoop loop;
     lab::Records records;
-    lab::NameService names(loop, records, 3);
-    names.put({"s-1", "z", "std", {{"n0", *net::Address::parse("127.0.0.1:1")}}});
-    const auto dns = *names.listen("n0", *net::Address::parse("127.0.0.1:0"));
+    lab::NameService name_service(loop, records, 3);
+    name_service.put({"s-1", "z", "std", {{"n0", *net::Address::parse("127.0.0.1:1")}}});
+    const auto dns = *name_service.listen("n0", *net::Address::parse("127.0.0.1:0"));
     const nlohmann::json settings = nlohmann::json::parse(
         R"({"classes":[{"name":"lookup","aim_us":1000000,"deadline_us":2000000,"effect":"repeatable","late_share":0.5,"value":1}],
             "tenants":[{"name":"acme","quota_per_s":500,"share":1}],"kinds":["std"],"zone":"z","siblings":1,
@@ -222,7 +222,7 @@
                                        {"seed", "1"},
                                        {"limits", {{"cores", 0.5}, {"memory_mb", 32}, {"sockets", 256}}},
                                        {"dns", dns.text()},
-                                       {"known", nlohmann::json::parse(names.known("n0"))},
+                                       {"known", nlohmann::json::parse(name_service.known("n0"))},
                                        {"settings", settings}})
                                       .dump();
     const std::pair<Call, int> failing[] = {{Call::socket, EMFILE},     {Call::socket, ENFILE},
--- a/tests/node/attempt_dispatcher_test.cpp
+++ b/tests/node/attempt_dispatcher_test.cpp
@@ -7,51 +7,51 @@
 namespace gatetiller::testing {
 namespace {
 
-TEST_F(Crossing, ARequestWhoseClientLeavesWhileItsConnectionComesUpIsNeverSent) {
+TEST_F(EventOrderTest, ARequestWhoseClientLeavesWhileItsConnectionComesUpIsNeverSent) {
     for (const bool may_cancel : {true, false}) {
         settings.policy.can_cancel = may_cancel;
         node.reset(), clients.clear(), settings.known_endpoints.clear();
-        settings.listen = at("");
+        settings.listen = listen_address("");
         HeldEngine held;
-        ASSERT_TRUE(until([&] {
+        ASSERT_TRUE(run_until([&] {
             return held.full();
         }));
-        list("s-held", held.address);
+        publish_endpoint("s-held", held.address);
         start();
-        auto& leaves = client();
-        const auto left = ask(), after = ask();
+        auto& leaves = add_client();
+        const auto left = make_request(), after = make_request();
         request_waits(leaves, left);
         leaves.give_up(1);
-        ASSERT_TRUE(until([&] {
+        ASSERT_TRUE(run_until([&] {
             return node->active_requests() == 0;
         }));
         // Another one over the same connection is the first that the engine hears of.
-        auto& stays = client();
+        auto& stays = add_client();
         request_waits(stays, after);
         const std::string said = said_once_up(held, 60);
         EXPECT_EQ(said.find(left.trace), std::string::npos) << said;
         EXPECT_NE(said.find(after.trace), std::string::npos) << said;
-        node.reset(), names.remove("s-held"), names.close("n0");
+        node.reset(), name_service.remove("s-held"), name_service.close("n0");
     }
 }
 
-TEST_F(Crossing, ARequestTakenBackInTheSameBreathReachesNoEngine) {
-    auto& e = engine("s-1");
+TEST_F(EventOrderTest, ARequestTakenBackInTheSameBreathReachesNoEngine) {
+    auto& e = add_engine("s-1");
     start();
-    const auto left = ask(), gone = ask();
-    auto& c = client();
+    const auto left = make_request(), gone = make_request();
+    auto& c = add_client();
     c.raw(call(left, 1) + thrift::give_up_call(2, 1));
     {
         RawSocket leaves;
         leaves.connect(settings.listen);
-        ASSERT_TRUE(until([&] {
+        ASSERT_TRUE(run_until([&] {
             return leaves.connected();
         }));
         leaves.send(call(gone, 1));
     }  // its end stands behind the request
-    auto& stays = client();
-    const auto seq = stays.ask(ask());
-    ASSERT_TRUE(until([&] {
+    auto& stays = add_client();
+    const auto seq = stays.ask(make_request());
+    ASSERT_TRUE(run_until([&] {
         return stays.open() == 0 && node->active_requests() == 0;
     }));
     EXPECT_EQ(stays.got().at(seq).how, "served");
@@ -59,7 +59,7 @@
         for (const auto& a : {left, gone})
             EXPECT_NE(r.entry.trace, a.trace) << r.entry.event;
     EXPECT_TRUE(e.commands.empty()) << e.commands[0];
-    expect_rules_kept();
+    expect_no_violations();
 }
 
 std::int64_t passed_on_ms(const std::string& said) {
@@ -67,18 +67,18 @@
     return at == std::string::npos ? -1 : std::stoll(said.substr(at + 3));
 }
 
-TEST_F(Crossing, TheTimeThatAConnectionTakesIsTakenOffTheDeadlinePassedOn) {
+TEST_F(EventOrderTest, TheTimeThatAConnectionTakesIsTakenOffTheDeadlinePassedOn) {
     HeldEngine held;
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         return held.full();
     }));
-    list("s-held", held.address);
+    publish_endpoint("s-held", held.address);
     start();
-    auto& c = client();
-    const auto a = ask();
+    auto& c = add_client();
+    const auto a = make_request();
     const Micros asked = loop.now();
     request_waits(c, a);
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         return loop.now() - asked > 800 * kMillisecond;
     }));
     const std::string said = said_once_up(held, 60);
@@ -89,7 +89,7 @@
 
 // An engine that reads nothing, and so acknowledges little: most of a large request stays with this machine's
 // kernel. Its attempts may not be called off, so that nothing but the rule itself ends them.
-class UnacknowledgedRequest : public Crossing {
+class UnacknowledgedRequest : public EventOrderTest {
 protected:
     UnacknowledgedRequest() {
         settings.policy.can_cancel = false;
@@ -98,28 +98,28 @@
         address = raw.listen(16);
     }
     void begin_one() {
-        list("s-raw", address);
+        publish_endpoint("s-raw", address);
         start();
-        auto a = ask("load");
+        auto a = make_request("load");
         a.sql += std::string(20'000, 'x');
-        seq = client().ask(a);
-        ASSERT_TRUE(until([&] {
+        seq = add_client().ask(a);
+        ASSERT_TRUE(run_until([&] {
             return (peer = raw.accept()) != nullptr;
         }));
-        ASSERT_TRUE(until([&] {
+        ASSERT_TRUE(run_until([&] {
             return log.find(a.trace + " load attempt 0 at s-raw begins") != std::string::npos;
         }));
         began = loop.now();
     }
     // Nobody reads meanwhile: what has been discarded never arrives.
     void expect_discarded_by(Micros longest) {
-        ASSERT_TRUE(until(
+        ASSERT_TRUE(run_until(
             [&] {
                 return node->status().find("discarded=1") != std::string::npos;
             },
             longest))
             << node->status();
-        ASSERT_TRUE(until([&] {
+        ASSERT_TRUE(run_until([&] {
             return !peer->read();
         }));
         EXPECT_TRUE(peer->reset);
@@ -134,14 +134,14 @@
 
 TEST_F(UnacknowledgedRequest, IsDiscardedBeforeTheGraceOfItsEnginesDrainIsOver) {
     begin_one();
-    engine("s-2");
-    list("s-raw", address, true);
-    ASSERT_TRUE(until([&] {
+    add_engine("s-2");
+    publish_endpoint("s-raw", address, true);
+    ASSERT_TRUE(run_until([&] {
         return log.find("engine s-raw drains") != std::string::npos;
     }));
     expect_discarded_by(settings.policy.drain_grace + 50 * kMillisecond);
     auto& c = *clients.back();
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         return c.open() == 0;
     }));
     EXPECT_EQ(c.got().at(seq).how, "served");
@@ -152,64 +152,64 @@
     begin_one();
     clients.back()->give_up(seq);
     expect_discarded_by(100 * kMillisecond);
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         return node->active_requests() == 0;
     }));
 }
 
 // A class that may not be repeated is tried again where its first connection ended before it was written.
-TEST_F(Crossing, OnceIsTriedAgainOnlyWhereItWasProvablyNeverSent) {
+TEST_F(EventOrderTest, OnceIsTriedAgainOnlyWhereItWasProvablyNeverSent) {
     settings.policy.classes[1].idempotency = Idempotency::non_idempotent;
     HeldEngine held;
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         return held.full();
     }));
-    list("s-held", held.address);
+    publish_endpoint("s-held", held.address);
     start();
-    auto& c = client();
-    const auto a = ask("load");
+    auto& c = add_client();
+    const auto a = make_request("load");
     request_waits(c, a);
     // Its engine begins to drain: what waits is taken back, and goes to one that was listed meanwhile.
-    engine("s-2");
-    list("s-held", held.address, true);
-    ASSERT_TRUE(until([&] {
+    add_engine("s-2");
+    publish_endpoint("s-held", held.address, true);
+    ASSERT_TRUE(run_until([&] {
         return c.open() == 0;
     }));
     EXPECT_EQ(c.got().at(1).how, "served");
-    expect_rules_kept();
+    expect_no_violations();
 }
 
 // A repeat must arrive while the engines still know its key: not when its connection at last comes up.
-TEST_F(Crossing, ARepeatThatWaitsPastItsWindowIsTakenBack) {
+TEST_F(EventOrderTest, ARepeatThatWaitsPastItsWindowIsTakenBack) {
     settings.policy.classes[1].key_window = 1'500 * kMillisecond;
     HeldEngine held;
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         return held.full();
     }));
-    auto& first = engine("s-1");
+    auto& first = add_engine("s-1");
     first.set({.silent = 1});
     start();
-    auto& c = client();
-    const auto a = ask("load", 1);
+    auto& c = add_client();
+    const auto a = make_request("load", 1);
     c.ask(a);
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         return first.open() == 1;
     }));
-    list("s-held", held.address);
-    ASSERT_TRUE(until([&] {
+    publish_endpoint("s-held", held.address);
+    ASSERT_TRUE(run_until([&] {
         return node->status().find("s-held") != std::string::npos;
     }));
     first.die();
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         return node->status().find("s-held:1/1/1") != std::string::npos;
     })) << node->status();
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         return c.open() == 0;
     }));
     EXPECT_EQ(c.got().at(1).how, "refused");  // whoever asks again with the key is told by any engine
     EXPECT_NE(node->status().find("s-held:0/0/1"), std::string::npos) << node->status();
-    auto& stays = client();
-    const auto after = ask();
+    auto& stays = add_client();
+    const auto after = make_request();
     request_waits(stays, after);
     const std::string said = said_once_up(held, 60);
     EXPECT_EQ(said.find(a.trace), std::string::npos) << said;
--- a/tests/node/crossing_rig.hpp
+++ b/tests/node/crossing_rig.hpp
@@ -7,9 +7,9 @@
 
 namespace gatetiller::testing {
 
-class Crossing : public SocketRig {
+class EventOrderTest : public SocketNodeTest {
 protected:
-    Crossing() {
+    EventOrderTest() {
         settings.connect_timeout = 20 * kSecondMicros;
     }
 
@@ -27,10 +27,10 @@
     std::string said_once_up(HeldEngine& held, std::size_t least) {
         held.let_in();
         std::unique_ptr<RawSocket> up;
-        EXPECT_TRUE(until([&] {
+        EXPECT_TRUE(run_until([&] {
             return (up = held.accept()) != nullptr;
         }));
-        EXPECT_TRUE(until([&] {
+        EXPECT_TRUE(run_until([&] {
             return !up->read() || up->got.size() >= least;
         }));
         return up->got;
@@ -38,35 +38,35 @@
     // More clients than the table has places, each with a request of so much work, and a planned restart.
     void a_shutdown_behind_a_full_table_answers_everybody(int work_ms) {
         settings.sockets = 16;
-        engine("s-1");
+        add_engine("s-1");
         start();
         const std::size_t table =
             decide::derive_limits(settings.sockets, settings.memory_mb).client_connections;
         std::vector<lab::PlatformClient*> busy;
         for (std::size_t i = 0; i < table + 3; ++i) {
-            busy.push_back(&client());
-            busy.back()->ask(ask("lookup", work_ms));
+            busy.push_back(&add_client());
+            busy.back()->ask(make_request("lookup", work_ms));
         }
-        ASSERT_TRUE(until([&] {
+        ASSERT_TRUE(run_until([&] {
             return node->status().find("waits=0") == std::string::npos;
         })) << node->status();
         bool over = false;
         node->drain([&] {
             over = true;
         });
-        ASSERT_TRUE(until([&] {
+        ASSERT_TRUE(run_until([&] {
             return over;
         }));
         for (const auto* c : busy) {
             EXPECT_EQ(c->open(), 0u);
             EXPECT_TRUE(c->got().contains(1)) << "ended without an answer";
         }
-        expect_rules_kept();
+        expect_no_violations();
     }
     // With one engine that holds whoever connects: a request that waits to go out to it.
     void request_waits(lab::PlatformClient& c, const lab::PlatformClient::Ask& a) {
         c.ask(a);
-        ASSERT_TRUE(until([&] {
+        ASSERT_TRUE(run_until([&] {
             return node->status().find("s-held:1/1/1") != std::string::npos;
         })) << node->status();
     }
--- a/tests/node/endpoint_registry_test.cpp
+++ b/tests/node/endpoint_registry_test.cpp
@@ -6,29 +6,29 @@
 namespace gatetiller::testing {
 namespace {
 
-TEST_F(Crossing, WhatIsOutAtAnEnginesOldAddressEndsAtOnceAndIsTriedAtTheNewOne) {
-    auto& e = engine("s-1");
+TEST_F(EventOrderTest, WhatIsOutAtAnEnginesOldAddressEndsAtOnceAndIsTriedAtTheNewOne) {
+    auto& e = add_engine("s-1");
     start();
-    auto& c = client();
-    c.ask(ask("lookup", 3'500));
-    ASSERT_TRUE(until([&] {
+    auto& c = add_client();
+    c.ask(make_request("lookup", 3'500));
+    ASSERT_TRUE(run_until([&] {
         return e.open() == 1;
     }));
     const Micros since = loop.now();
     lab::PlatformEngineSettings other;
     other.name = "s-1", other.at_once = 8;
     lab::PlatformEngine moved(loop, other, records);
-    const auto place = moved.listen("n0", at(""));
-    list("s-1", *place);
-    ASSERT_TRUE(until([&] {
+    const auto place = moved.listen("n0", listen_address(""));
+    publish_endpoint("s-1", *place);
+    ASSERT_TRUE(run_until([&] {
         return moved.open() == 1;
     }));
     EXPECT_LT(loop.now() - since, 3 * kSecondMicros);  // not when its own time was up
     c.give_up(1);
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         return moved.open() == 0 && e.open() == 0;
     }));
-    expect_rules_kept();
+    expect_no_violations();
 }
 
 }  // namespace
--- a/tests/node/graceful_shutdown_test.cpp
+++ b/tests/node/graceful_shutdown_test.cpp
@@ -6,21 +6,21 @@
 namespace gatetiller::testing {
 namespace {
 
-TEST_F(Crossing, AShutdownWaitsForAnswersThatTheirClientsHaveNotRead) {
+TEST_F(EventOrderTest, AShutdownWaitsForAnswersThatTheirClientsHaveNotRead) {
     settings.memory_mb = 256;
-    engine("s-1");
+    add_engine("s-1");
     start();
     RawSocket c;
     c.receive_little();
     c.connect(settings.listen);
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         return c.connected();
     }));
     std::string all;
     for (int i = 1; i <= 32; ++i)
-        all += call(ask("lookup", 1, 700), i);
+        all += call(make_request("lookup", 1, 700), i);
     std::size_t sent = 0;
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         if (sent < all.size()) {
             const auto piece = std::string_view(all).substr(sent, 1000);
             c.send(piece), sent += piece.size();
@@ -33,11 +33,11 @@
         over = true;
     });
     const auto times = decide::derive_shutdown_schedule(settings.policy);
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         return loop.now() - since > times.listen_until + 100 * kMillisecond;
     }));
     EXPECT_FALSE(over) << "answers stood unsent";
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         return !c.read();
     }));
     EXPECT_FALSE(c.reset);
@@ -47,36 +47,36 @@
         ++answers;
     EXPECT_EQ(answers, 32u);
     c.close();
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         return over;
     }));
     EXPECT_LT(loop.now() - since, times.exit_at);
 }
 
-TEST_F(Crossing, ARequestThatCrossesTheShutdownOfARestingConnectionIsNotServed) {
-    auto& e = engine("s-1");
+TEST_F(EventOrderTest, ARequestThatCrossesTheShutdownOfARestingConnectionIsNotServed) {
+    auto& e = add_engine("s-1");
     start();
     RawSocket rests;
     rests.connect(settings.listen);
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         return rests.connected();
     }));
-    rests.send(call(ask("lookup", 1), 1));
-    ASSERT_TRUE(until([&] {
+    rests.send(call(make_request("lookup", 1), 1));
+    ASSERT_TRUE(run_until([&] {
         return rests.read() && !rests.got.empty();
     }));
     bool over = false;
     node->drain([&] {
         over = true;
     });
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         return !rests.read();
     }));  // it is ended, in order
     EXPECT_FALSE(rests.reset);
     const std::string before = rests.got;
-    const auto crossing = ask();
+    const auto crossing = make_request();
     rests.send(call(crossing, 2));
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         return over;
     }));
     for (const auto& r : records.engines)
@@ -87,12 +87,12 @@
 }
 
 // Accepting pauses where the table is full of clients with requests open; a restart begins then.
-TEST_F(Crossing, WhoeverWaitsInTheListenBacklogAtAShutdownIsAnswered) {
+TEST_F(EventOrderTest, WhoeverWaitsInTheListenBacklogAtAShutdownIsAnswered) {
     a_shutdown_behind_a_full_table_answers_everybody(400);
 }
 
 // Requests that run past the time for which the listener stays fill the table until then.
-TEST_F(Crossing, WhoeverWaitsBehindATableThatStaysFullAtAShutdownIsAnswered) {
+TEST_F(EventOrderTest, WhoeverWaitsBehindATableThatStaysFullAtAShutdownIsAnswered) {
     a_shutdown_behind_a_full_table_answers_everybody(1'500);
 }
 
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -15,121 +15,121 @@
     }));
 }
 
-TEST_F(NodeRig, ServesWholeResultsPageByPage) {
-    engine("s-1"), engine("s-2");
+TEST_F(VirtualNodeTest, ServesWholeResultsPageByPage) {
+    add_engine("s-1"), add_engine("s-2");
     start();
-    auto& c = client();
+    auto& c = add_client();
     std::map<std::int32_t, std::size_t> rows;
     for (const std::size_t n : {0u, 1u, 60u, 900u})
-        rows[c.ask(ask("lookup", 5, n))] = n;
-    ASSERT_TRUE(until([&] {
+        rows[c.ask(make_request("lookup", 5, n))] = n;
+    ASSERT_TRUE(run_until([&] {
         return c.open() == 0;
     }));
     for (const auto& [seq, n] : rows)
         EXPECT_EQ(c.got().at(seq).how, "served") << n << " rows";
-    expect_rules_kept();
+    expect_no_violations();
 }
 
-TEST_F(NodeRig, AClientThatGivesUpIsOwedNothingAndItsEngineStops) {
-    auto& e = engine("s-1");
+TEST_F(VirtualNodeTest, AClientThatGivesUpIsOwedNothingAndItsEngineStops) {
+    auto& e = add_engine("s-1");
     start();
-    auto& c = client();
-    const auto a = ask("lookup", 3000);
+    auto& c = add_client();
+    const auto a = make_request("lookup", 3000);
     const auto seq = c.ask(a);
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         return e.open() == 1;
     }));
     c.give_up(seq);
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         return e.open() == 0;
     }));
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         return node->active_requests() == 0;
     }));
     EXPECT_TRUE(told(e, "undo " + a.trace));
     EXPECT_FALSE(c.got().contains(seq));
-    expect_rules_kept();
+    expect_no_violations();
 }
 
 // Found by reading: a late answer of a first attempt must not count for a second one under the same id.
-TEST_F(NodeRig, ASecondAttemptAtTheSameEngineGoesOverAnotherConnection) {
-    auto& e = engine("s-1");
+TEST_F(VirtualNodeTest, ASecondAttemptAtTheSameEngineGoesOverAnotherConnection) {
+    auto& e = add_engine("s-1");
     e.set({.fault = 1});
     start();
-    auto& c = client();
-    const auto seq = c.ask(ask());
-    ASSERT_TRUE(until([&] {
+    auto& c = add_client();
+    const auto seq = c.ask(make_request());
+    ASSERT_TRUE(run_until([&] {
         return count_with(records, "fault") >= 2;
     }));
     e.set({});
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         return c.open() == 0;
     }));
     EXPECT_EQ(c.got().at(seq).how, "served");
     EXPECT_GE(count_with(records, "arrived"), 3u);
-    expect_rules_kept();
+    expect_no_violations();
 }
 
-TEST_F(NodeRig, WhatIsSpoiltCostsItsConnectionAndNoOther) {
-    auto& one = engine("s-1");
-    auto& two = engine("s-2");
+TEST_F(VirtualNodeTest, WhatIsSpoiltCostsItsConnectionAndNoOther) {
+    auto& one = add_engine("s-1");
+    auto& two = add_engine("s-2");
     start();
-    auto& c = client();
+    auto& c = add_client();
     for (auto* e : {&one, &two})
         e->set({.spoilt = 0.3, .doubled = 0.3});
     std::vector<std::int32_t> asked;
     for (int i = 0; i < 200; ++i) {
-        asked.push_back(c.ask(ask(i % 5 == 0 ? "load" : "lookup", 10, static_cast<std::size_t>(i))));
-        pass(40 * kMillisecond);
+        asked.push_back(c.ask(make_request(i % 5 == 0 ? "load" : "lookup", 10, static_cast<std::size_t>(i))));
+        advance_time(40 * kMillisecond);
     }
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         return c.open() == 0;
     }));
     int served = 0;
     for (const auto seq : asked)
         served += c.got().contains(seq) && c.got().at(seq).how == "served";
     EXPECT_GT(served, 150);
-    expect_rules_kept();
+    expect_no_violations();
 }
 
-TEST_F(NodeRig, ARefusalNeverHidesAnAttemptThatMayHaveRun) {
+TEST_F(VirtualNodeTest, ARefusalNeverHidesAnAttemptThatMayHaveRun) {
     settings.policy.classes[1].idempotency = Idempotency::non_idempotent;
     for (int i = 1; i <= 3; ++i)
-        engine("s-" + std::to_string(i))
+        add_engine("s-" + std::to_string(i))
             .set({.shed = 0.2, .fault = 0.2, .spoilt = 0.1, .reset = 0.2, .silent = 0.1});
     start();
-    auto& c = client();
+    auto& c = add_client();
     for (int i = 0; i < 150; ++i) {
-        c.ask(ask("load", 10));
-        pass(100 * kMillisecond);
+        c.ask(make_request("load", 10));
+        advance_time(100 * kMillisecond);
     }
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         return c.open() == 0;
     }));
     EXPECT_GT(count_with(records, "shed"), 10u);
-    expect_rules_kept();
+    expect_no_violations();
 }
 
-TEST_F(NodeRig, NothingGoesToAnEngineThatDrainsAndANewOneTakesItsAddress) {
-    auto& old = engine("s-1", "127.1.0.1:5050");
-    auto& other = engine("s-2", "127.1.0.2:5050");
+TEST_F(VirtualNodeTest, NothingGoesToAnEngineThatDrainsAndANewOneTakesItsAddress) {
+    auto& old = add_engine("s-1", "127.1.0.1:5050");
+    auto& other = add_engine("s-2", "127.1.0.2:5050");
     (void)other;
     start();
-    auto& c = client();
+    auto& c = add_client();
     int asked = 0;
     const auto load = [&](Micros span) {
         for (const Micros end = loop.now() + span; loop.now() < end; ++asked) {
-            c.ask(ask("lookup", 10));
-            pass(50 * kMillisecond);
+            c.ask(make_request("lookup", 10));
+            advance_time(50 * kMillisecond);
         }
     };
     load(kSecondMicros);
-    names.put({"s-1", "z", "std", {{"n0", *net::Address::parse("127.1.0.1:5050")}}, true});
+    name_service.put({"s-1", "z", "std", {{"n0", *net::Address::parse("127.1.0.1:5050")}}, true});
     load(3 * kSecondMicros);
     const auto before = records.engines.size();
-    names.remove("s-1");
+    name_service.remove("s-1");
     old.die();
-    auto& fresh = engine("s-3", "127.1.0.1:5050");
+    auto& fresh = add_engine("s-3", "127.1.0.1:5050");
     load(3 * kSecondMicros);
     EXPECT_GT(
         std::count_if(records.engines.begin() + static_cast<std::ptrdiff_t>(before), records.engines.end(),
@@ -138,47 +138,47 @@
                       }),
         3);
     (void)fresh;
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         return c.open() == 0;
     }));
-    const auto j = judged();
+    const auto j = check_rules();
     EXPECT_GT(j.drains, 0u);
-    expect_rules_kept();
+    expect_no_violations();
 }
 
-TEST_F(NodeRig, ANameServiceThatFailsInEveryWayStillTellsOfDrains) {
-    engine("s-1"), engine("s-2");
+TEST_F(VirtualNodeTest, ANameServiceThatFailsInEveryWayStillTellsOfDrains) {
+    add_engine("s-1"), add_engine("s-2");
     start();
-    names.set({.lost = 0.3, .failure = 0.1, .cut = 0.1, .foreign = 0.1, .old = 0.1});
-    auto& c = client();
+    name_service.set({.lost = 0.3, .failure = 0.1, .cut = 0.1, .foreign = 0.1, .old = 0.1});
+    auto& c = add_client();
     for (int i = 0; i < 100; ++i) {
         if (i == 20 || i == 60)
-            names.put({"s-1", "z", "std", {{"n0", *net::Address::parse("127.1.0.1:5050")}}, i == 20});
-        c.ask(ask());
-        pass(100 * kMillisecond);
+            name_service.put({"s-1", "z", "std", {{"n0", *net::Address::parse("127.1.0.1:5050")}}, i == 20});
+        c.ask(make_request());
+        advance_time(100 * kMillisecond);
         if (i == 35) {
             EXPECT_NE(node->status().find("list=3"), std::string::npos) << node->status();
         }
     }
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         return c.open() == 0;
     }));
     EXPECT_NE(node->status().find("list=4"), std::string::npos) << node->status();
-    expect_rules_kept();
+    expect_no_violations();
 }
 
-TEST_F(NodeRig, AReloadMovesToAnotherNameService) {
-    engine("s-1"), engine("s-2");
+TEST_F(VirtualNodeTest, AReloadMovesToAnotherNameService) {
+    add_engine("s-1"), add_engine("s-2");
     start();
-    names.close("n0");
-    names.put({"s-1", "z", "std", {{"n0", *net::Address::parse("127.1.0.1:5050")}}, true});
+    name_service.close("n0");
+    name_service.put({"s-1", "z", "std", {{"n0", *net::Address::parse("127.1.0.1:5050")}}, true});
     auto moved = settings;
-    moved.dns = *names.listen("n0", *net::Address::parse("127.2.0.2:1053"));
+    moved.dns = *name_service.listen("n0", *net::Address::parse("127.2.0.2:1053"));
     moved.sockets = 1024, moved.settings_text = "other";
     node->reload(moved);
     EXPECT_NE(log.find("1024 descriptors"), std::string::npos) << log;
     EXPECT_NE(log.find("needs a restart"), std::string::npos) << log;
-    ASSERT_TRUE(until(
+    ASSERT_TRUE(run_until(
         [&] {
             return node->status().find("list=3") != std::string::npos;
         },
@@ -186,14 +186,14 @@
 }
 
 // Its name service says nothing yet: what the new configuration knows is all there is to hear.
-TEST_F(NodeRig, AReloadTakesInTheEventsThatItsConfigurationHolds) {
-    engine("s-1"), engine("s-2");
+TEST_F(VirtualNodeTest, AReloadTakesInTheEventsThatItsConfigurationHolds) {
+    add_engine("s-1"), add_engine("s-2");
     start();
-    names.set({.silent = true});
-    names.put({"s-1", "z", "std", {{"n0", *net::Address::parse("127.1.0.1:5050")}}, true});
+    name_service.set({.silent = true});
+    name_service.put({"s-1", "z", "std", {{"n0", *net::Address::parse("127.1.0.1:5050")}}, true});
     auto moved = settings;
-    moved.dns = *names.listen("n0", *net::Address::parse("127.2.0.2:1053"));
-    moved.known_serial = names.number();
+    moved.dns = *name_service.listen("n0", *net::Address::parse("127.2.0.2:1053"));
+    moved.known_serial = name_service.number();
     for (auto& e : moved.known_endpoints)
         if (e.name == "s-1")
             e.state = EndpointState::draining;
@@ -207,10 +207,10 @@
 
 // Each line of the platform's list of bad clients; none may be served, none may reach an engine, all end
 // soon.
-TEST_F(NodeRig, BadClientsAreToldOrClosedAndReachNoEngine) {
-    engine("s-1");
+TEST_F(VirtualNodeTest, BadClientsAreToldOrClosedAndReachNoEngine) {
+    add_engine("s-1");
     start();
-    auto whole = ask();
+    auto whole = make_request();
     const auto frame = [](const Fields& fields, const std::string& body, std::int32_t seq) {
         return thrift::process_call(seq, fields, body);
     };
@@ -238,10 +238,10 @@
                                  frame(good, "SELECT 1", 3).substr(0, 60),
                                  ""};
     for (const auto& bytes : bad) {
-        auto& c = client();
+        auto& c = add_client();
         if (!bytes.empty())
             c.raw(bytes);
-        EXPECT_TRUE(until(
+        EXPECT_TRUE(run_until(
             [&] {
                 return c.ended() || c.exceptions() > 0;
             },
@@ -250,16 +250,16 @@
     }
     EXPECT_EQ(count_with(records, "arrived"), 0u);
     // Two requests under one number: nobody could tell whose an answer is.
-    auto& twice = client();
+    auto& twice = add_client();
     twice.raw(frame(good, "SELECT 1 /* gt: work_ms=3000 */", 1) +
               frame(but("trace", "9b1f03aa5c7e2d42"), "SELECT 2", 1));
-    EXPECT_TRUE(until(
+    EXPECT_TRUE(run_until(
         [&] {
             return twice.ended();
         },
         3 * kSecondMicros));
     // More at once than the protocol allows.
-    auto& many = client();
+    auto& many = add_client();
     std::string all;
     for (int i = 1; i <= 300; ++i) {
         char id[17];
@@ -267,20 +267,20 @@
         all += frame(but("trace", id), "SELECT 1 /* gt: work_ms=3000 */", i);
     }
     many.raw(all);
-    EXPECT_TRUE(until(
+    EXPECT_TRUE(run_until(
         [&] {
             return many.ended();
         },
         3 * kSecondMicros));
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         return node->active_requests() == 0;
     }));
     // Hundreds that say nothing take no room from those that ask.
     for (int i = 0; i < 400; ++i)
-        client();
-    auto& usual = client();
+        add_client();
+    auto& usual = add_client();
     const auto seq = usual.ask(whole);
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         return usual.open() == 0;
     }));
     EXPECT_EQ(usual.got().at(seq).how, "served");
@@ -289,25 +289,25 @@
 }
 
 // What was taken before it is still owed its answer: nobody but the malformed message is to blame.
-TEST_F(NodeRig, AMalformedMessageLosesNoOtherRequestOfItsConnection) {
-    engine("s-1");
+TEST_F(VirtualNodeTest, AMalformedMessageLosesNoOtherRequestOfItsConnection) {
+    add_engine("s-1");
     start();
     const std::vector<std::string> malformed{std::string(100, '\xff'), std::string("\0\0\0\x04\0\0\0\0", 8),
                                              thrift::process_call(0, {}, "SELECT 1")};
     for (const auto& bytes : malformed) {
-        auto& c = client();
-        const auto first = c.ask(ask("lookup", 300)), second = c.ask(ask("load", 600));
-        ASSERT_TRUE(until([&] {
+        auto& c = add_client();
+        const auto first = c.ask(make_request("lookup", 300)), second = c.ask(make_request("load", 600));
+        ASSERT_TRUE(run_until([&] {
             return engines[0]->open() == 2;
         }));
         c.raw(bytes);
-        ASSERT_TRUE(until(
+        ASSERT_TRUE(run_until(
             [&] {
                 return c.exceptions() == 1;
             },
             kSecondMicros))
             << bytes.substr(0, 20);
-        EXPECT_TRUE(until(
+        EXPECT_TRUE(run_until(
             [&] {
                 return c.ended();
             },
@@ -316,20 +316,20 @@
         EXPECT_EQ(c.got().at(first).how, "served");
         EXPECT_EQ(c.got().at(second).how, "served");
     }
-    expect_rules_kept();
+    expect_no_violations();
 }
 
 // Whose number was used twice is told so under it, once; the answer of the first would be a second one.
-TEST_F(NodeRig, ANumberUsedTwiceGetsOneAnswer) {
-    engine("s-1");
+TEST_F(VirtualNodeTest, ANumberUsedTwiceGetsOneAnswer) {
+    add_engine("s-1");
     start();
-    auto& c = client();
-    const auto other = c.ask(ask("lookup", 300)), twice = c.ask(ask("lookup", 300));
-    ASSERT_TRUE(until([&] {
+    auto& c = add_client();
+    const auto other = c.ask(make_request("lookup", 300)), twice = c.ask(make_request("lookup", 300));
+    ASSERT_TRUE(run_until([&] {
         return engines[0]->open() == 2;
     }));
     c.raw(thrift::process_call(twice, {}, "SELECT 1"));
-    EXPECT_TRUE(until(
+    EXPECT_TRUE(run_until(
         [&] {
             return c.ended();
         },
@@ -343,20 +343,20 @@
 
 // Found while writing the test above: with every connection silent and young, the longest silent one was
 // closed for each newcomer, and a usual client's with it before its first request was there.
-TEST_F(NodeRig, AFloodOfTheSilentWashesNobodyAwayWhoIsAboutToAsk) {
-    engine("s-1");
+TEST_F(VirtualNodeTest, AFloodOfTheSilentWashesNobodyAwayWhoIsAboutToAsk) {
+    add_engine("s-1");
     start();
     std::vector<lab::PlatformClient*> usual;
     for (int i = 0; i < 1500; ++i) {
         if (i % 300 == 299)
-            pass(60 * kMillisecond);
-        auto& c = client();
+            advance_time(60 * kMillisecond);
+        auto& c = add_client();
         if (i % 60 != 30)
             continue;
         usual.push_back(&c);
-        c.ask(ask());
+        c.ask(make_request());
     }
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         return std::all_of(usual.begin(), usual.end(), [](const auto* c) {
             return c->open() == 0;
         });
@@ -367,12 +367,12 @@
         << node->status();
     for (const auto* c : usual)
         EXPECT_TRUE(c->got().contains(1) && c->got().at(1).how == "served");
-    expect_rules_kept();
+    expect_no_violations();
 }
 
-TEST_F(NodeRig, TheModulesPictureIsTheSocketsPicture) {
+TEST_F(VirtualNodeTest, TheModulesPictureIsTheSocketsPicture) {
     for (int i = 1; i <= 3; ++i)
-        engine("s-" + std::to_string(i))
+        add_engine("s-" + std::to_string(i))
             .set({.shed = 0.05,
                   .fault = 0.05,
                   .spoilt = 0.05,
@@ -381,49 +381,49 @@
                   .doubled = 0.1,
                   .lost_page = 0.05});
     start();
-    auto& c = client();
+    auto& c = add_client();
     for (int round = 0; round < 10; ++round) {
         for (int i = 0; i < 30; ++i) {
             if (c.open() < 30)  // the protocol allows 32
-                c.ask(ask(i % 6 == 0 ? "load" : "lookup", 30, static_cast<std::size_t>(i * 10)));
-            pass(30 * kMillisecond);
+                c.ask(make_request(i % 6 == 0 ? "load" : "lookup", 30, static_cast<std::size_t>(i * 10)));
+            advance_time(30 * kMillisecond);
         }
         // At rest both sides must come to nothing; while busy, the module's count is the sockets'.
         for (const auto& [module, sockets] : node->in_flight_by_engine())
             EXPECT_EQ(module, sockets);
     }
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         return c.open() == 0 && node->active_requests() == 0;
     }));
     for (const auto& [module, sockets] : node->in_flight_by_engine())
         EXPECT_EQ(std::pair(module, sockets), std::pair(std::size_t{0}, std::size_t{0}));
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(run_until([&] {
         return std::all_of(engines.begin(), engines.end(), [](const auto& e) {
             return e->open() == 0;
         });
     }));
-    expect_rules_kept();
+    expect_no_violations();
 }
 
-TEST_F(NodeRig, APlannedRestartServesWhileClientsComeAndAnswersAllItTook) {
-    engine("s-1"), engine("s-2");
+TEST_F(VirtualNodeTest, APlannedRestartServesWhileClientsComeAndAnswersAllItTook) {
+    add_engine("s-1"), add_engine("s-2");
     start();
-    auto& c = client();
-    const auto quick = c.ask(ask("lookup", 50)), slow = c.ask(ask("load", 8'000));
-    pass(10 * kMillisecond);
+    auto& c = add_client();
+    const auto quick = c.ask(make_request("lookup", 50)), slow = c.ask(make_request("load", 8'000));
+    advance_time(10 * kMillisecond);
     bool over = false;
     node->drain([&] {
         over = true;
     });
-    pass(300 * kMillisecond);
-    auto& late = client();
-    const auto still = late.ask(ask("lookup", 50));
-    pass(500 * kMillisecond);
+    advance_time(300 * kMillisecond);
+    auto& late = add_client();
+    const auto still = late.ask(make_request("lookup", 50));
+    advance_time(500 * kMillisecond);
     // Connections at rest are closed by now: whoever still comes does so over a new one.
     EXPECT_TRUE(late.ended());
-    auto& last = client();
-    const auto refused = last.ask(ask("lookup", 50));
-    ASSERT_TRUE(until(
+    auto& last = add_client();
+    const auto refused = last.ask(make_request("lookup", 50));
+    ASSERT_TRUE(run_until(
         [&] {
             return over;
         },
@@ -433,29 +433,29 @@
     EXPECT_EQ(last.got().at(refused).how, "refused");
     EXPECT_EQ(c.got().at(slow).how,
               "refused");  // by key, and every engine knows it: its client may come again
-    expect_rules_kept();
+    expect_no_violations();
 }
 
-TEST_F(NodeRig, WhatMayHaveRunOnceIsNotRefusedAtARestart) {
+TEST_F(VirtualNodeTest, WhatMayHaveRunOnceIsNotRefusedAtARestart) {
     settings.policy.classes[1].idempotency = Idempotency::non_idempotent;
-    auto& e = engine("s-1");
+    auto& e = add_engine("s-1");
     start();
-    auto& c = client();
-    const auto out = c.ask(ask("load", 8'000));
-    ASSERT_TRUE(until([&] {
+    auto& c = add_client();
+    const auto out = c.ask(make_request("load", 8'000));
+    ASSERT_TRUE(run_until([&] {
         return e.open() == 1;
     }));
     bool over = false;
     node->drain([&] {
         over = true;
     });
-    ASSERT_TRUE(until(
+    ASSERT_TRUE(run_until(
         [&] {
             return over;
         },
         4 * kSecondMicros));
     EXPECT_EQ(c.got().at(out).how, "failed");
-    expect_rules_kept();
+    expect_no_violations();
 }
 
 }  // namespace
--- a/tests/node/rig.hpp
+++ b/tests/node/rig.hpp
@@ -16,10 +16,10 @@
 
 // `Loop`: sim::VirtualLoop or net::PollLoop.
 template <typename Loop>
-class RigOn : public ::testing::Test {
+class NodeFixture : public ::testing::Test {
 protected:
     // How long a condition is awaited at most.
-    static constexpr Micros kLimit = 60 * kSecondMicros;
+    static constexpr Micros kMaxWait = 60 * kSecondMicros;
     static constexpr bool kVirtual = std::is_same_v<Loop, sim::VirtualLoop>;
     static auto loop_settings() {
         if constexpr (kVirtual)
@@ -28,13 +28,13 @@
             return net::PollLoop::Limits{.input = 96 * 1024};
     }
     // The address to listen on: this one in virtual time; on real sockets the kernel picks the port.
-    static net::Address at(const std::string& address) {
+    static net::Address listen_address(const std::string& address) {
         return *net::Address::parse(kVirtual ? address : "127.0.0.1:0");
     }
 
-    RigOn() {
+    NodeFixture() {
         settings.name = "n0";
-        settings.listen = at("127.0.0.4:5050");
+        settings.listen = listen_address("127.0.0.4:5050");
         settings.sockets = 256;
         settings.memory_mb = 32;
         settings.cores = 0.5;
@@ -43,21 +43,22 @@
         settings.connect_timeout = 250 * kMillisecond;
         set_policy(settings.policy);
     }
-    ~RigOn() override {
+    ~NodeFixture() override {
         node.reset();
         clients.clear();
     }
 
     // Starts an engine and lists it at the name service; in virtual time at `address`, if one is given.
-    lab::PlatformEngine& engine(const std::string& name, const std::string& address = "") {
+    lab::PlatformEngine& add_engine(const std::string& name, const std::string& address = "") {
         lab::PlatformEngineSettings s;
         s.name = name;
         s.seed = ++seed;
         auto e = std::make_unique<lab::PlatformEngine>(loop, s, records);
         const auto place = e->listen(
-            "n0", at(address.empty() ? "127.1.0." + std::to_string(engines.size() + 1) + ":5050" : address));
+            "n0", listen_address(address.empty() ? "127.1.0." + std::to_string(engines.size() + 1) + ":5050"
+                                                 : address));
         EXPECT_TRUE(place) << place.error();
-        list(name, *place);
+        publish_endpoint(name, *place);
         lab::EngineFacts facts;
         facts.name = name;
         facts.address = name;
@@ -69,8 +70,8 @@
     }
     // An event of the name service; before start() it is part of the list of the start, as a configuration
     // would hold it.
-    void list(const std::string& name, const net::Address& place, bool draining = false) {
-        names.put({name, "z", "std", {{"n0", place}}, draining});
+    void publish_endpoint(const std::string& name, const net::Address& place, bool draining = false) {
+        name_service.put({name, "z", "std", {{"n0", place}}, draining});
         if (node)
             return;
         decide::DiscoveredEndpoint e;
@@ -82,10 +83,10 @@
     }
     // Starts the name service and the node, and waits until the node answers a client.
     void start() {
-        const auto dns = names.listen("n0", at("127.2.0.1:1053"));
+        const auto dns = name_service.listen("n0", listen_address("127.2.0.1:1053"));
         ASSERT_TRUE(dns);
         settings.dns = *dns;
-        settings.known_serial = names.number();
+        settings.known_serial = name_service.number();
         node = std::make_unique<node::Node>(loop, settings,
                                             node::NodeDeps{[this](const std::string& t) {
                                                                log += t + "\n";
@@ -96,23 +97,24 @@
         const auto bound = node->start();
         ASSERT_TRUE(bound) << bound.error();
         settings.listen = *bound;
-        ready();
+        wait_until_ready();
     }
     // A new client, which connects at once.
-    lab::PlatformClient& client() {
+    lab::PlatformClient& add_client() {
         clients.push_back(std::make_unique<lab::PlatformClient>(loop, "n0", settings.listen, records));
         return *clients.back();
     }
     // Waits until the node answers a probe.
-    void ready() {
-        auto& c = client();
+    void wait_until_ready() {
+        auto& c = add_client();
         c.probe();
-        ASSERT_TRUE(until([&] {
+        ASSERT_TRUE(run_until([&] {
             return c.ready();
         }));
     }
     // A request of a new id, for work of so many milliseconds and a result of so many rows.
-    lab::PlatformClient::Ask ask(const std::string& cls = "lookup", int work_ms = 20, std::size_t rows = 3) {
+    lab::PlatformClient::Ask make_request(const std::string& cls = "lookup", int work_ms = 20,
+                                          std::size_t rows = 3) {
         lab::PlatformClient::Ask a;
         a.cls = cls, a.tenant = "acme", a.rows = rows;
         a.trace = random.hex(16);
@@ -125,14 +127,14 @@
     }
     // Runs the loop until the condition holds; false: it did not in time.
     template <typename C>
-    bool until(C condition, Micros longest = kLimit) {
+    bool run_until(C condition, Micros longest = kMaxWait) {
         if constexpr (kVirtual)
             return loop.run(condition, longest);
         else
             return await(loop, condition, longest);
     }
     // Lets so much virtual time pass.
-    void pass(Micros span) {
+    void advance_time(Micros span) {
         static_assert(kVirtual, "conditions are awaited on real sockets");
         const Micros end = loop.now() + span;
         loop.after(span, [] {});
@@ -143,15 +145,15 @@
             span + 1);
     }
     // The rules judged from what has been recorded by now.
-    lab::Judgement judged() {
+    lab::Judgement check_rules() {
         records.facts.classes = settings.policy.classes;
         records.facts.answer_grace = settings.policy.response_grace;
         records.facts.drain_grace = settings.policy.drain_grace + 50 * kMillisecond;
         records.sort();
         return lab::judge(records);
     }
-    void expect_rules_kept() {
-        const auto j = judged();
+    void expect_no_violations() {
+        const auto j = check_rules();
         for (const auto& v : j.violations)
             ADD_FAILURE() << "rule " << v.rule << ": " << v.what << "\n" << v.story;
         for (const auto& e : engines)
@@ -200,14 +202,14 @@
     std::uint64_t seed = 0;
     std::string log;  // of the node, with its trace
     lab::Records records;
-    lab::NameService names{loop, records, 3};
+    lab::NameService name_service{loop, records, 3};
     node::NodeSettings settings;
     std::vector<std::unique_ptr<lab::PlatformEngine>> engines;
     std::vector<std::unique_ptr<lab::PlatformClient>> clients;
     std::unique_ptr<node::Node> node;
 };
 
-using NodeRig = RigOn<sim::VirtualLoop>;
-using SocketRig = RigOn<net::PollLoop>;
+using VirtualNodeTest = NodeFixture<sim::VirtualLoop>;
+using SocketNodeTest = NodeFixture<net::PollLoop>;
 
 }  // namespace gatetiller::testing
--- a/tests/soak/planted.cpp
+++ b/tests/soak/planted.cpp
@@ -60,32 +60,32 @@
         settings.backs_off_from_first_silence = planted("slow_questions");
         return settings;
     }
-    bool follows_restarted_numbering() const override {
+    bool accepts_restarted_serials() const override {
         return !planted("highest_number_for_ever");
     }
 
     bool enforces_attempt_guard() const override {
         return !planted("guard_off");
     }
-    EngineId target_of(EngineId engine, int attempt) const override {
+    EngineId engine_for_attempt(EngineId engine, int attempt) const override {
         return attempt > 0 && planted("send_to_unlisted_engine") ? kUnlistedEngine : engine;
     }
-    std::size_t slow_start_attempts_per_attempt() const override {
+    std::size_t slow_start_weight_of_attempt() const override {
         return planted("send_over_slow_start_budget") ? kSlowStartWeight : 1;
     }
-    bool doubles_first_attempt() const override {
+    bool duplicates_first_attempt() const override {
         return planted("send_while_attempt_in_flight");
     }
     bool sends_stale_time_left() const override {
         return planted("stale_deadline");
     }
-    bool begins_at_drained_engine() const override {
+    bool begins_at_draining_engine() const override {
         return planted("send_past_drain_grace");
     }
-    bool begins_in_spite_of_violation() const override {
+    bool begins_despite_violation() const override {
         return planted("guard_off") || planted("send_after_client_disconnected");
     }
-    bool sends_after_client_left() const override {
+    bool sends_after_client_disconnected() const override {
         return planted("send_after_client_disconnected");
     }
     bool sends_after_final_response() const override {
@@ -95,14 +95,14 @@
     bool loses_response(Micros deadline) const override {
         return planted("lost_answer") && deadline % kLostResponseShare == 0;
     }
-    bool closes_owing(const decide::ClientSnapshot& client) const override {
+    bool closes_while_response_owed(const decide::ClientSnapshot& client) const override {
         if (client.closing)
             return false;
         if (planted("close_with_request_open") && client.open_requests > 0)
             return true;
         return planted("close_with_response_unsent") && client.open_requests == 0 && client.has_unsent;
     }
-    bool closes_over_unread_bytes() const override {
+    bool closes_with_unread_bytes() const override {
         return planted("close_over_unread_bytes");
     }
 
