--- a/src/node/active_request.hpp
+++ b/src/node/active_request.hpp
@@ -1,5 +1,5 @@
-// A request that a front node has accepted and whose response it owes, with its attempts at engines. Plain
-// data: request_dispatcher.hpp and attempt_dispatcher.hpp act on it.
+// A client request that a front node has accepted and not yet released, with its attempts at engines. Plain
+// data: request_dispatcher.hpp and attempt_dispatcher.hpp operate on it.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +20,7 @@
 struct ActiveRequest;
 struct Attempt;
 
-// What an attempt's exchange reports goes here; see Exchange::Events.
+// Receives the events of an attempt's exchange; see Exchange::Events.
 class AttemptHandler {
 public:
     virtual ~AttemptHandler() = default;
@@ -30,7 +30,7 @@
     virtual bool may_begin(const Attempt& attempt, std::uint64_t connection) = 0;
 };
 
-// Times are the loop's.
+// Timestamps are on the loop's clock, in microseconds.
 struct Attempt final : Exchange::Events {
     Attempt(AttemptHandler& handler_in, net::Loop& loop_in, ActiveRequest& request_in, int number_in,
             EngineId engine_in)
@@ -67,27 +67,27 @@
     AttemptHandler& handler;
     net::Loop& loop;
     ActiveRequest& request;
-    int number;  // from 0
+    int number;  // 0 for the request's first attempt
     EngineId engine;
     Micros dispatched_at;
     Micros expires_at = 0;
     net::TimerId timeout_timer = 0;
-    net::TimerId retry_window_timer = 0;  // when a retry must have been sent, so that its key still counts
-    Micros last_progress_at = 0;          // for logs, as is the next
-    int progress_updates = 0;
-    bool in_flight = false;  // it is the one that the request's lifecycle counts
+    net::TimerId retry_window_timer = 0;  // fires when a retry can no longer arrive within its key window
+    Micros last_progress_at = 0;          // for logs
+    int progress_updates = 0;             // for logs
+    bool in_flight = false;               // counted as in flight by the request's lifecycle
     bool over = false;
-    std::unique_ptr<Exchange> exchange;  // null: not sent, or over
+    std::unique_ptr<Exchange> exchange;  // null: not sent, or ended
 };
 
-// An attempt that is over and may have run.
+// An ended attempt that the engine may have executed.
 struct PossibleExecution {
     Micros dispatched_at = 0;
-    std::string zone;  // of its engine
-    std::int64_t cell = 0;
+    std::string zone;       // the engine's
+    std::int64_t cell = 0;  // the engine's
 };
 
-// Times are the loop's.
+// Timestamps are on the loop's clock, in microseconds.
 struct ActiveRequest {
     std::string id;
     std::string idempotency_key;  // empty: none
@@ -95,10 +95,10 @@
     const ClassSettings* class_settings = nullptr;
     std::string tenant;
     ClientId client = 0;
-    std::int32_t sequence = 0;  // of the client's call
+    std::int32_t sequence = 0;  // sequence number of the client's call
     Micros arrived_at = 0;
     Micros deadline = 0;
-    double granted_memory_mb = 0;  // 0: the engine's own choice
+    double granted_memory_mb = 0;  // 0: the engine chooses
     int priority = 1;
     std::vector<std::unique_ptr<Attempt>> attempts;
     std::optional<PossibleExecution> first_possible_execution;
@@ -108,7 +108,7 @@
     Attempt* attempt_in_flight() {
         return lifecycle.attempt_in_flight() ? attempts.back().get() : nullptr;
     }
-    // For logs.
+    // The request's name in log lines.
     std::string name() const {
         return id + " " + class_settings->name;
     }
--- a/src/node/attempt_dispatcher.cpp
+++ b/src/node/attempt_dispatcher.cpp
@@ -9,7 +9,7 @@
 namespace gatetiller::node {
 namespace {
 
-constexpr Micros kRetryTransit = 20 * kMillisecond;  // of a retry to its engine
+constexpr Micros kRetryTransit = 20 * kMillisecond;  // allowance for a retry to reach its engine
 
 }  // namespace
 
@@ -74,7 +74,7 @@
         attempt.timeout_timer = 0;
         complete(attempt, AttemptOutcome::timed_out);
     });
-    // A retry must arrive while the engines still know its key, not only be dispatched by then.
+    // A retry must arrive, not merely be dispatched, while the engines still recognize its key.
     if (request.class_settings->idempotency != Idempotency::keyed || !request.first_possible_execution)
         return;
     const Micros window_ends =
@@ -96,7 +96,7 @@
         complete(attempt, AttemptOutcome::not_sent);
 }
 
-// The request as it goes out now: `ms` is what is left of its time at this moment.
+// Returns the request as it is to be written now; the field `ms` is the time left at this moment.
 std::optional<Exchange::Request> AttemptDispatcher::current_request(const Attempt& attempt) {
     const ActiveRequest& request = attempt.request;
     const Micros now = deps_.faults->sends_stale_time_left() ? attempt.dispatched_at : loop_.now();
@@ -116,11 +116,11 @@
     return Exchange::Request{std::move(fields), request.body};
 }
 
-// By what holds at this moment and not when the attempt was dispatched: a connection that came up late, or a
-// stall of this process, lies between the two.
+// Checks the conditions at this moment, as they may have changed since the dispatch: the connection may have
+// been established late, or this process may have stalled.
 bool AttemptDispatcher::may_begin(const Attempt& attempt, std::uint64_t connection) {
     auto context = context_of(attempt);
-    context.attempt_in_flight = false;  // it is this one
+    context.attempt_in_flight = false;  // the one in flight is this attempt
     const auto violation = guard_.find_violation(context, *attempt.request.class_settings, std::nullopt);
     const bool engine_ready =
         endpoints_.state(attempt.engine) == EndpointState::ready || deps_.faults->begins_at_draining_engine();
@@ -173,7 +173,7 @@
         attempt->exchange->set_priority(grant.priority);
 }
 
-// ---- Ends
+// ---- Completion
 
 void AttemptDispatcher::cancel(ActiveRequest& request, int number) {
     if (number >= 0 && number < static_cast<int>(request.attempts.size()))
@@ -185,13 +185,14 @@
         complete(attempt, AttemptOutcome::not_sent);
 }
 
-// Ends an attempt of which not all has been sent, at the price of its connection: it never ran.
+// Ends an attempt whose request has not been sent completely, and so was never executed. If a part has been
+// sent, its connection is reset.
 void AttemptDispatcher::reset_partial(Attempt& attempt) {
     if (!attempt.over && attempt.exchange && attempt.exchange->reset_partial())
         complete(attempt, AttemptOutcome::not_sent);
 }
 
-// Does not depend on PolicySettings::can_cancel: no attempt may begin for a client that has left.
+// Does not depend on PolicySettings::can_cancel: no attempt may begin for a disconnected client.
 void AttemptDispatcher::on_client_left(ActiveRequest& request) {
     Attempt* const attempt = request.attempt_in_flight();
     if (!attempt)
@@ -222,7 +223,7 @@
     const std::string progress = deps_.trace && attempt.exchange ? attempt.exchange->describe() : "";
     if (attempt.exchange && attempt.exchange->withdraw_unsent())
         outcome = AttemptOutcome::not_sent;
-    attempt.exchange.reset();  // cancels it at the engine, where it is not over
+    attempt.exchange.reset();  // cancels the request at the engine unless the exchange has ended
     if (!proves_not_executed(outcome))
         record_possible_execution(attempt);
     ++completed_[outcome];
--- a/src/node/attempt_dispatcher.hpp
+++ b/src/node/attempt_dispatcher.hpp
@@ -1,8 +1,9 @@
-// Carries out the policy's dispatches: one attempt of a request at one engine, from the guard's permit to the
-// report of its outcome.
+// Executes the policy's dispatches. Each dispatch is one attempt of a request at one engine, from the guard's
+// permit to the report of the outcome.
 //
-// Invariants: an attempt is sent only with a permit of decide::AttemptGuard, which is checked again when its
-// first byte goes to the kernel; the policy gets exactly one AttemptCompleted for each dispatch.
+// Invariants: an attempt is sent only with a permit of decide::AttemptGuard, whose conditions are checked
+// again when the first byte is written to the kernel; the policy receives exactly one AttemptCompleted per
+// dispatch.
 #pragma once
 
 #include <cstdint>
@@ -21,39 +22,42 @@
 
 namespace gatetiller::node {
 
-// For how long after its first attempt a request of this class may be sent again, so that the retry arrives
-// while engines still know its idempotency key.
+// Returns how long after the first attempt, in microseconds, a request of this class may be sent again so
+// that the retry arrives while engines still recognize its idempotency key.
 Micros retry_send_window(const ClassSettings& settings);
 
 class AttemptDispatcher final : private AttemptHandler {
 public:
     struct Events {
-        // The complete result of a request that is still owed its response.
+        // A complete result has arrived for a request that has had no final response yet.
         std::function<void(ActiveRequest&, const decide::ExchangeResult&)> on_result;
-        // An attempt is over, and with it all there is of its request.
+        // The last open attempt of a finished request has ended, so the request may be released.
         std::function<void(const ActiveRequest&)> on_releasable;
-        // AttemptGuard has refused a permit.
+        // AttemptGuard has refused a permit; the text names the attempt.
         std::function<void(decide::Invariant, const std::string& what)> on_violation;
     };
 
-    // All references outlive it; requests given to it are released before it is destroyed.
+    // All references must outlive the dispatcher. Requests passed to it must be released before it is
+    // destroyed.
     AttemptDispatcher(net::Loop& loop, const NodeSettings& settings, EndpointRegistry& endpoints,
                       core::PolicyDriver& policy, const NodeDeps& deps, Events events);
 
-    // `timeout`: bounds the attempt, in microseconds; 0: the request's deadline alone does.
+    // Starts an attempt. `timeout` limits its duration, in microseconds; 0: only the request's deadline does.
     void dispatch(ActiveRequest& request, EngineId engine, Micros timeout);
-    // Cancels the attempt of that number; ignored where there is none or it is over.
+    // Cancels the attempt with that number; no effect if it does not exist or has ended.
     void cancel(ActiveRequest& request, int number);
-    // Memory and priority for the request's attempts from now on; the priority reaches one in flight too.
+    // Sets the memory and priority of the request's subsequent attempts. A changed priority is also sent for
+    // the attempt in flight.
     void grant(ActiveRequest& request, const ResourceGrant& grant);
-    // Ends an attempt of which nothing has been sent.
+    // Ends the attempt if none of its request has been sent.
     void withdraw_unsent(Attempt& attempt);
-    // The client has left: ends the attempt in flight unless all of it has reached the engine's machine.
+    // Handles a client's disconnection: ends the attempt in flight unless the engine's machine has
+    // acknowledged the complete request.
     void on_client_left(ActiveRequest& request);
-    // Sends the request once more to its first engine. For fault injection.
+    // Sends the request again to the engine of its first attempt. For fault injection.
     void repeat_first_attempt(ActiveRequest& request);
 
-    // Attempts that are over, by outcome: "failed:1,succeeded:3".
+    // Returns the number of ended attempts by outcome, for example "failed:1,succeeded:3".
     std::string counters_text() const;
 
 private:
@@ -66,7 +70,7 @@
     void send(Attempt& attempt, RegisteredEngine& engine, const decide::AttemptPermit& permit);
     void start_timers(Attempt& attempt);
     void reset_partial(Attempt& attempt);
-    // `result`: what its exchange ended with, if that is why it is over.
+    // Ends the attempt and reports it to the policy. `result`: the result of the exchange, if that has ended.
     void complete(Attempt& attempt, AttemptOutcome outcome, const decide::ExchangeResult* result = nullptr);
     AttemptCompleted completion_of(const Attempt& attempt, AttemptOutcome outcome,
                                    const decide::ExchangeResult* result) const;
--- a/src/node/client_sessions.cpp
+++ b/src/node/client_sessions.cpp
@@ -7,12 +7,12 @@
 namespace gatetiller::node {
 namespace {
 
-constexpr std::size_t kMaxFrameBytes = 49'152;            // a statement, its fields and their headers
-constexpr int kCallsPerTurn = 32;                         // of one connection, before others have their turn
-constexpr Micros kBacklogEmptyAfter = 10 * kMillisecond;  // without a newcomer
+constexpr std::size_t kMaxFrameBytes = 49'152;  // a statement, its fields and their headers
+constexpr int kCallsPerTurn = 32;               // from one connection, so that others get their turn
+constexpr Micros kBacklogEmptyAfter = 10 * kMillisecond;  // since the last accepted connection
 constexpr Micros kSweepInterval = 100 * kMillisecond;
-constexpr Micros kUnreadGrace = 50 * kMillisecond;  // in which bytes left unread by a last read are read
-constexpr std::size_t kSpareShare = 8;  // one in so many places is kept free by graceful closes, if it can be
+constexpr Micros kUnreadGrace = 50 * kMillisecond;  // time to read the bytes that a last read left unread
+constexpr std::size_t kSpareShare = 8;  // graceful closes keep one in this many connection slots free
 
 }  // namespace
 
@@ -20,7 +20,7 @@
 public:
     Connection(ClientSessions& sessions, ClientId id, std::unique_ptr<net::Stream> stream);
 
-    // Begins to read; to be called once it can be found by its id.
+    // Starts reading. To be called once the connection can be found by its id, as reading may close it.
     void start();
     void on_data(Buffer& in) override;
     void on_closed(net::Closed how) override;
@@ -37,34 +37,35 @@
         return stream_->peer();
     }
 
-    // It may have waited in the listen backlog for so long.
+    // `wait`: the maximum time that the connection may have spent in the listen backlog.
     void set_backlog_wait(Micros wait) {
         backlog_wait_ = wait;
     }
-    // Counts as having unread bytes until then, or until bytes are read.
+    // The connection counts as having unread bytes until that time or until bytes are read.
     void set_unread_until(Micros until) {
         unread_until_ = until;
     }
-    // Reads what has come by now; the connection may be gone afterwards. Whether all of it was read.
+    // Reads the bytes that have arrived, and returns whether it read all of them. May destroy the connection.
     bool read_now() {
         return stream_->read_now();
     }
-    // Sends the response and returns how many bytes now wait to be sent; nothing where none is owed.
+    // Sends the response and returns the number of bytes that wait to be sent; nothing if the request is not
+    // open.
     std::optional<std::size_t> respond(std::int32_t sequence, std::string frame);
     void close_if_answered();
-    // Graceful: what was sent goes out, what still comes is read and dropped.
+    // Closes gracefully: pending output is sent, further input is read and discarded.
     void close(const decide::ClosePermit& permit);
     std::set<std::int32_t> release_all() {
         return numbers_.release_all();
     }
 
 private:
-    // What became of the next message in the buffer.
+    // The result of reading the next message in the buffer.
     enum class Reading {
-        complete,    // read; there may be more
-        incomplete,  // nothing more to read in this turn
+        complete,    // one message was read; there may be more
+        incomplete,  // there is nothing more to read in this turn
         deferred,    // complete messages are left for the next turn
-        gone,        // the connection is gone
+        gone,        // the connection has been destroyed
     };
     Reading read_message(Buffer& in, int calls);
     void handle(thrift::Call call);
@@ -75,14 +76,16 @@
     ClientSessions& sessions_;
     ClientId id_;
     std::unique_ptr<net::Stream> stream_;
-    decide::ClientSnapshot state_;  // but for the open requests, which `numbers_` knows
+    decide::ClientSnapshot state_;  // without the number of open requests, which is in `numbers_`
     decide::ClientSequenceNumbers numbers_;
-    Micros backlog_wait_ = 0;    // in the listen backlog, at most
-    bool deferred_ = false;      // complete messages wait for the next turn
-    bool malformed_ = false;     // what still comes is dropped; closes once what was accepted is answered
-    Micros deferred_since_ = 0;  // the messages deferred now have waited since then; 0: none are
-    Micros waiting_since_ = 0;   // the messages read in this turn have; 0: since they came
-    Micros unread_until_ = 0;    // more had come than was read: counts as unread until it is, or so long
+    Micros backlog_wait_ = 0;  // maximum time spent in the listen backlog
+    bool deferred_ = false;    // complete messages wait for the next turn
+    // A malformed message has arrived: further input is discarded, and the connection closes once the
+    // accepted requests have their responses.
+    bool malformed_ = false;
+    Micros deferred_since_ = 0;  // since when the deferred messages have waited; 0: none are deferred
+    Micros waiting_since_ = 0;   // since when the messages of this turn have waited; 0: since they arrived
+    Micros unread_until_ = 0;    // unread bytes are assumed until then or until bytes are read
     std::shared_ptr<char> alive_ = std::make_shared<char>();
 };
 
@@ -184,7 +187,7 @@
     sessions_.events_.on_request(id_, std::move(call), unseen);
 }
 
-// How long at most what is read now has waited, at this machine, to be read.
+// Returns the maximum time for which the messages being read have waited on this machine.
 Micros ClientSessions::Connection::waited_unseen() const {
     const Micros deferred = waiting_since_ > 0 ? sessions_.loop_.now() - waiting_since_ : 0;
     return std::max({sessions_.loop_.unseen(), stream_->starved(), deferred});
@@ -203,8 +206,8 @@
     return {now.open_requests, now.has_unsent, now.has_unread};
 }
 
-// Nothing that comes from here on can be read. The requests accepted before are still owed their responses; a
-// request whose number was used again has this one.
+// Ends reading after a malformed message, as the rest of the stream can't be parsed. The requests accepted
+// before still get their responses; if their sequence number was reused, the exception is the response.
 void ClientSessions::Connection::end_malformed(std::int32_t sequence, thrift::Fault fault,
                                                const std::string& reason) {
     ++sessions_.counters_.malformed;
@@ -279,13 +282,14 @@
 
 // ---- Evictions
 
-// Whoever is evicted must have had time to send a request; until then newcomers wait in the listen backlog.
-// The newcomer itself is accepted already, over the limit.
+// Evicts connections down to the limit. A connection must have had time to send a request before it is
+// evicted; until then new connections wait in the listen backlog. The connection just accepted may exceed the
+// limit by one.
 void ClientSessions::ensure_capacity() {
     while (connections_.size() >= limits_.client_connections)
         if (!evict_one())
             return;
-    // A little ahead of need, so that nobody's last bytes cross a close that can't wait for them.
+    // Close gracefully before the limit is reached: an immediate close could cross a request on its way.
     const std::size_t spare = limits_.client_connections / kSpareShare;
     if (connections_.size() + spare < limits_.client_connections)
         return;
@@ -305,7 +309,7 @@
     return candidate ? std::optional(Eviction{*candidate, ids[candidate->index]}) : std::nullopt;
 }
 
-// False: nobody may be evicted yet, and newcomers wait.
+// Returns false if no connection may be evicted yet; accepting is then paused.
 bool ClientSessions::evict_one() {
     const auto next = next_eviction();
     const Micros now = loop_.now();
@@ -315,8 +319,8 @@
         pause_accepting(evictable_at);
         return false;
     }
-    // Its next request may be here already: what has come is read first, and a close over unread bytes would
-    // be a reset.
+    // The client's next request may have arrived already, so read first. A close with unread bytes would also
+    // reset the connection.
     if (!read_and_check_idle(next->id))
         return true;
     ++counters_.evicted;
@@ -338,7 +342,7 @@
     });
 }
 
-// Reads what has come. Whether the connection still exists and may be closed.
+// Reads the bytes that have arrived, then returns whether the connection still exists and may be closed.
 bool ClientSessions::read_and_check_idle(ClientId id) {
     const auto before = connections_.find(id);
     if (before == connections_.end())
@@ -372,7 +376,7 @@
     return permit;
 }
 
-// Gracefully, unless what is read at the last moment shows that it is not idle.
+// Closes the connection gracefully unless a last read shows that it is not idle.
 void ClientSessions::close_if_idle(ClientId id, decide::CloseReason reason) {
     if (!read_and_check_idle(id))
         return;
@@ -389,7 +393,7 @@
     const auto found = connections_.find(id);
     if (found == connections_.end())
         return;
-    // A connection that is being closed gracefully was permitted then.
+    // A graceful close in progress already had its permit.
     if (!found->second->is_closing() && !permit_close(*found->second, reason))
         return;
     const auto dropped = std::move(found->second);
@@ -463,7 +467,7 @@
 void ClientSessions::close_listener(bool now) {
     if (!listener_)
         return;
-    // Past the limit there may be no descriptor for them.
+    // Beyond the limit there may be no descriptors left.
     const std::size_t capacity =
         limits_.client_connections - std::min(limits_.client_connections, connections_.size());
     if (listener_->accept_waiting(capacity) || now)
--- a/src/node/client_sessions.hpp
+++ b/src/node/client_sessions.hpp
@@ -1,10 +1,10 @@
-// The client side of a front node: Thrift connections, their requests by sequence number, and the bounds on
-// both. A malformed message gets an exception, and its connection closes once the requests accepted before
-// are answered. Well-formed requests go to the handler.
+// The client side of a front node: Thrift connections, their requests by sequence number, and the limits on
+// both. A malformed message is answered with an exception, and its connection closes once the requests
+// accepted before it have their responses. Well-formed requests are passed to Events::on_request.
 //
-// Invariant: a connection closes only with a permit of decide::CloseGuard, so never while a response is owed
-// or on its way, except for the reasons that the guard names. Closes are graceful where a descriptor can be
-// spared for them.
+// Invariant: a connection closes only with a permit of decide::CloseGuard, so never while a response is
+// pending or not fully sent, except for the reasons that the guard allows. Closes are graceful as long as
+// there are descriptors to spare for them.
 #pragma once
 
 #include <array>
@@ -26,59 +26,61 @@
 
 namespace gatetiller::node {
 
-// Identifies a client connection; never used again.
+// Identifies a client connection; values are not reused.
 using ClientId = std::uint64_t;
 
 // Counters since the start.
 struct ClientCounters {
     std::uint64_t accepted = 0;   // connections
-    std::uint64_t malformed = 0;  // messages that ended their connection
-    std::uint64_t evicted = 0;    // connections closed at once for others
-    std::uint64_t overdue =
-        0;  // times that no complete request arrived in time; the connection may have been kept
-    std::uint64_t waits = 0;  // times that newcomers waited until a connection could be evicted
+    std::uint64_t malformed = 0;  // malformed messages, each of which ends its connection
+    std::uint64_t evicted = 0;    // connections closed immediately to make capacity for new ones
+    // Timeouts while waiting for a complete request. The connection may have stayed open, if a last read
+    // found one.
+    std::uint64_t overdue = 0;
+    std::uint64_t waits = 0;  // times that accepting paused until a connection could be evicted
     std::array<std::uint64_t, decide::kCloseReasons> closed{};  // connections, by reason
 };
 
 class ClientSessions {
 public:
     struct Events {
-        // A `process` call, to be answered by respond(). It may have waited unseen for `unseen` microseconds.
+        // A `process` call, whose response is sent with respond(). `unseen`: how long, in microseconds, it
+        // may have waited before this process read it.
         std::function<void(ClientId, thrift::Call, Micros unseen)> on_request;
-        // The client has cancelled the request, or its connection has ended: no response is owed any more.
+        // The client has cancelled the request or its connection has ended: no response is expected any more.
         std::function<void(ClientId, std::int32_t sequence)> on_cancelled;
-        // This side closes a connection; for logs.
+        // This node closes a connection; for logs.
         std::function<void(ClientId, const std::string& peer, decide::CloseReason,
                            const decide::ClosingContext&)>
             on_closed;
-        // CloseGuard has refused a close.
+        // CloseGuard has refused a permit to close a connection.
         std::function<void(decide::Invariant, ClientId)> on_violation;
     };
 
-    // The loop and the fault injection outlive it.
+    // The loop and the fault injection must outlive the sessions.
     ClientSessions(net::Loop& loop, decide::ResourceLimits limits, Events events,
                    const FaultInjection& faults = fault_injection());
     ~ClientSessions();
     ClientSessions(const ClientSessions&) = delete;
     ClientSessions& operator=(const ClientSessions&) = delete;
 
-    // Returns the address listened on, with its port. Fails where the socket can't be opened.
+    // Returns the bound address with its port, or an error if the socket can't be opened.
     Result<net::Address> listen(const net::Address& at);
-    // Sends the response of an open request, as a complete frame; ignored where the client has left.
+    // Sends the response of an open request, as a complete frame; no effect if the client has disconnected.
     void respond(ClientId id, std::int32_t sequence, std::string frame);
-    // The limits for connections and responses from now on.
+    // Replaces the limits on connections and unsent responses.
     void set_limits(const decide::ResourceLimits& limits) {
         limits_ = limits;
     }
 
     // ---- Graceful shutdown
 
-    // Accepts at once where accepting was paused for want of capacity.
+    // Resumes accepting immediately if it was paused for lack of capacity.
     void resume_accepting();
     // Closes the connections that are idle now; to be called repeatedly.
     void close_idle();
-    // Accepts who waits in the listen backlog, as far as the limits allow, and closes the listener once
-    // nobody waits; to be called repeatedly. `now`: closes it whoever waits.
+    // Accepts connections from the listen backlog as far as the limits allow, and closes the listener once
+    // the backlog is empty; to be called repeatedly. `now`: closes it even if connections wait.
     void close_listener(bool now);
 
     bool is_listening() const {
@@ -118,7 +120,7 @@
     std::unordered_map<ClientId, std::unique_ptr<Connection>> connections_;
     ClientId last_id_ = 0;
     ClientCounters counters_;
-    Micros backlog_since_ = 0;  // newcomers may have waited in the listen backlog since then; 0: none did
+    Micros backlog_since_ = 0;  // since when connections may wait in the listen backlog; 0: it is empty
     net::TimerId sweep_timer_ = 0;
     net::TimerId resume_timer_ = 0;
     net::TimerId backlog_timer_ = 0;
--- a/src/node/config.cpp
+++ b/src/node/config.cpp
@@ -78,7 +78,8 @@
     return endpoint;
 }
 
-// The events of the start amount to one list: the first holds it completely, later ones what has changed.
+// Merges the configured events into one list: the first holds the complete list (`reset`), later ones hold
+// changes to it.
 void read_known_endpoints(const Json& known, NodeSettings& settings) {
     settings.known_serial = positive<std::uint64_t>(known, "offset");
     for (const Json& event : member(known, "batch")) {
--- a/src/node/endpoint_registry.cpp
+++ b/src/node/endpoint_registry.cpp
@@ -5,9 +5,9 @@
 namespace gatetiller::node {
 namespace {
 
-constexpr Micros kListOldAfter = 2 * kSecondMicros;  // without a response of the name service
-constexpr Micros kDiscardLead = 100 * kMillisecond;  // before the drain grace of an engine ends
-constexpr std::size_t kMaxEnginesLogged = 40;        // of one update
+constexpr Micros kListOldAfter = 2 * kSecondMicros;  // without a confirmation by the name service
+constexpr Micros kDiscardLead = 100 * kMillisecond;  // before the end of an engine's drain grace
+constexpr std::size_t kMaxEnginesLogged = 40;        // per update
 constexpr double kWorkSmoothing = 0.02;              // weight of one request in the mean work
 
 const char* state_text(EndpointState state) {
@@ -85,12 +85,13 @@
     events_.on_update(deps_.faults->update_for_policy(std::move(*update)));
     for (const auto& connections : replaced)
         connections->end_all("the engine has another address");
-    // What still waits to go out to an engine that is not ready would begin after its drain grace.
+    // Requests still waiting to be sent to a draining engine could otherwise begin after its drain grace.
     events_.on_applied();
     reset_before_grace_ends();
 }
 
-// Gives each listed engine connections to its address, and returns those to earlier addresses.
+// Creates the connections of each listed engine whose address is new, and returns those to previous
+// addresses.
 std::vector<std::unique_ptr<EngineConnections>> EndpointRegistry::connect_listed() {
     std::vector<std::unique_ptr<EngineConnections>> replaced;
     for (const auto& [id, listed] : list_.endpoints()) {
@@ -111,7 +112,7 @@
 
 decide::ConnectionLimits EndpointRegistry::connection_limits() const {
     decide::ConnectionLimits limits;
-    // The pool limits those to all engines together.
+    // This limit is per engine; the pool limits the total.
     limits.max_connections = std::max<std::size_t>(1, limits_.engine_connections / 2);
     limits.max_streams = static_cast<std::size_t>(settings_.max_streams);
     limits.connect_timeout = settings_.connect_timeout;
@@ -149,7 +150,7 @@
     deps_.log(text);
 }
 
-// Bytes that a draining engine has not acknowledged could start an attempt there after its grace.
+// Bytes that a draining engine has not acknowledged could start an attempt there after its drain grace.
 // Connections with such bytes are reset shortly before the grace ends; the policy retries their attempts
 // where allowed.
 void EndpointRegistry::reset_before_grace_ends() {
@@ -181,7 +182,8 @@
     }
 }
 
-// The wall clock as it stood at the start, moved on by the monotonic one: a later step of it changes nothing.
+// Returns the wall-clock time derived from the offset read at construction and the monotonic clock, so that
+// later steps of the wall clock have no effect.
 Micros EndpointRegistry::wall_now() const {
     return loop_.now() + wall_offset_;
 }
@@ -263,8 +265,8 @@
     log_list_age();
 }
 
-// Logged once for each silence. The current list stays in force, however old
-// (docs/incidents/drain-told-and-not-held.md).
+// Logs once when the list becomes old and once when it is confirmed again. The current list stays in use
+// regardless of its age (docs/incidents/drain-told-and-not-held.md).
 void EndpointRegistry::log_list_age() {
     const bool old = loop_.now() - list_.confirmed_at() > kListOldAfter;
     if (old == std::exchange(list_old_, old))
--- a/src/node/endpoint_registry.hpp
+++ b/src/node/endpoint_registry.hpp
@@ -1,8 +1,9 @@
-// The engines that a front node knows, with the connections to each. It applies updates of the endpoint list,
-// resets what may not begin at draining engines any more, and counts what slow start limits.
+// The engines known to a front node and the connections to each. Applies updates of the endpoint list, resets
+// connections whose pending requests must not begin at a draining engine, and counts the attempts that slow
+// start limits.
 //
-// Invariant: the policy gets an update before anything ends because of it, so that what ends is retried by
-// the new list.
+// Invariant: the policy receives an update before any attempt ends because of it, so that those attempts are
+// retried with the new list.
 #pragma once
 
 #include <cstdint>
@@ -27,33 +28,33 @@
 
 namespace gatetiller::node {
 
-// Times are the loop's.
+// Timestamps are on the loop's clock, in microseconds.
 struct RegisteredEngine {
     std::string name;
     std::string address;
     std::unique_ptr<EngineConnections> connections;  // null: no usable address is known
-    std::size_t in_flight = 0;                       // attempts whose end the policy has not been notified of
-    bool listed = true;                              // removed from the registry once nothing is in flight
+    std::size_t in_flight = 0;                       // attempts whose end has not been posted to the policy
+    bool listed = true;                              // if false, removed once no attempt is in flight
     std::string kind;
     std::string zone;
     std::int64_t cell = 0;
     Micros started_at = 0;                // 0: long ago
-    Micros draining_since = 0;            // when this node was notified; 0: it does not drain
-    bool discard_pending = false;         // it drains, and its unacknowledged bytes are not discarded yet
-    std::deque<Micros> slow_start_sends;  // attempts during slow start, within the overload window
+    Micros draining_since = 0;            // when this node was notified; 0: not draining
+    bool discard_pending = false;         // draining, with unacknowledged bytes not yet discarded
+    std::deque<Micros> slow_start_sends;  // send times of slow-start attempts within the overload window
 };
 
 class EndpointRegistry {
 public:
     struct Events {
-        // An update for the policy.
+        // Passes an update to the policy.
         std::function<void(EndpointUpdate)> on_update;
-        // Called after the policy received that update: attempts of which nothing was sent yet to an engine
-        // that is not ready are to be withdrawn.
+        // Called after the policy has received the update: unsent attempts at engines that are not ready must
+        // be withdrawn.
         std::function<void()> on_applied;
     };
 
-    // All references outlive it. `settings` and `limits` may change meanwhile.
+    // All references must outlive the registry. `settings` and `limits` may change during its lifetime.
     EndpointRegistry(net::Loop& loop, const NodeSettings& settings, const decide::ResourceLimits& limits,
                      const NodeDeps& deps, Events events);
     ~EndpointRegistry();
@@ -62,17 +63,18 @@
 
     // ---- Updates of the endpoint list
 
-    // The list of a configuration; ignored unless its serial is newer.
+    // Applies the list of a configuration; ignored unless its serial is newer.
     void apply_configured(std::uint64_t serial, const std::vector<decide::DiscoveredEndpoint>& endpoints);
     void apply_received(const discovery::ReceivedUpdate& update);
-    // Whether the list of that serial is the current one and nothing about it is in doubt.
+    // Confirms the current list from a response of which only the serial was read. Returns false if the
+    // response must be applied completely: it has another serial, or an endpoint is in doubt.
     bool confirm(std::uint64_t serial);
-    // The connection limit has changed.
+    // Applies a changed limit on engine connections.
     void refresh_connection_limit();
 
     // ---- Engines
 
-    // Null where the id is unknown.
+    // Returns null if the id is unknown.
     RegisteredEngine* find(EngineId id);
     const RegisteredEngine* find(EngineId id) const;
     const std::map<EngineId, RegisteredEngine>& engines() const {
@@ -81,30 +83,30 @@
     EndpointState state(EngineId id) const {
         return list_.state(id);
     }
-    // "-" where the id is unknown.
+    // Returns "-" if the id is unknown.
     std::string name_of(EngineId id) const;
-    // For AttemptGuard: `listed` is false where the id is unknown.
+    // Returns the engine's state for AttemptGuard; `listed` is false if the id is unknown.
     decide::EndpointSnapshot snapshot(EngineId id) const;
 
     // ---- Slow start
 
-    // The estimated work of an accepted request, in microseconds on one thread.
+    // Records the estimated work of an accepted request, in microseconds on one thread.
     void record_work(Micros work);
-    // How many requests of mean work fit the engine's slow-start share within the overload window, for all
-    // nodes together and without the guard's allowance (decide::slow_start_budget); nothing where that is
-    // unknown.
+    // Returns how many requests of mean work fit the engine's slow-start share within the overload window,
+    // for all nodes together and without the guard's allowance (decide::slow_start_budget); nothing if that
+    // is unknown.
     std::optional<double> slow_start_share_requests(EngineId id) const;
     void record_slow_start_send(EngineId id, Micros at, std::size_t attempts);
 
     // ---- Operation
 
-    // To be called about once a second: forgets engines that are gone, closes expiring connections, and logs
-    // when the list grows old.
+    // To be called about once a second: removes unlisted engines without attempts in flight, closes idle
+    // connections before they expire, and logs when the list has not been confirmed for long.
     void tick();
     bool has_endpoint_list() const {
         return !list_.endpoints().empty() || list_.serial() > 0;
     }
-    // For logs: the list's serial and for how long it has not been confirmed.
+    // Returns the list's serial and the time since its last confirmation, for logs.
     std::string list_text() const;
     const ConnectionPool& pool() const {
         return pool_;
@@ -129,8 +131,8 @@
     decide::EndpointList list_;
     std::map<EngineId, RegisteredEngine> engines_;
     double mean_work_ = 0;   // of accepted requests, in microseconds on one thread; 0: unknown
-    Micros wall_offset_;     // from the loop's clock to the wall clock, read once
-    bool list_old_ = false;  // and the log says so
+    Micros wall_offset_;     // from the loop's clock to the wall clock, read once at construction
+    bool list_old_ = false;  // logged as old
     net::TimerId discard_timer_ = 0;
 };
 
--- a/src/node/engine_connection.cpp
+++ b/src/node/engine_connection.cpp
@@ -14,19 +14,19 @@
 using decide::WriteProgress;
 using Status = ExchangeResult::Status;
 
-// A request that has waited longer than this to go out is written anew, with the time that is then left.
+// A request that has waited longer than this to be sent is encoded again with its current time left.
 constexpr Micros kMaxRequestAge = 10 * kMillisecond;
 
-// A request that has gone out in part for longer than this is cut off and tried anew: the time left that
-// stands in its first bytes is no longer true.
+// A request that has been partly sent for longer than this is reset and retried: the time left in its first
+// bytes is out of date.
 constexpr Micros kMaxPartialWriteTime = 120 * kMillisecond;
 
-// Without a response for so long a request may lie unread at a proxy or an engine that hangs.
+// A request without a response for longer than this may be unread at a proxy or a hanging engine.
 constexpr Micros kSilentAfter = 300 * kMillisecond;
 
 constexpr std::size_t kResponseParts = 4;  // id, kind, fields, body
 constexpr std::size_t kMaxPartBytes = 8'192;
-constexpr std::size_t kMaxDetailBytes = 80;  // of an engine's message, for logs
+constexpr std::size_t kMaxDetailBytes = 80;  // of an engine's error message, for logs
 const resp::Limits kResponseLimits{kResponseParts, kMaxPartBytes};
 
 std::optional<LoadReport> parse_load_report(std::string_view gauges) {
@@ -50,7 +50,7 @@
     return resp::array({"do", id, request.fields, request.body});
 }
 
-// The kinds of progress in an INFO message, by the name of its resource.
+// Returns the kind of progress in an INFO message by the name of its resource.
 std::optional<ProgressKind> progress_kind(std::string_view resource) {
     if (resource == "so_far")
         return ProgressKind::fraction_done;
@@ -134,7 +134,7 @@
     return stream_->send(std::move(bytes));
 }
 
-// Requests that waited, as far as they may go out now: each must bear the time that is left to it.
+// Prepares the waiting requests that fit into the next write: each must carry its current time left.
 void EngineConnection::on_sending(std::size_t most) {
     std::erase_if(unsent_, [&](const Exchange* exchange) {
         return stream_->written(exchange->request_send_) == net::Written::whole;
@@ -182,8 +182,8 @@
     return exchange.request_bytes_;
 }
 
-// It may not begin any more. Its owner is notified in a later turn, as the stream is in the middle of
-// writing.
+// Withdraws a request that may no longer begin. Its caller is notified in a later turn, as the stream is in
+// the middle of a write.
 void EngineConnection::withdraw_while_sending(Exchange& exchange) {
     if (!stream_->take_back(exchange.request_send_))
         return;
@@ -207,8 +207,9 @@
     finish(*found->second, std::move(result));
 }
 
-// A part of a request has gone out, and the rest must not follow it. All other open requests end too, each
-// with what that proves; in a later turn, as the caller still uses this connection.
+// Ends the connection after a part of a request has been sent, so that the rest never follows. All other open
+// requests end too, each with the status that follows for it. This happens in a later turn, as the caller
+// still uses the connection.
 void EngineConnection::cut_off(const char* reason) {
     stream_->drop_unsent();
     loop_.after(0, [this, alive = std::weak_ptr<char>(alive_), reason] {
@@ -231,7 +232,7 @@
             end_malformed("an answer that can't be read");
             return;
         }
-        // Copied, since what it leads to may destroy this connection with its buffer.
+        // Copied, as handling the response may destroy this connection and its buffer.
         const Response response{std::string(parts[0]), std::string(parts[1]), std::string(parts[2]),
                                 std::string(parts[3])};
         in.take(size);
@@ -266,7 +267,7 @@
     const auto value = to_number<double>(fields.find("amount"));
     const auto kind = progress_kind(fields.find("res"));
     if (!value || !kind)
-        return true;  // other notices say nothing about progress
+        return true;  // other INFO messages carry no progress
     const std::weak_ptr<char> alive = alive_;
     exchange.events_.on_progress(*kind, *value);
     return !alive.expired();
@@ -342,7 +343,7 @@
     return !alive.expired() && close_if_unused();
 }
 
-// ---- Ends
+// ---- Closing
 
 decide::ConnectionSnapshot EngineConnection::snapshot(const std::string& id) const {
     return {open_.size(), sent_ids_.size(), sent_ids_.contains(id), retired_, last_used_at_};
@@ -360,8 +361,8 @@
         exchange->connection_ = nullptr;
 }
 
-// Responses that still come under its id must not count for another attempt, and a connection on which a
-// response never comes is of no further use.
+// Removes a cancelled request and retires the connection: a late response to its id must not count for
+// another attempt, and a connection on which no response arrives is no longer usable.
 void EngineConnection::give_up(Exchange& exchange) {
     cancelled_silent_request_ = cancelled_silent_request_ || is_silent(exchange);
     remove(exchange);
@@ -369,7 +370,7 @@
     close_if_unused();
 }
 
-// False: this connection is gone.
+// Returns false if this connection has been destroyed.
 bool EngineConnection::close_if_unused() {
     if (!retired_ || !open_.empty())
         return true;
@@ -379,12 +380,14 @@
     return false;
 }
 
-// Whether the kernel still holds bytes for an engine that may be cut off, or read nothing, for long.
+// Returns whether the kernel holds unacknowledged bytes. The engine may be unreachable or not reading, so
+// they could be delivered much later.
 bool EngineConnection::holds_unacknowledged() const {
     return stream_ && stream_->unacknowledged().value_or(0) > 0;
 }
 
-// The same of one request: of what the kernel holds, what was given to it later is the last.
+// Returns whether the kernel holds unacknowledged bytes of this request: more than the bytes written after
+// it.
 bool EngineConnection::holds_unacknowledged(const Exchange& exchange) const {
     const std::size_t behind = bytes_given_ - std::min(bytes_given_, exchange.ends_at_byte_);
     const std::size_t behind_in_kernel = behind - std::min(behind, unsent_bytes());
@@ -397,13 +400,13 @@
     });
 }
 
-// There has been no response for so long that the request may lie unread somewhere on its way, acknowledged
-// or not.
+// Returns whether there has been no response for so long that the request may still be unread at a proxy or
+// the engine, even if its bytes were acknowledged.
 bool EngineConnection::is_silent(const Exchange& exchange) const {
     return !exchange.has_response_ && loop_.now() - exchange.written_at_ > kSilentAfter;
 }
 
-// Nothing of what was cancelled may begin any more. A reset cancels as much as an `undo` does.
+// Resets the connection so that no cancelled request can still begin. A reset cancels as an `undo` does.
 void EngineConnection::discard() {
     ++pool_.discarded;
     stream_->discard();
@@ -429,9 +432,9 @@
     }
     unsent_.clear();
     if (holds_unacknowledged())
-        discard();  // not where the stream has ended: nothing of it is held any more
+        discard();  // false if the stream has ended, as the kernel then holds nothing of it
     stream_.reset();
-    owner_.release(*this);  // `this` is gone: only what was copied counts from here
+    owner_.release(*this);  // destroys `this`: only local variables are used below
     for (const auto& [events, status] : ended) {
         ExchangeResult result;
         result.status = status;
@@ -440,7 +443,7 @@
     }
 }
 
-// ---- What exchanges ask for
+// ---- Operations of exchanges
 
 void EngineConnection::set_priority(Exchange& exchange, int level) {
     exchange.priority_changes_.push_back(send(resp::array({"bump", exchange.id_, std::to_string(level)})));
@@ -450,7 +453,7 @@
     if (!stream_->take_back(exchange.request_send_))
         return false;
     for (const auto change : exchange.priority_changes_)
-        stream_->take_back(change);  // behind the request, so not written either
+        stream_->take_back(change);  // queued behind the request, so not written either
     sent_ids_.erase(exchange.id_);
     remove(exchange);
     close_if_unused();
@@ -468,7 +471,7 @@
 bool EngineConnection::discard_unacknowledged(Exchange& exchange) {
     if (open_.size() != 1 || !holds_unacknowledged(exchange))
         return false;
-    give_up(exchange);  // which closes the connection, as nothing else is open there
+    give_up(exchange);  // closes the connection, as no other request is open on it
     return true;
 }
 
--- a/src/node/engine_connection.hpp
+++ b/src/node/engine_connection.hpp
@@ -1,9 +1,9 @@
-// One connection to an engine: writes requests, reads responses, and classifies what its end proves for each
-// request that is open on it.
+// One connection to an engine: writes requests, reads responses, and, when the connection ends, determines
+// for each open request whether it may have been executed.
 //
-// A request may be withdrawn until the kernel has its first byte. A connection on which a request was
-// cancelled is retired: it takes no new requests and closes once nothing is open on it, so that a late
-// response can't be taken for another attempt's.
+// A request may be withdrawn until its first byte is written to the kernel. A connection on which a request
+// was cancelled is retired: it accepts no new requests and closes once none is open, so that a late response
+// can't be mistaken for that of another attempt.
 #pragma once
 
 #include <cstdint>
@@ -21,23 +21,23 @@
 
 namespace gatetiller::node {
 
-// What the connections to all engines share: their bound and their counters.
+// State shared by the connections to all engines: their limit and their counters.
 struct ConnectionPool {
     std::size_t max_connections = 64;
     std::size_t open_connections = 0;
-    // Closes an idle connection to some engine; false: none is idle. May be absent.
+    // Closes an idle connection to any engine; returns false if none is idle. May be absent.
     std::function<bool()> evict_idle;
-    // A line for the beginning and the end of each connection. May be absent.
+    // Logs the start and the end of each connection. May be absent.
     std::function<void(const std::string&)> trace;
 
     // Counters since the start.
     std::uint64_t opened = 0;
-    std::uint64_t refused = 0;              // refused, unreachable or not up in time
-    std::uint64_t broken = 0;               // ended after they were up
+    std::uint64_t refused = 0;              // refused, unreachable or not established in time
+    std::uint64_t broken = 0;               // ended after they were established
     std::uint64_t malformed_responses = 0;  // each ends its connection
-    std::uint64_t unsolicited = 0;          // responses to no open request
+    std::uint64_t unsolicited = 0;          // responses that match no open request
     std::uint64_t local_failures = 0;  // this machine had no descriptor, port or the like for a connection
-    std::uint64_t rewritten = 0;       // requests that waited to go out and got their new time left
+    std::uint64_t rewritten = 0;       // requests re-encoded before sending, with their current time left
     std::uint64_t discarded = 0;       // connections reset because the kernel held cancelled requests
 };
 
@@ -46,34 +46,35 @@
 class EngineConnectionOwner {
 public:
     virtual ~EngineConnectionOwner() = default;
-    // It has ended or is of no further use; it may be destroyed in this call.
+    // The connection has ended or is no longer usable. It may be destroyed in this call.
     virtual void release(EngineConnection& connection) = 0;
 };
 
 class EngineConnection final : public net::StreamEvents {
 public:
-    // The loop, the pool and the owner outlive it. Begins to connect; `connect_timeout` in microseconds.
+    // Starts connecting; `connect_timeout` is in microseconds. The loop, the pool and the owner must outlive
+    // the connection.
     EngineConnection(net::Loop& loop, const net::Address& address, Micros connect_timeout,
                      ConnectionPool& pool, EngineConnectionOwner& owner);
     ~EngineConnection() override;
     EngineConnection(const EngineConnection&) = delete;
     EngineConnection& operator=(const EngineConnection&) = delete;
 
-    // Writes a request; it goes out once the connection is up.
+    // Queues a request, which is sent once the connection is established.
     void begin(Exchange& exchange, const Exchange::Request& request);
-    // For choosing a connection for the request of this id.
+    // Returns the state from which a connection is chosen for the request with this id.
     decide::ConnectionSnapshot snapshot(const std::string& id) const;
     std::size_t open_requests() const {
         return open_.size();
     }
-    // Whether the kernel holds unacknowledged bytes of an open request.
+    // Returns whether the kernel holds unacknowledged bytes of an open request.
     bool holds_unacknowledged_request() const;
-    // Ends the connection, and each open request with what that proves. `this` is gone afterwards.
+    // Ends the connection and each open request, with the status that follows for it. Destroys `this`.
     void abort(const char* reason);
-    // Forgets all open requests without a call.
+    // Removes all open requests without notifying anyone.
     void detach_all();
 
-    // What Exchange offers, of the same names, for one that is open here.
+    // The operations of Exchange of the same names, for an exchange that is open on this connection.
     void set_priority(Exchange& exchange, int level);
     bool withdraw_unsent(Exchange& exchange);
     bool reset_partial(Exchange& exchange);
@@ -90,8 +91,8 @@
         std::string body;
     };
     enum class StreamState {
-        open,   // what was begun may still be sent completely when it is closed
-        ended,  // nothing more goes out
+        open,   // a partly sent request may still be sent completely on close
+        ended,  // nothing more is sent
     };
 
     // net::StreamEvents
@@ -101,7 +102,8 @@
     void on_sending(std::size_t most) override;
     void on_sent() override;
 
-    // Sending. The sizes returned are of the request as it goes out; 0 where it does not.
+    // Sending. The functions that return a size return the bytes of the request to be sent, or 0 if it was
+    // withdrawn.
     std::size_t prepare(Exchange& exchange);
     std::size_t rewrite_if_stale(Exchange& exchange);
     void withdraw_while_sending(Exchange& exchange);
@@ -109,7 +111,7 @@
     net::SendId send(std::string bytes);
     void cut_off(const char* reason);
 
-    // Responses; false: this connection is gone.
+    // Responses. The functions return false if this connection has been destroyed.
     bool on_response(const Response& response);
     bool on_progress(Exchange& exchange, const decide::ResponseFields& fields);
     bool on_first_page(Exchange& exchange, const decide::ResponseFields& fields, const Response& response);
@@ -139,19 +141,19 @@
     std::string address_;
     ConnectionPool& pool_;
     EngineConnectionOwner& owner_;
-    std::uint64_t number_;  // among all that the front node opened; for logs
+    std::uint64_t number_;  // sequential over all connections of the front node; for logs
     Micros opened_at_;
     Micros last_used_at_;
     bool connected_ = false;
     std::unique_ptr<net::Stream> stream_;
     std::map<std::string, Exchange*> open_;
-    // Of those open, what the kernel has not taken completely, as far as is known; in the order of sending.
+    // Open requests not yet known to be completely written to the kernel, in sending order.
     std::vector<Exchange*> unsent_;
-    // Every id ever sent here: a second attempt of the same request goes to another connection.
+    // All ids sent on this connection: a second attempt of the same request uses another connection.
     std::set<std::string> sent_ids_;
     bool retired_ = false;
     bool cancelled_silent_request_ = false;  // see is_silent()
-    std::size_t bytes_given_ = 0;            // to the stream in all
+    std::size_t bytes_given_ = 0;            // total bytes passed to the stream
     std::shared_ptr<char> alive_ = std::make_shared<char>();
 };
 
--- a/src/node/engine_connections.cpp
+++ b/src/node/engine_connections.cpp
@@ -24,7 +24,7 @@
         if (connection->holds_unacknowledged_request())
             holding.push_back(connection.get());
     for (EngineConnection* const connection : holding) {
-        // What ends with one may have released another.
+        // Ending one connection may have released another.
         const bool exists = std::any_of(connections_.begin(), connections_.end(), [&](const auto& kept) {
             return kept.get() == connection;
         });
@@ -50,7 +50,7 @@
         return pool_.open_connections < pool_.max_connections || (pool_.evict_idle && pool_.evict_idle());
     };
     if (choice.reuse) {
-        // Evicting an idle connection may shift the others.
+        // has_capacity() may evict an idle connection, which changes the indices.
         EngineConnection* const reused = connections_[*choice.reuse].get();
         if (!choice.open_if_capacity || !has_capacity())
             return *reused;
--- a/src/node/engine_connections.hpp
+++ b/src/node/engine_connections.hpp
@@ -1,5 +1,4 @@
-// The connections to one engine. Which connection a request goes out on is decided in
-// decide/connection_choice.hpp.
+// The connections to one engine. The connection for each request is chosen by decide/connection_choice.hpp.
 #pragma once
 
 #include <memory>
@@ -16,29 +15,30 @@
 
 class EngineConnections final : private EngineConnectionOwner {
 public:
-    // The loop and the pool outlive it.
+    // The loop and the pool must outlive the connections.
     EngineConnections(net::Loop& loop, net::Address address, decide::ConnectionLimits limits,
                       ConnectionPool& pool);
-    // Drops what is open without a call to its owners.
+    // Drops all open requests without notifying their callers.
     ~EngineConnections() override;
     EngineConnections(const EngineConnections&) = delete;
     EngineConnections& operator=(const EngineConnections&) = delete;
 
-    // Ends all connections, and what is open on each with what that proves. The reason goes to logs.
+    // Ends all connections and their open requests, each with the status that follows for it. The reason is
+    // for logs.
     void end_all(const char* reason);
-    // The same, of the connections on which the kernel holds unacknowledged bytes of an open request.
+    // The same, but only for connections on which the kernel holds unacknowledged bytes of an open request.
     void end_unacknowledged(const char* reason);
-    // Sends a request, which only a permit allows. Its end comes in a later turn, never from within this
-    // call. Null where the request's owner has none to send any more.
+    // Sends a request, for which a permit is required. Its end is reported in a later turn, never within this
+    // call. Returns null if `events` no longer has a request to send.
     std::unique_ptr<Exchange> send_request(const decide::AttemptPermit& permit, const std::string& id,
                                            Exchange::Events& events);
     std::size_t size() const {
         return connections_.size();
     }
     std::size_t requests_in_flight() const;
-    // Closes those that have been idle for nearly as long as the engine leaves them open.
+    // Closes connections that have been idle for nearly the engine's idle timeout.
     void close_expiring_idle();
-    // Closes one idle connection, so that one to another engine may be opened; false: none is idle.
+    // Closes one idle connection, so that one to another engine may be opened. Returns false if none is idle.
     bool evict_idle_connection();
 
 private:
--- a/src/node/exchange.hpp
+++ b/src/node/exchange.hpp
@@ -1,4 +1,4 @@
-// One request in flight at an engine, as its owner sees it.
+// The handle of one request in flight at an engine.
 #pragma once
 
 #include <cstddef>
@@ -17,26 +17,26 @@
 
 class EngineConnection;
 
-// Destroying it cancels the request at the engine, where it is not over.
+// Destroying an exchange that has not ended cancels the request at the engine.
 class Exchange {
 public:
     struct Request {
-        std::string fields;     // as on the wire
+        std::string fields;     // in wire format
         std::string_view body;  // the statement; must outlive the call that returns it
     };
 
-    // Who is notified; must outlive the exchange.
+    // Receives the events of an exchange; must outlive it.
     class Events {
     public:
         virtual ~Events() = default;
         virtual void on_progress(ProgressKind kind, double value) = 0;
         // The last call; the exchange may be destroyed in it.
         virtual void on_end(decide::ExchangeResult result) = 0;
-        // The request as it stands now, with the time that is left; nothing where it must not be sent any
-        // more. Called again for a request that has waited before it is written.
+        // Returns the request with its current time left; nothing if it must no longer be sent. Called again
+        // if the request has waited before it is written.
         virtual std::optional<Request> current_request() = 0;
-        // Its first bytes are about to go to the kernel on that connection. False: it may not begin any more,
-        // and ends as not sent.
+        // Called when the first bytes are about to be written to the kernel on that connection. If it returns
+        // false, the request must not begin any more and ends as not sent.
         virtual bool may_begin(std::uint64_t connection) = 0;
     };
 
@@ -44,19 +44,20 @@
     Exchange(const Exchange&) = delete;
     Exchange& operator=(const Exchange&) = delete;
 
-    // Changes the priority of a request whose result has not begun to arrive.
+    // Changes the priority of the request, unless its result has begun to arrive.
     void set_priority(int level);
-    // Withdraws the request where the kernel has none of it: then it never ran, and it is over without a
-    // further call. Returns whether that was so.
+    // Withdraws the request if none of it has been written to the kernel. Returns whether it was withdrawn:
+    // then it was never executed, and the exchange has ended without a call to on_end().
     bool withdraw_unsent();
-    // As withdraw_unsent(), and a request of which the kernel has only a part is cut off as well, which costs
-    // its connection: an engine runs complete requests only.
+    // As withdraw_unsent(), but also ends a request of which only a part has been written to the kernel, by
+    // resetting its connection. An engine executes only complete requests.
     bool reset_partial();
-    // Resets its connection where the kernel holds bytes of it that the engine has not acknowledged, and no
-    // other request is open there: they never arrive. Returns whether that was so; then it is over without a
-    // further call. It may have run all the same, as acknowledgements get lost too.
+    // Resets the connection if the kernel holds bytes of the request that the engine has not acknowledged and
+    // no other request is open on it, so that those bytes never arrive. Returns whether it did; then the
+    // exchange has ended without a call to on_end(). The request may have been executed all the same, as
+    // acknowledgements can be lost.
     bool discard_unacknowledged();
-    // For logs: its connection and how far the request has been sent.
+    // Returns the connection and how far the request has been sent, for logs.
     std::string describe() const;
 
 private:
@@ -66,15 +67,15 @@
 
     std::string id_;
     Events& events_;
-    EngineConnection* connection_ = nullptr;  // null: it is over
-    net::SendId request_send_ = 0;            // the request among what its connection sends
-    std::size_t request_bytes_ = 0;           // size of that request
-    std::size_t ends_at_byte_ = 0;            // its end among all bytes given to the connection
-    bool has_response_ = false;               // the engine has sent something about it
-    Micros written_at_ = 0;                   // when the request was written; its time left counts from then
-    std::vector<net::SendId> priority_changes_;  // sent behind the request
+    EngineConnection* connection_ = nullptr;  // null: the exchange has ended
+    net::SendId request_send_ = 0;            // identifies the request's bytes in the stream
+    std::size_t request_bytes_ = 0;           // size of the encoded request
+    std::size_t ends_at_byte_ = 0;            // offset of its end in all bytes passed to the stream
+    bool has_response_ = false;               // the engine has sent any message about it
+    Micros written_at_ = 0;  // when the request was encoded with the time left at that moment
+    std::vector<net::SendId> priority_changes_;  // queued behind the request
     decide::ResultPages pages_;
-    decide::ExchangeResult result_;  // from its first page; valid once every page is there
+    decide::ExchangeResult result_;  // from the first page; valid once all pages have arrived
 };
 
 }  // namespace gatetiller::node
--- a/src/node/graceful_shutdown.hpp
+++ b/src/node/graceful_shutdown.hpp
@@ -1,6 +1,6 @@
-// The phases of a node's planned restart, by the times of decide::ShutdownSchedule: it serves on while
-// clients still come, then rejects new requests and closes idle connections, then gives what is left a final
-// response, and ends.
+// The phases of a node's planned restart, at the times of decide::ShutdownSchedule: the node first continues
+// to serve while clients still arrive, then rejects new requests and closes idle connections, then sends the
+// remaining requests their final responses, and ends.
 #pragma once
 
 #include <functional>
@@ -14,15 +14,15 @@
 class GracefulShutdown {
 public:
     struct Events {
-        // Whether any request is active.
+        // Returns whether any request is active.
         std::function<bool()> has_requests;
-        // It is time for final responses to all active requests; may come repeatedly.
+        // Final responses to all active requests are due; may be called repeatedly.
         std::function<void()> on_final_responses_due;
-        // Nothing is left, or the time is up.
+        // No request or connection remains, or the shutdown's time is over.
         std::function<void()> on_done;
     };
 
-    // The loop and the clients outlive it.
+    // The loop and the clients must outlive the shutdown.
     GracefulShutdown(net::Loop& loop, const PolicySettings& settings, ClientSessions& clients, Events events);
     ~GracefulShutdown();
     GracefulShutdown(const GracefulShutdown&) = delete;
@@ -33,7 +33,7 @@
     }
     // To be called once.
     void begin();
-    // Since begin(), in microseconds; 0 before it.
+    // Returns the time since begin(), in microseconds; 0 before it.
     Micros draining_for() const;
     const decide::ShutdownSchedule& schedule() const {
         return schedule_;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -11,8 +11,8 @@
 constexpr Micros kTickInterval = kSecondMicros;
 constexpr int kTicksPerStatus = 5;
 
-// The settings that the policy gets: key windows leave time for a retry's way to its engine, as it must
-// arrive within them.
+// Returns the settings for the policy. Their key windows are shortened by the time that a retry takes to
+// reach its engine, as it must arrive within the window.
 PolicySettings policy_settings(PolicySettings settings, const FaultInjection& faults) {
     for (ClassSettings& class_settings : settings.classes)
         class_settings.key_window = retry_send_window(class_settings);
@@ -53,7 +53,7 @@
     loop_.cancel(tick_timer_);
 }
 
-// ---- How the parts notify each other
+// ---- Callbacks between the parts
 
 ClientSessions::Events Node::client_events() {
     return {.on_request =
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -1,8 +1,8 @@
-// A front node of the platform: clients speak Thrift to it, it speaks RESP to engines and DNS to the name
-// service. This file wires its parts together and is the interface to the program around it.
+// A front node of the platform. It serves clients over Thrift, sends requests to engines over RESP and polls
+// the name service over DNS. This class connects the node's parts and is its interface to the program.
 //
-// Events of the network become events of the policy (policy/gateway_policy.hpp), and the policy's actions are
-// carried out on the network. The node decides nothing by itself: what the policy leaves open is decided by
+// Network events become events of the policy (policy/gateway_policy.hpp), and the policy's actions are
+// executed on the network. The node makes no decisions itself: those that the policy leaves open are made by
 // functions of src/decide.
 #pragma once
 
@@ -29,14 +29,14 @@
 
 class Node {
 public:
-    // The loop outlives it. Settings that contradict themselves throw std::invalid_argument.
+    // The loop must outlive the node. Throws std::invalid_argument if the settings are contradictory.
     Node(net::Loop& loop, NodeSettings settings, NodeDeps deps);
     ~Node();
     Node(const Node&) = delete;
     Node& operator=(const Node&) = delete;
 
-    // Returns the address that clients connect to. Where it fails it may be called again, and goes on where
-    // it failed.
+    // Returns the address that clients connect to. After a failure it may be called again and resumes at the
+    // step that failed.
     Result<net::Address> start();
     bool has_endpoint_list() const {
         return endpoints_.has_endpoint_list();
@@ -44,25 +44,25 @@
     bool is_listening() const {
         return clients_.is_listening();
     }
-    // Applies what a new configuration may change: the name service's address, a newer endpoint list, the
-    // machine's limits. A change of the name, the listening address, or the policy's settings is logged and
-    // needs a restart.
+    // Applies the parts of a new configuration that may change at runtime: the name service's address, a
+    // newer endpoint list, and the machine's limits. A change of the name, the listening address, or the
+    // policy's settings is logged and requires a restart.
     void reload(const NodeSettings& settings);
-    // Begins a planned restart; `done` is called once, when nothing is left or the time is up. A second call
-    // changes nothing.
+    // Begins a planned restart. `done` is called once, when no request or connection remains or the time is
+    // over. A second call has no effect.
     void drain(std::function<void()> done);
 
     std::size_t active_requests() const {
         return requests_.active_requests();
     }
-    // By engine: attempts in flight as the policy counts them, and as the sockets do.
+    // Returns for each engine the attempts in flight as counted by the policy and by its connections.
     std::vector<std::pair<std::size_t, std::size_t>> in_flight_by_engine() const;
-    // The status line.
+    // Returns the status line.
     std::string status() const;
     const decide::ViolationCounts& violations() const {
         return violations_;
     }
-    // Counts and logs that a guard refused an action; `subject` says of what.
+    // Counts and logs an action that a guard refused. `subject` names what the action concerned.
     void report_violation(decide::Invariant invariant, const std::string& subject);
 
 private:
@@ -82,7 +82,7 @@
     NodeDeps deps_;
     decide::ResourceLimits limits_;
     decide::ViolationCounts violations_;
-    std::uint64_t bad_lists_ = 0;  // responses of the name service that were ignored
+    std::uint64_t bad_lists_ = 0;  // ignored responses of the name service
 
     // Each part holds references only to parts declared before it. Calls to later parts go through
     // callbacks (the Events structs above and the action callback of policy_).
--- a/src/node/node_deps.hpp
+++ b/src/node/node_deps.hpp
@@ -1,4 +1,4 @@
-// What the parts of a front node get from the program around it.
+// Dependencies that the program provides to the parts of a front node.
 #pragma once
 
 #include <cstdint>
@@ -10,12 +10,12 @@
 namespace gatetiller::node {
 
 struct NodeDeps {
-    // Writes a line that an operator reads.
+    // Writes a log line for operators.
     std::function<void(const std::string&)> log;
-    // Writes a line for each state change of a request, a connection or the endpoint list, with its reason.
-    // May be absent.
+    // Writes a trace line for each state change of a request, a connection or the endpoint list, with its
+    // reason. May be absent.
     std::function<void(const std::string&)> trace;
-    // How many lines of the log could not be written. May be absent.
+    // Returns the number of log lines that could not be written. May be absent.
     std::function<std::uint64_t()> log_lines_lost = nullptr;
     // Must outlive the node.
     const FaultInjection* faults = &fault_injection();
--- a/src/node/request_admission.cpp
+++ b/src/node/request_admission.cpp
@@ -11,7 +11,7 @@
 namespace gatetiller::node {
 namespace {
 
-constexpr Micros kResponseReserve = 5 * kMillisecond;  // for a response's way to its client
+constexpr Micros kResponseReserve = 5 * kMillisecond;  // for the response to reach its client
 
 RejectedRequest reject(RequestOutcome outcome, std::int32_t sequence, Micros retry_after) {
     return {outcome, rejection_frame(sequence, retry_after), ""};
--- a/src/node/request_admission.hpp
+++ b/src/node/request_admission.hpp
@@ -1,5 +1,5 @@
-// Whether a client's call becomes an active request. Nothing malformed gets past here, and nothing past the
-// node's limits; neither the policy nor any engine hears of what is rejected.
+// Decides whether a client's call becomes an active request. Malformed calls and calls beyond the node's
+// limits are rejected here; neither the policy nor any engine receives a rejected call.
 #pragma once
 
 #include <memory>
@@ -21,14 +21,14 @@
     const decide::ResourceLimits& limits;
     const decide::ShutdownSchedule& shutdown_schedule;
     const RequestTable& requests;
-    Micros shutting_down_for = 0;  // 0: no shutdown
+    Micros shutting_down_for = 0;  // time since the shutdown began; 0: no shutdown
     Micros now = 0;
 };
 
 struct IncomingCall {
     ClientId client = 0;
     thrift::Call call;
-    Micros unseen = 0;  // it may have waited for so long before this process saw it
+    Micros unseen = 0;  // maximum time that the call waited before this process read it
 };
 
 struct AdmittedRequest {
@@ -39,14 +39,14 @@
 struct RejectedRequest {
     RequestOutcome outcome = RequestOutcome::malformed;
     std::string frame;   // the response
-    std::string reason;  // for logs; empty where the outcome says all
+    std::string reason;  // for logs; empty if the outcome is sufficient
 };
 
 std::variant<AdmittedRequest, RejectedRequest> admit_request(IncomingCall incoming,
                                                              const AdmissionContext& context);
 
-// The response that rejects a call. `retry_after`: when the client may come again, in microseconds; 0: it is
-// not told.
+// Returns the response that rejects a call. `retry_after`: the time after which the client may retry, in
+// microseconds; 0: the response contains none.
 std::string rejection_frame(std::int32_t sequence, Micros retry_after);
 
 }  // namespace gatetiller::node
--- a/src/node/request_dispatcher.cpp
+++ b/src/node/request_dispatcher.cpp
@@ -84,14 +84,14 @@
                                   with_.attempts.cancel(*request, cancellation.attempt);
                           },
                           [&](const CheckHealth& check) {
-                              // Engines here report their load with responses alone: there is nothing to ask
-                              // them.
+                              // These engines report their load only in responses, so there is no health
+                              // check to send.
                               with_.policy.post(HealthCheckCompleted{check.engine, 0,
                                                                      AttemptOutcome::not_sent, std::nullopt});
                           },
                           [](const BroadcastToPeers&) {},  // there are no peers: the settings never allow it
-                          [](const WatchEndpoints&) {},    // the name service is polled all the time
-                          [](const StartTimer&) {}},       // the driver keeps the timers
+                          [](const WatchEndpoints&) {},    // the name service is polled continuously
+                          [](const StartTimer&) {}},       // core::PolicyDriver runs the timers
                action);
 }
 
@@ -157,7 +157,7 @@
             respond(*request, rejection_frame(request->sequence, 0), RequestOutcome::shutting_down);
         else
             fail(*request);
-        with_.policy.post(ClientDisconnected{request->id});  // the policy cancels what is in flight
+        with_.policy.post(ClientDisconnected{request->id});  // makes the policy cancel attempts in flight
     }
 }
 
--- a/src/node/request_dispatcher.hpp
+++ b/src/node/request_dispatcher.hpp
@@ -1,7 +1,7 @@
-// The life of client requests at a front node: admission, the policy's actions on them, their one final
-// response, and their release.
+// Handles client requests at a front node from admission through the policy's actions to the final response
+// and release.
 //
-// Invariant: a request gets exactly one final response, unless its client leaves first.
+// Invariant: a request gets exactly one final response, unless its client cancels it or disconnects first.
 #pragma once
 
 #include <cstdint>
@@ -25,7 +25,7 @@
 
 class RequestDispatcher {
 public:
-    // What it works with; all of it outlives the dispatcher.
+    // All references must outlive the dispatcher.
     struct Collaborators {
         net::Loop& loop;
         const NodeSettings& settings;
@@ -39,20 +39,20 @@
     };
     explicit RequestDispatcher(const Collaborators& collaborators);
 
-    // A client's call: it becomes an active request, or is rejected at once.
+    // Admits a client's call as an active request, or rejects it immediately.
     void on_request(IncomingCall incoming);
-    // The client has cancelled the request of this sequence number, or has left.
+    // Handles that the client has cancelled the request with this sequence number or has disconnected.
     void on_client_cancelled(ClientId client, std::int32_t sequence);
-    // Carries out an action of the policy.
+    // Executes an action of the policy.
     void apply(const Action& action);
-    // The client's response from the complete result of an attempt.
+    // Sends the complete result of an attempt as the client's response.
     void respond_with_result(ActiveRequest& request, const decide::ExchangeResult& result);
-    // Withdraws the attempts that still wait for an engine that is not ready.
+    // Withdraws unsent attempts at engines that are not ready.
     void withdraw_from_unready_engines();
-    // Gives all active requests a final response while their clients can still get it: a rejection where a
-    // repetition is harmless.
+    // Sends all active requests a final response while their clients can still receive it: a rejection if a
+    // retry is harmless, otherwise a failure.
     void abort_remaining();
-    // Releases the request in a later turn of the loop; to be called once its lifecycle allows it.
+    // Releases the request in a later turn of the loop. To be called once its lifecycle allows it.
     void schedule_release(const ActiveRequest& request) {
         requests_.schedule_release(request);
     }
--- a/src/node/request_outcome.hpp
+++ b/src/node/request_outcome.hpp
@@ -1,4 +1,4 @@
-// How requests end at a front node, and how often each end came.
+// The outcomes of requests at a front node and their counters.
 #pragma once
 
 #include <cstdint>
@@ -12,27 +12,27 @@
 namespace gatetiller::node {
 
 enum class RequestOutcome : std::uint8_t {
-    served,            // the client got its result
-    failed,            // it may have run, and no attempt is left
-    shed,              // the policy rejected it; it never ran
-    malformed,         // its fields can't be accepted
-    duplicate,         // a request of the same id is active
-    at_capacity,       // past the node's limits
-    shutting_down,     // rejected because the node ends
-    client_cancelled,  // the client cancelled it or left: no response is owed
+    served,            // the client's result was sent
+    failed,            // may have been executed, and no attempt remains
+    shed,              // rejected by the policy; never executed
+    malformed,         // has invalid fields
+    duplicate,         // a request with the same id is active
+    at_capacity,       // beyond the node's limits
+    shutting_down,     // rejected because the node is shutting down
+    client_cancelled,  // the client cancelled it or disconnected: no response is sent
 };
 
-// The names in logs and in the status line.
+// Returns the name used in logs and in the status line.
 const char* name_of(RequestOutcome outcome);
 const char* name_of(GiveUpReason reason);
-// Both, as in "shed:objective_missed".
+// Returns both names, as in "shed:objective_missed".
 std::string name_of(RequestOutcome outcome, GiveUpReason reason);
 
 class RequestCounters {
 public:
-    // `reason`: the policy's, where it gave the request up.
+    // `reason`: the policy's reason, if the policy ended the request.
     void count(RequestOutcome outcome, std::optional<GiveUpReason> reason = std::nullopt);
-    // "served=3 shed=2 shed:objective_missed=1": those that came at all, parted by spaces.
+    // Returns the counters that are not 0, separated by spaces: "served=3 shed=2 shed:objective_missed=1".
     std::string text() const;
 
 private:
--- a/src/node/request_table.hpp
+++ b/src/node/request_table.hpp
@@ -1,5 +1,5 @@
-// The active requests of a front node, by id and by their client's sequence number, and the memory that their
-// statements hold.
+// The active requests of a front node, by id and by client and sequence number, and the total size of their
+// statements.
 #pragma once
 
 #include <cstddef>
@@ -17,34 +17,34 @@
 
 namespace gatetiller::node {
 
-// References to its requests stay valid until the loop's next turn after schedule_release().
+// References to requests remain valid until the loop's next turn after schedule_release().
 class RequestTable {
 public:
     explicit RequestTable(net::Loop& loop);
 
-    // Its id must not be in the table.
+    // The request's id must not be in the table.
     ActiveRequest& add(std::unique_ptr<ActiveRequest> request);
     bool contains(const std::string& id) const {
         return requests_.contains(id);
     }
-    // Null where there is none.
+    // Returns null if there is none.
     ActiveRequest* find(const std::string& id);
-    // The request that the client knows by this sequence number, which means nothing from then on; null where
-    // there is none.
+    // Returns the client's request with this sequence number and removes the sequence number from the table;
+    // null if there is none.
     ActiveRequest* take_sequence(ClientId client, std::int32_t sequence);
-    // The client's sequence number means nothing from now on.
+    // Removes the request's sequence number from the table.
     void forget_sequence(const ActiveRequest& request);
-    // Releases it in a later turn of the loop.
+    // Releases the request in a later turn of the loop.
     void schedule_release(const ActiveRequest& request);
 
     std::size_t size() const {
         return requests_.size();
     }
-    // Bytes of the statements of all requests.
+    // Total size of the statements of all requests, in bytes.
     std::size_t statement_bytes() const {
         return statement_bytes_;
     }
-    // Those that the predicate is true for.
+    // Returns the requests for which the predicate is true.
     std::vector<ActiveRequest*> select(const std::function<bool(ActiveRequest&)>& predicate);
 
 private:
--- a/src/node/status_report.cpp
+++ b/src/node/status_report.cpp
@@ -19,7 +19,8 @@
            std::to_string(connections ? connections->size() : 0);
 }
 
-// name:policy/sockets/connections of each; of a large fleet, those with most attempts in flight.
+// Returns "name:policy/sockets/connections" for each engine. In a large fleet only the kMaxEnginesShown
+// engines with the most attempts in flight are included.
 std::string engines_text(const EndpointRegistry& endpoints) {
     std::vector<const RegisteredEngine*> shown;
     for (const auto& [id, engine] : endpoints.engines())
--- a/src/node/status_report.hpp
+++ b/src/node/status_report.hpp
@@ -1,4 +1,4 @@
-// The status line of a front node; docs/operators/front-node.md explains its keys.
+// Formats the status line of a front node; docs/operators/front-node.md documents its keys.
 #pragma once
 
 #include <cstddef>
@@ -20,9 +20,9 @@
     const ClientSessions& clients;
     const EndpointRegistry& endpoints;
     const decide::ViolationCounts& violations;
-    std::uint64_t bad_lists = 0;                  // responses of the name service that were ignored
-    std::optional<std::uint64_t> log_lines_lost;  // nothing where the log does not say
-    std::size_t timers = 0;                       // of the loop
+    std::uint64_t bad_lists = 0;                  // ignored responses of the name service
+    std::optional<std::uint64_t> log_lines_lost;  // nothing if the log does not count them
+    std::size_t timers = 0;                       // pending timers of the loop
 };
 
 std::string status_text(const StatusSources& sources);
