--- a/tests/node/attempt_dispatcher_test.cpp
+++ b/tests/node/attempt_dispatcher_test.cpp
@@ -1,5 +1,5 @@
-// What goes out to engines, and with what time left, when clients leave, connections come up late or engines
-// stop reading.
+// Which requests are sent to engines, and with which time left, when clients cancel, connections are
+// established late or engines stop reading.
 #include "node/attempt_dispatcher.hpp"
 
 #include "crossing_rig.hpp"
@@ -7,7 +7,7 @@
 namespace gatetiller::testing {
 namespace {
 
-TEST_F(EventOrderTest, ARequestWhoseClientLeavesWhileItsConnectionComesUpIsNeverSent) {
+TEST_F(EventOrderTest, NeverSendsRequestCancelledWhileItsConnectionIsPending) {
     for (const bool may_cancel : {true, false}) {
         settings.policy.can_cancel = may_cancel;
         node.reset(), clients.clear(), settings.known_endpoints.clear();
@@ -25,7 +25,7 @@
         ASSERT_TRUE(run_until([&] {
             return node->active_requests() == 0;
         }));
-        // Another one over the same connection is the first that the engine hears of.
+        // The first request that the engine receives is a later one on the same connection.
         auto& stays = add_client();
         request_waits(stays, after);
         const std::string said = said_once_up(held, 60);
@@ -35,7 +35,7 @@
     }
 }
 
-TEST_F(EventOrderTest, ARequestTakenBackInTheSameBreathReachesNoEngine) {
+TEST_F(EventOrderTest, DoesNotSendRequestCancelledInTheSameTurn) {
     auto& e = add_engine("s-1");
     start();
     const auto left = make_request(), gone = make_request();
@@ -48,7 +48,7 @@
             return leaves.connected();
         }));
         leaves.send(call(gone, 1));
-    }  // its end stands behind the request
+    }  // its destructor disconnects right after the request
     auto& stays = add_client();
     const auto seq = stays.ask(make_request());
     ASSERT_TRUE(run_until([&] {
@@ -67,7 +67,7 @@
     return at == std::string::npos ? -1 : std::stoll(said.substr(at + 3));
 }
 
-TEST_F(EventOrderTest, TheTimeThatAConnectionTakesIsTakenOffTheDeadlinePassedOn) {
+TEST_F(EventOrderTest, DeductsConnectTimeFromTheTimeLeftSentToTheEngine) {
     HeldEngine held;
     ASSERT_TRUE(run_until([&] {
         return held.full();
@@ -87,8 +87,8 @@
     EXPECT_LE(passed_on_ms(said), left / kMillisecond + 150) << said;
 }
 
-// An engine that reads nothing, and so acknowledges little: most of a large request stays with this machine's
-// kernel. Its attempts may not be called off, so that nothing but the rule itself ends them.
+// An engine that reads nothing, and so acknowledges little: most of a large request stays in this machine's
+// kernel. The policy can't cancel attempts, so that only the tested rule ends them.
 class UnacknowledgedRequest : public EventOrderTest {
 protected:
     UnacknowledgedRequest() {
@@ -111,7 +111,7 @@
         }));
         began = loop.now();
     }
-    // Nobody reads meanwhile: what has been discarded never arrives.
+    // The peer does not read until the node has discarded the bytes, so they can't arrive.
     void expect_discarded_by(Micros longest) {
         ASSERT_TRUE(run_until(
             [&] {
@@ -132,7 +132,7 @@
     Micros began = 0;
 };
 
-TEST_F(UnacknowledgedRequest, IsDiscardedBeforeTheGraceOfItsEnginesDrainIsOver) {
+TEST_F(UnacknowledgedRequest, IsDiscardedBeforeTheDrainGraceEnds) {
     begin_one();
     add_engine("s-2");
     publish_endpoint("s-raw", address, true);
@@ -148,7 +148,7 @@
     EXPECT_LT(loop.now() - began, 3 * kSecondMicros);
 }
 
-TEST_F(UnacknowledgedRequest, IsDiscardedWhenItsClientLeaves) {
+TEST_F(UnacknowledgedRequest, IsDiscardedWhenItsClientCancels) {
     begin_one();
     clients.back()->give_up(seq);
     expect_discarded_by(100 * kMillisecond);
@@ -157,8 +157,8 @@
     }));
 }
 
-// A class that may not be repeated is tried again where its first connection ended before it was written.
-TEST_F(EventOrderTest, OnceIsTriedAgainOnlyWhereItWasProvablyNeverSent) {
+// A non-idempotent request is retried if its first attempt was withdrawn before it was written.
+TEST_F(EventOrderTest, RetriesNonIdempotentRequestThatWasNeverSent) {
     settings.policy.classes[1].idempotency = Idempotency::non_idempotent;
     HeldEngine held;
     ASSERT_TRUE(run_until([&] {
@@ -169,7 +169,7 @@
     auto& c = add_client();
     const auto a = make_request("load");
     request_waits(c, a);
-    // Its engine begins to drain: what waits is taken back, and goes to one that was listed meanwhile.
+    // The engine begins to drain: the waiting request is withdrawn and sent to a newly listed engine.
     add_engine("s-2");
     publish_endpoint("s-held", held.address, true);
     ASSERT_TRUE(run_until([&] {
@@ -179,8 +179,9 @@
     expect_no_violations();
 }
 
-// A repeat must arrive while the engines still know its key: not when its connection at last comes up.
-TEST_F(EventOrderTest, ARepeatThatWaitsPastItsWindowIsTakenBack) {
+// A retry must arrive while the engines still recognize its key, so it must not be sent when its connection
+// is established only after the key window.
+TEST_F(EventOrderTest, WithdrawsRetryThatWaitsBeyondItsKeyWindow) {
     settings.policy.classes[1].key_window = 1'500 * kMillisecond;
     HeldEngine held;
     ASSERT_TRUE(run_until([&] {
@@ -206,7 +207,7 @@
     ASSERT_TRUE(run_until([&] {
         return c.open() == 0;
     }));
-    EXPECT_EQ(c.got().at(1).how, "refused");  // whoever asks again with the key is told by any engine
+    EXPECT_EQ(c.got().at(1).how, "refused");  // a client's retry with the key is recognized by any engine
     EXPECT_NE(node->status().find("s-held:0/0/1"), std::string::npos) << node->status();
     auto& stays = add_client();
     const auto after = make_request();
--- a/tests/node/client_sessions_test.cpp
+++ b/tests/node/client_sessions_test.cpp
@@ -1,4 +1,4 @@
-// Client connections over loopback sockets: evictions, timeouts and what was read late.
+// Client connections over loopback sockets: evictions, timeouts and late reads.
 #include "node/client_sessions.hpp"
 
 #include <ctime>
@@ -8,8 +8,9 @@
 namespace gatetiller::testing {
 namespace {
 
-// Of many messages that came during a stall, those left for the next turn have waited through it too.
-TEST_F(EventOrderTest, AMessageLeftForTheNextTurnHasWaitedThroughTheStallBeforeIt) {
+// When many messages arrive during a stall of the process, those deferred to the next turn have waited
+// through the stall too.
+TEST_F(EventOrderTest, CountsStallInTheWaitOfMessagesDeferredToTheNextTurn) {
     add_engine("s-1");
     start();
     RawSocket c;
@@ -34,7 +35,7 @@
     EXPECT_LE(std::stoll(log.substr(left_at + 8)), a.patience / kMillisecond - 150);
 }
 
-TEST_F(EventOrderTest, RestingClientsThatFillTheTableKeepNobodyOutside) {
+TEST_F(EventOrderTest, IdleClientsInAFullTableDoNotDelayNewClients) {
     add_engine("s-1");
     start();
     const std::size_t table = decide::derive_limits(settings.sockets, settings.memory_mb).client_connections;
@@ -56,7 +57,8 @@
     ASSERT_TRUE(run_until([&] {
         return loop.now() > full + decide::ClientTimeouts{}.next_request_grace;
     }));
-    // All have asked once and stay. A silent one ahead of each newcomer must not make it wait.
+    // All clients have sent one request and stay connected. A silent connection before each new client must
+    // not delay it.
     for (std::size_t i = 0; i < table / 4; ++i) {
         add_client();
         comes();
@@ -66,8 +68,8 @@
     expect_no_violations();
 }
 
-// A request that has come already when its connection is to make room is served, not reset.
-TEST_F(EventOrderTest, ARequestThatIsThereWhenItsConnectionIsToMakeRoomIsServed) {
+// A request that has arrived on a connection about to be evicted is served; the connection is not reset.
+TEST_F(EventOrderTest, ServesRequestThatHasArrivedWhenItsConnectionIsToBeEvicted) {
     settings.sockets = 64;
     add_engine("s-1");
     start();
@@ -85,8 +87,8 @@
     ASSERT_TRUE(run_until([&] {
         return loop.now() > full + decide::ClientTimeouts{}.next_request_grace;
     }));
-    // As many as fill the table stand in the listen backlog when it speaks: they are taken in in one turn,
-    // ahead of it or behind it.
+    // The listen backlog holds enough connections to fill the table when the idle client sends its request:
+    // they are accepted in one turn, before or after the request is read.
     std::vector<std::unique_ptr<RawSocket>> many;
     for (std::size_t i = 0; i < table; ++i) {
         many.push_back(std::make_unique<RawSocket>());
@@ -101,7 +103,7 @@
     expect_no_violations();
 }
 
-TEST_F(EventOrderTest, AClientThatWritesSlowlyKeepsTheAnswerThatItWaitsFor) {
+TEST_F(EventOrderTest, SlowWriterStillReceivesItsPendingResponse) {
     add_engine("s-1");
     start();
     RawSocket c;
@@ -112,7 +114,8 @@
     const auto slow = make_request("lookup", 2'600), half = make_request();
     const std::string second = call(half, 2);
     c.send(call(slow, 1) + second.substr(0, 30));
-    // Past the time for half a request, with the first one still out: its answer comes, then the rest counts.
+    // The time limit of the partial request passes while the first request is in flight: its response must
+    // arrive before the limit is enforced.
     ASSERT_TRUE(run_until([&] {
         return !c.read() || c.got.find("row 2") != std::string::npos;
     }));
@@ -120,9 +123,9 @@
     expect_no_violations();
 }
 
-// Half a message stands for its two seconds; the rest of it, many that need no answer and a request come in
-// the very moment in which its connection would be closed for that.
-TEST_F(EventOrderTest, ARequestBehindManyMessagesIsServedWhenItsConnectionIsAboutToBeClosed) {
+// A partial message waits until its timeout of two seconds. The rest of it, many messages without a response
+// and a request arrive at the moment when the connection would be closed for the timeout.
+TEST_F(EventOrderTest, ServesRequestBehindManyMessagesWhenItsConnectionTimesOut) {
     add_engine("s-1");
     start();
     RawSocket c;
@@ -141,8 +144,8 @@
     ASSERT_TRUE(run_until([&] {
         return loop.now() - half > limit - 50 * kMillisecond;
     }));
-    // All due in one turn: this process stands still for longer than the time between two looks at the
-    // clients.
+    // All of it becomes due in one turn: this process stalls for longer than the interval between two sweeps
+    // of the clients.
     loop.after(0, [] {
         const timespec stall{0, 150'000'000};
         ::nanosleep(&stall, nullptr);
--- a/tests/node/config_test.cpp
+++ b/tests/node/config_test.cpp
@@ -1,4 +1,4 @@
-// The platform's configuration file: read as it is meant, refused by the name of what is wrong.
+// The platform's configuration file: parsed values, and errors that name the invalid member.
 #include "node/config.hpp"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
           "policy_limits":{"idle_close_us":30000000,"streams_per_conn":100}}})");
 }
 
-TEST(NodeConfig, TheEventsOfTheStartComeToOneList) {
+TEST(NodeConfig, MergesInitialEventsIntoOneList) {
     const auto s = read_config(good().dump());
     ASSERT_TRUE(s) << s.error();
     EXPECT_EQ(s->seed, 0x8c1f30d27a5be964u);
@@ -35,7 +35,7 @@
     EXPECT_EQ(s->policy.classes.size(), 1u);
 }
 
-TEST(NodeConfig, WhatIsWrongIsNamed) {
+TEST(NodeConfig, ErrorsNameTheInvalidMember) {
     const auto error = [](const char* pointer, const nlohmann::json& value) {
         auto json = good();
         json[nlohmann::json::json_pointer(pointer)] = value;
--- a/tests/node/crossing_rig.hpp
+++ b/tests/node/crossing_rig.hpp
@@ -1,5 +1,5 @@
-// Events that cross, over loopback sockets: the peer forces their order. docs/design/front-node.md has the
-// table.
+// Tests of concurrent events over loopback sockets, in an order that the peer forces.
+// docs/design/front-node.md has the table of cases.
 #pragma once
 
 #include "raw_socket.hpp"
@@ -13,7 +13,7 @@
         settings.connect_timeout = 20 * kSecondMicros;
     }
 
-    // What a client's request is, by its bytes.
+    // Returns the bytes of a client's request.
     std::string call(const lab::PlatformClient::Ask& a, std::int32_t seq) const {
         thrift::Fields f{{"route", a.cls},
                          {"trace", a.trace},
@@ -23,7 +23,8 @@
             f["nonce"] = a.nonce;
         return thrift::process_call(seq, f, a.sql);
     }
-    // Until the node's connection to a held engine has come up; what it then says first.
+    // Lets the node's connection to a held engine be established, and returns the first bytes received on it,
+    // at least `least`.
     std::string said_once_up(HeldEngine& held, std::size_t least) {
         held.let_in();
         std::unique_ptr<RawSocket> up;
@@ -35,8 +36,8 @@
         }));
         return up->got;
     }
-    // More clients than the table has places, each with a request of so much work, and a planned restart.
-    void a_shutdown_behind_a_full_table_answers_everybody(int work_ms) {
+    // Begins a planned restart with more clients than the table has slots, each with a request of `work_ms`.
+    void expect_shutdown_with_full_table_responds_to_all(int work_ms) {
         settings.sockets = 16;
         add_engine("s-1");
         start();
@@ -63,7 +64,7 @@
         }
         expect_no_violations();
     }
-    // With one engine that holds whoever connects: a request that waits to go out to it.
+    // Sends a request that waits for its connection to the only engine, which is held.
     void request_waits(lab::PlatformClient& c, const lab::PlatformClient::Ask& a) {
         c.ask(a);
         ASSERT_TRUE(run_until([&] {
--- a/tests/node/discovery_test.cpp
+++ b/tests/node/discovery_test.cpp
@@ -1,4 +1,4 @@
-// The watch of the name service where that is slow, crowded or silent, in virtual time.
+// Polling of a name service that is slow or silent or has long lists, in virtual time.
 #include <ctime>
 
 #include "discovery/dns_endpoint_source.hpp"
@@ -8,9 +8,9 @@
 namespace gatetiller::testing {
 namespace {
 
-class Discovery : public VirtualNodeTest {
+class DiscoveryTest : public VirtualNodeTest {
 protected:
-    bool hears_of(const std::string& name, Micros longest) {
+    bool receives_endpoint(const std::string& name, Micros longest) {
         return run_until(
             [&] {
                 return node->status().find(name) != std::string::npos;
@@ -19,7 +19,7 @@
     }
 };
 
-TEST_F(Discovery, AServiceSlowerThanItsQuestionsIsHeard) {
+TEST_F(DiscoveryTest, ReceivesUpdatesFromServiceSlowerThanThePollInterval) {
     add_engine("s-1");
     start();
     for (const int seconds : {1, 2, 4}) {
@@ -27,12 +27,12 @@
         advance_time(10 * kSecondMicros);
         const std::string name = "s-new-" + std::to_string(seconds);
         publish_endpoint(name, listen_address("127.1.9." + std::to_string(seconds) + ":5050"));
-        EXPECT_TRUE(hears_of(name, (2 * seconds + 3) * kSecondMicros))
+        EXPECT_TRUE(receives_endpoint(name, (2 * seconds + 3) * kSecondMicros))
             << "answers that take " << seconds << " s";
     }
 }
 
-TEST_F(Discovery, ASlowServiceIsAskedLessOften) {
+TEST_F(DiscoveryTest, PollsSlowServiceLessOften) {
     add_engine("s-1");
     start();
     name_service.set({.slow = 2 * kSecondMicros});
@@ -42,7 +42,7 @@
     EXPECT_LE(name_service.questions() - before, 45u) << "in 20 s";
 }
 
-TEST_F(Discovery, AServiceThatSaysNothingIsAskedLessAndLessOften) {
+TEST_F(DiscoveryTest, BacksOffWhileServiceIsSilent) {
     add_engine("s-1");
     start();
     advance_time(2 * kSecondMicros);
@@ -52,14 +52,14 @@
     advance_time(20 * kSecondMicros);
     EXPECT_LE(name_service.questions() - before, 30u) << "in 20 s of silence";
     EXPECT_GE(name_service.questions() - before, 10u) << "in 20 s of silence";
-    // Its return is heard within what an outage may add.
+    // An update after its return arrives within the delay that an outage may add.
     name_service.set({});
     publish_endpoint("s-new", listen_address("127.1.9.9:5050"));
-    EXPECT_TRUE(hears_of("s-new", 2'500 * kMillisecond));
+    EXPECT_TRUE(receives_endpoint("s-new", 2'500 * kMillisecond));
 }
 
-// For as long as a change may count as told before it is heard.
-TEST_F(Discovery, ASilenceIsAskedThroughAtTheSteadyPace) {
+// During the time in which an update counts as announced before the node has received it.
+TEST_F(DiscoveryTest, PollsAtSteadyRateDuringShortSilence) {
     add_engine("s-1");
     start();
     advance_time(2 * kSecondMicros);
@@ -71,8 +71,8 @@
     }
 }
 
-// Answers that were slow before say nothing of a service that gives none.
-TEST_F(Discovery, ASilenceBehindSlowAnswersIsAskedThroughAtTheSteadyPace) {
+// Earlier slow responses must not reduce the polling rate of a service that has stopped responding.
+TEST_F(DiscoveryTest, PollsAtSteadyRateDuringSilenceAfterSlowResponses) {
     add_engine("s-1");
     start();
     name_service.set({.slow = kSecondMicros});
@@ -86,8 +86,8 @@
     }
 }
 
-// The answers to many questions come at once, late: the next question must not wait for the last of them.
-TEST_F(Discovery, LateAnswersDelayNoQuestion) {
+// Responses to many polls arrive together and late: the next poll must not wait for the last of them.
+TEST_F(DiscoveryTest, LateResponsesDoNotDelayPolls) {
     add_engine("s-1");
     start();
     name_service.set({.slow = 2 * kSecondMicros});
@@ -99,7 +99,7 @@
     }
 }
 
-TEST_F(Discovery, TwoAnswersLostInARowDelayAChangeByLittle) {
+TEST_F(DiscoveryTest, TwoLostResponsesDelayAnUpdateOnlyBriefly) {
     add_engine("s-1");
     start();
     advance_time(2 * kSecondMicros);
@@ -107,10 +107,10 @@
     advance_time(300 * kMillisecond);
     publish_endpoint("s-new", listen_address("127.1.9.9:5050"));
     name_service.set({});
-    EXPECT_TRUE(hears_of("s-new", 500 * kMillisecond));
+    EXPECT_TRUE(receives_endpoint("s-new", 500 * kMillisecond));
 }
 
-TEST_F(Discovery, AHealthyServiceIsAskedFourTimesASecond) {
+TEST_F(DiscoveryTest, PollsHealthyServiceFourTimesPerSecond) {
     add_engine("s-1");
     start();
     advance_time(30 * kSecondMicros);
@@ -119,12 +119,12 @@
     EXPECT_NEAR(static_cast<double>(name_service.questions() - asked), 120, 20);
 }
 
-// ---- Long lists: what each answer costs, in bytes of the service and in time of the front
+// ---- Long lists: the cost of each response, in bytes at the service and in processor time of the node
 
-class LongLists : public Discovery {
+class LongListTest : public DiscoveryTest {
 protected:
     static constexpr int kEngines = 576;
-    void start_with_many() {
+    void start_with_long_list() {
         add_engine("s-1");
         for (int i = 0; i < kEngines; ++i)
             publish_endpoint("s-many-" + std::to_string(i),
@@ -134,8 +134,8 @@
     }
 };
 
-TEST_F(LongLists, ALongListIsAskedForLessOftenAndAChangeIsHeardInTime) {
-    start_with_many();
+TEST_F(LongListTest, PollsLongListLessOftenAndReceivesUpdatesInTime) {
+    start_with_long_list();
     advance_time(10 * kSecondMicros);
     const auto before = name_service.questions();
     advance_time(30 * kSecondMicros);
@@ -152,11 +152,11 @@
     }
 }
 
-// A service that gives one answer over and over, or two in turn, and a source that asks it.
-class RepeatedAnswers : public LongLists {
+// A service that repeats one response or alternates between two, and a source that polls it.
+class RepeatedResponses : public LongListTest {
 protected:
     void SetUp() override {
-        start_with_many();
+        start_with_long_list();
         const auto asker = loop.datagrams(listen_address("127.2.0.8:1053"),
                                           [this](const net::Address&, std::string_view bytes) {
                                               first = second = bytes;
@@ -169,7 +169,7 @@
         node.reset();
         second.replace(second.rfind("kind=std"), 8, "kind=big");
     }
-    // Processor time for so many answers of a source that asks anew.
+    // Returns the processor time, in seconds, in which a new source handles this many responses.
     double cpu_seconds(std::size_t answers, bool in_turn) {
         std::size_t said = 0, heard = 0;
         net::Datagrams* answering = nullptr;
@@ -200,7 +200,7 @@
     std::string first, second;
 };
 
-TEST_F(RepeatedAnswers, AnAnswerThatTellsNothingNewCostsAFractionOfOneThatMustBeRead) {
+TEST_F(RepeatedResponses, UnchangedResponseCostsFractionOfChangedOne) {
     const double changing = cpu_seconds(100, true), same = cpu_seconds(100, false);
     EXPECT_LT(same, changing / 2);
 }
--- a/tests/node/endpoint_registry_test.cpp
+++ b/tests/node/endpoint_registry_test.cpp
@@ -6,7 +6,7 @@
 namespace gatetiller::testing {
 namespace {
 
-TEST_F(EventOrderTest, WhatIsOutAtAnEnginesOldAddressEndsAtOnceAndIsTriedAtTheNewOne) {
+TEST_F(EventOrderTest, RetriesAttemptsAtTheNewAddressWhenAnEngineMoves) {
     auto& e = add_engine("s-1");
     start();
     auto& c = add_client();
--- a/tests/node/engine_connections_test.cpp
+++ b/tests/node/engine_connections_test.cpp
@@ -1,4 +1,4 @@
-// What the end of a connection to an engine proves, and what never arrives there.
+// The status of requests after the end of a connection to an engine, and the bytes that never arrive there.
 #include "node/engine_connections.hpp"
 
 #include <gtest/gtest.h>
@@ -32,7 +32,7 @@
     std::string body = std::string(40'000, 'x');
 };
 
-// What the guard says of a first attempt at an engine that is listed.
+// Returns the guard's permit for a first attempt at a listed engine.
 decide::AttemptPermit permit() {
     static const PolicySettings settings = [] {
         PolicySettings s;
@@ -44,9 +44,9 @@
     return *decide::AttemptGuard(settings).permit(facts, ClassSettings{}, std::nullopt);
 }
 
-// Many large requests on one connection to an engine that reads nothing: the first are with the kernel, the
-// last wait behind them.
-class DeafEngine : public ::testing::Test {
+// Many large requests on one connection to an engine that reads nothing: the first are in the kernel's
+// buffer, the last wait behind them.
+class NonReadingEngine : public ::testing::Test {
 protected:
     void SetUp() override {
         raw.receive_little();
@@ -73,11 +73,11 @@
     std::unique_ptr<node::EngineConnections> link;
 };
 
-TEST_F(DeafEngine, WhatWaitsBehindOneThatReadsNothingIsTakenBackWithoutAWord) {
-    EXPECT_FALSE(exchanges.front()->withdraw_unsent());  // with the kernel
+TEST_F(NonReadingEngine, WithdrawsWaitingRequestsWithoutSendingAnything) {
+    EXPECT_FALSE(exchanges.front()->withdraw_unsent());  // in the kernel's buffer
     EXPECT_TRUE(exchanges[298]->withdraw_unsent());
     exchanges[299]->set_priority(3);
-    exchanges[299].reset();  // given up: neither it nor what was said of it goes out
+    exchanges[299].reset();  // cancelled: neither the request nor its change of priority is sent
     exchanges[297]->set_priority(2);
     ASSERT_TRUE(await(loop, [&] {
         peer->read();
@@ -89,11 +89,10 @@
     EXPECT_EQ(peer->got.find("undo"), std::string::npos);
 }
 
-// Of a request given up while it goes out, the rest must not follow: its attempt would begin when its client
-// is long gone.
-TEST_F(DeafEngine, ARequestGivenUpInTheMiddleOfItsSendingNeverArrivesWhole) {
-    // The first that a look at the buffer can't take back is either whole with the kernel or partly so: all
-    // of those.
+// The rest of a request cancelled while partly sent must not follow: its attempt would begin long after its
+// client has disconnected.
+TEST_F(NonReadingEngine, RequestCancelledWhilePartlySentNeverArrivesCompletely) {
+    // Requests that can't be withdrawn are completely or partly in the kernel's buffer: cancel all of them.
     for (auto& e : exchanges)
         if (!e->withdraw_unsent())
             e.reset();
@@ -104,7 +103,7 @@
     for (int i = 0; i < 50; ++i)
         loop.turn(kMillisecond);
     peer->read();
-    // Every request that came whole was handed to the kernel before; what was cut stands at the very end.
+    // Complete requests were written before the cancellation; only the end of the data may be a partial one.
     std::vector<std::string_view> words;
     std::size_t size = 0;
     std::string_view rest = peer->got;
@@ -115,9 +114,10 @@
     EXPECT_EQ(link->size(), 0u);
 }
 
-// What the kernel still holds of requests given up, for an engine that has acknowledged nothing of it, would
-// begin whenever that engine reads again: seconds after its drain's grace, or after its client has left.
-TEST_F(DeafEngine, WhatTheKernelHoldsOfRequestsGivenUpNeverArrives) {
+// Bytes of cancelled requests that the kernel still holds, because the engine has not acknowledged them,
+// would begin an attempt when that engine reads again: seconds after its drain grace or after the client has
+// disconnected.
+TEST_F(NonReadingEngine, UnacknowledgedBytesOfCancelledRequestsNeverArrive) {
     for (auto& e : exchanges)
         e.reset();
     ASSERT_TRUE(await(loop, [&] {
@@ -130,9 +130,9 @@
     EXPECT_LT(peer->got.size(), 200'000u) << "more than its own buffer had taken";
 }
 
-// The permit of a request counts when its first byte goes to the kernel, however shortly before it was
-// written down.
-TEST(EngineConnectionsTest, ARequestThatMayNotBeginAnyMoreWhenItsConnectionComesUpNeverDoes) {
+// The permit of a request is checked when its first byte is written to the kernel, however recently the
+// request was queued.
+TEST(EngineConnectionsTest, DoesNotSendRequestThatMayNoLongerBeginOnceConnected) {
     net::PollLoop loop;
     RawSocket raw;
     node::ConnectionPool pool;
@@ -153,8 +153,9 @@
     EXPECT_EQ(peer->got.find("id-a."), std::string::npos);
 }
 
-// Its deadline is what is left when it goes out, also behind an engine that reads nothing for a while.
-TEST_F(DeafEngine, WhatWaitsBehindOneThatReadsNothingIsWrittenAnewWhenItGoesOut) {
+// A request carries its time left at sending, also after waiting for an engine that reads nothing for a
+// while.
+TEST_F(NonReadingEngine, RewritesWaitingRequestsWhenTheyAreSent) {
     for (const auto& e : ends)
         e->body = std::string(40'000, 'y');
     const Micros since = loop.now();
@@ -167,8 +168,8 @@
                (peer->got.find("id-299.") != std::string::npos && peer->got.ends_with("y\r\n"));
     }));
     if (ends.back()->how) {
-        // This machine took longer over one request than a part of it may be out: it is cut off, and the last
-        // never goes out.
+        // On this machine one request stayed partly sent for longer than allowed: the connection was reset,
+        // and the last request is never sent.
         EXPECT_EQ(ends.back()->why, "its first part had gone out too long ago");
         EXPECT_EQ(ends.back()->how, How::not_sent);
         EXPECT_GT(loop.now() - since, 120 * kMillisecond);
@@ -178,7 +179,7 @@
     EXPECT_GT(pool.rewritten, 0u);
     const auto last = peer->got.rfind("id-299.");
     EXPECT_EQ(peer->got.find('x', last), std::string::npos);
-    // In their order, each once.
+    // All requests arrive in order, each once.
     std::size_t at = 0;
     for (int i = 0; i < 300; ++i) {
         const std::string id = "id-" + std::to_string(i) + ".";
@@ -189,8 +190,8 @@
     }
 }
 
-TEST_F(DeafEngine, AResetLosesWhatWasWrittenAndProvesThatTheRestNeverRan) {
-    peer->close();  // over unread bytes: a reset
+TEST_F(NonReadingEngine, ResetMarksWrittenRequestsLostAndUnsentRequestsNotSent) {
+    peer->close();  // with unread bytes, so a reset
     ASSERT_TRUE(await(loop, [&] {
         return std::all_of(ends.begin(), ends.end(), [](const auto& e) {
             return e->how.has_value();
@@ -198,7 +199,7 @@
     }));
     EXPECT_EQ(ends.front()->how, How::connection_lost);
     EXPECT_EQ(ends.back()->how, How::not_sent);
-    // In the order of sending: all that may have run before all that can't have.
+    // In sending order: all requests that may have been executed before all that can't have been.
     const auto first_unsent = std::find_if(ends.begin(), ends.end(), [](const auto& e) {
         return e->how == How::not_sent;
     });
@@ -206,7 +207,7 @@
         EXPECT_EQ((*e)->how, e < first_unsent ? How::connection_lost : How::not_sent);
 }
 
-TEST_F(DeafEngine, AnAnswerThatCantBeReadLosesNothingThatWasNeverSent) {
+TEST_F(NonReadingEngine, MalformedResponseMarksUnsentRequestsNotSent) {
     peer->send("*1\r\n$-7\r\n");
     ASSERT_TRUE(await(loop, [&] {
         return ends.back()->how.has_value();
--- a/tests/node/graceful_shutdown_test.cpp
+++ b/tests/node/graceful_shutdown_test.cpp
@@ -1,4 +1,4 @@
-// Planned restarts with clients that wait, crowd or read slowly.
+// Planned restarts with waiting clients, a full client table, and slow readers.
 #include "node/graceful_shutdown.hpp"
 
 #include "crossing_rig.hpp"
@@ -6,7 +6,7 @@
 namespace gatetiller::testing {
 namespace {
 
-TEST_F(EventOrderTest, AShutdownWaitsForAnswersThatTheirClientsHaveNotRead) {
+TEST_F(EventOrderTest, ShutdownWaitsForClientsToReadTheirResponses) {
     settings.memory_mb = 256;
     add_engine("s-1");
     start();
@@ -53,7 +53,7 @@
     EXPECT_LT(loop.now() - since, times.exit_at);
 }
 
-TEST_F(EventOrderTest, ARequestThatCrossesTheShutdownOfARestingConnectionIsNotServed) {
+TEST_F(EventOrderTest, DoesNotServeRequestThatCrossesTheCloseOfAnIdleConnection) {
     auto& e = add_engine("s-1");
     start();
     RawSocket rests;
@@ -71,7 +71,7 @@
     });
     ASSERT_TRUE(run_until([&] {
         return !rests.read();
-    }));  // it is ended, in order
+    }));  // the idle connection is closed gracefully
     EXPECT_FALSE(rests.reset);
     const std::string before = rests.got;
     const auto crossing = make_request();
@@ -86,14 +86,14 @@
     EXPECT_EQ(e.open(), 0u);
 }
 
-// Accepting pauses where the table is full of clients with requests open; a restart begins then.
-TEST_F(EventOrderTest, WhoeverWaitsInTheListenBacklogAtAShutdownIsAnswered) {
-    a_shutdown_behind_a_full_table_answers_everybody(400);
+// A restart begins while accepting is paused, as the table is full of clients with open requests.
+TEST_F(EventOrderTest, ShutdownRespondsToClientsInTheListenBacklog) {
+    expect_shutdown_with_full_table_responds_to_all(400);
 }
 
-// Requests that run past the time for which the listener stays fill the table until then.
-TEST_F(EventOrderTest, WhoeverWaitsBehindATableThatStaysFullAtAShutdownIsAnswered) {
-    a_shutdown_behind_a_full_table_answers_everybody(1'500);
+// The requests that fill the table run for longer than the listener stays open.
+TEST_F(EventOrderTest, ShutdownRespondsToClientsBehindATableThatStaysFull) {
+    expect_shutdown_with_full_table_responds_to_all(1'500);
 }
 
 }  // namespace
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -1,4 +1,4 @@
-// The hard cases of a front node, in virtual time among stand-ins.
+// Edge cases of a front node in virtual time, with stand-in engines, clients and name service.
 #include "rig.hpp"
 
 namespace gatetiller::testing {
@@ -15,7 +15,7 @@
     }));
 }
 
-TEST_F(VirtualNodeTest, ServesWholeResultsPageByPage) {
+TEST_F(VirtualNodeTest, ServesCompleteResultsPageByPage) {
     add_engine("s-1"), add_engine("s-2");
     start();
     auto& c = add_client();
@@ -30,7 +30,7 @@
     expect_no_violations();
 }
 
-TEST_F(VirtualNodeTest, AClientThatGivesUpIsOwedNothingAndItsEngineStops) {
+TEST_F(VirtualNodeTest, CancellationStopsTheEngineAndSendsNoResponse) {
     auto& e = add_engine("s-1");
     start();
     auto& c = add_client();
@@ -51,8 +51,9 @@
     expect_no_violations();
 }
 
-// Found by reading: a late answer of a first attempt must not count for a second one under the same id.
-TEST_F(VirtualNodeTest, ASecondAttemptAtTheSameEngineGoesOverAnotherConnection) {
+// A late response to the first attempt must not count for a second one with the same id (found by code
+// review).
+TEST_F(VirtualNodeTest, SecondAttemptAtTheSameEngineUsesAnotherConnection) {
     auto& e = add_engine("s-1");
     e.set({.fault = 1});
     start();
@@ -70,7 +71,7 @@
     expect_no_violations();
 }
 
-TEST_F(VirtualNodeTest, WhatIsSpoiltCostsItsConnectionAndNoOther) {
+TEST_F(VirtualNodeTest, MalformedResponseEndsOnlyItsConnection) {
     auto& one = add_engine("s-1");
     auto& two = add_engine("s-2");
     start();
@@ -92,7 +93,7 @@
     expect_no_violations();
 }
 
-TEST_F(VirtualNodeTest, ARefusalNeverHidesAnAttemptThatMayHaveRun) {
+TEST_F(VirtualNodeTest, NeverRejectsRequestThatMayHaveBeenExecuted) {
     settings.policy.classes[1].idempotency = Idempotency::non_idempotent;
     for (int i = 1; i <= 3; ++i)
         add_engine("s-" + std::to_string(i))
@@ -110,7 +111,7 @@
     expect_no_violations();
 }
 
-TEST_F(VirtualNodeTest, NothingGoesToAnEngineThatDrainsAndANewOneTakesItsAddress) {
+TEST_F(VirtualNodeTest, DoesNotSendToDrainingEngineAndUsesNewOneAtItsAddress) {
     auto& old = add_engine("s-1", "127.1.0.1:5050");
     auto& other = add_engine("s-2", "127.1.0.2:5050");
     (void)other;
@@ -146,7 +147,7 @@
     expect_no_violations();
 }
 
-TEST_F(VirtualNodeTest, ANameServiceThatFailsInEveryWayStillTellsOfDrains) {
+TEST_F(VirtualNodeTest, LearnsOfDrainsFromFaultyNameService) {
     add_engine("s-1"), add_engine("s-2");
     start();
     name_service.set({.lost = 0.3, .failure = 0.1, .cut = 0.1, .foreign = 0.1, .old = 0.1});
@@ -167,7 +168,7 @@
     expect_no_violations();
 }
 
-TEST_F(VirtualNodeTest, AReloadMovesToAnotherNameService) {
+TEST_F(VirtualNodeTest, ReloadSwitchesNameService) {
     add_engine("s-1"), add_engine("s-2");
     start();
     name_service.close("n0");
@@ -185,8 +186,8 @@
         2 * kSecondMicros));
 }
 
-// Its name service says nothing yet: what the new configuration knows is all there is to hear.
-TEST_F(VirtualNodeTest, AReloadTakesInTheEventsThatItsConfigurationHolds) {
+// The new name service does not respond yet: the list in the new configuration is the only update.
+TEST_F(VirtualNodeTest, ReloadAppliesNewerConfiguredList) {
     add_engine("s-1"), add_engine("s-2");
     start();
     name_service.set({.silent = true});
@@ -199,15 +200,15 @@
             e.state = EndpointState::draining;
     node->reload(moved);
     EXPECT_NE(log.find("engine s-1 drains"), std::string::npos) << log;
-    // An older one changes nothing.
+    // A configuration with an older list changes nothing.
     node->reload(settings);
     EXPECT_EQ(log.find("engine s-1 is on"), std::string::npos) << log;
     EXPECT_NE(node->status().find("list=" + std::to_string(moved.known_serial)), std::string::npos);
 }
 
-// Each line of the platform's list of bad clients; none may be served, none may reach an engine, all end
-// soon.
-TEST_F(VirtualNodeTest, BadClientsAreToldOrClosedAndReachNoEngine) {
+// The platform's list of invalid clients: none may be served or reach an engine, and each must be rejected or
+// closed soon.
+TEST_F(VirtualNodeTest, RejectsOrClosesInvalidClientsWithoutReachingAnEngine) {
     add_engine("s-1");
     start();
     auto whole = make_request();
@@ -249,7 +250,7 @@
             << bytes.substr(0, 60);
     }
     EXPECT_EQ(count_with(records, "arrived"), 0u);
-    // Two requests under one number: nobody could tell whose an answer is.
+    // Two requests with the same sequence number: a response could not be assigned to either.
     auto& twice = add_client();
     twice.raw(frame(good, "SELECT 1 /* gt: work_ms=3000 */", 1) +
               frame(but("trace", "9b1f03aa5c7e2d42"), "SELECT 2", 1));
@@ -258,7 +259,7 @@
             return twice.ended();
         },
         3 * kSecondMicros));
-    // More at once than the protocol allows.
+    // More open requests than the protocol allows.
     auto& many = add_client();
     std::string all;
     for (int i = 1; i <= 300; ++i) {
@@ -275,7 +276,7 @@
     ASSERT_TRUE(run_until([&] {
         return node->active_requests() == 0;
     }));
-    // Hundreds that say nothing take no room from those that ask.
+    // Hundreds of silent connections must not take capacity from clients with requests.
     for (int i = 0; i < 400; ++i)
         add_client();
     auto& usual = add_client();
@@ -288,8 +289,8 @@
         EXPECT_TRUE(e->unusable().empty()) << e->unusable()[0];
 }
 
-// What was taken before it is still owed its answer: nobody but the malformed message is to blame.
-TEST_F(VirtualNodeTest, AMalformedMessageLosesNoOtherRequestOfItsConnection) {
+// Requests accepted before a malformed message still get their responses.
+TEST_F(VirtualNodeTest, MalformedMessageKeepsEarlierRequestsOfItsConnection) {
     add_engine("s-1");
     start();
     const std::vector<std::string> malformed{std::string(100, '\xff'), std::string("\0\0\0\x04\0\0\0\0", 8),
@@ -319,8 +320,9 @@
     expect_no_violations();
 }
 
-// Whose number was used twice is told so under it, once; the answer of the first would be a second one.
-TEST_F(VirtualNodeTest, ANumberUsedTwiceGetsOneAnswer) {
+// A reused sequence number gets one response, the exception: the response to its first request would be a
+// second one.
+TEST_F(VirtualNodeTest, ReusedSequenceNumberGetsOneResponse) {
     add_engine("s-1");
     start();
     auto& c = add_client();
@@ -341,9 +343,9 @@
     EXPECT_EQ(engines[0]->open(), 0u);
 }
 
-// Found while writing the test above: with every connection silent and young, the longest silent one was
-// closed for each newcomer, and a usual client's with it before its first request was there.
-TEST_F(VirtualNodeTest, AFloodOfTheSilentWashesNobodyAwayWhoIsAboutToAsk) {
+// With all connections silent and new, each new connection once evicted the longest silent one, and so also
+// regular clients before their first request had arrived.
+TEST_F(VirtualNodeTest, FloodOfSilentClientsEvictsNoClientAboutToSend) {
     add_engine("s-1");
     start();
     std::vector<lab::PlatformClient*> usual;
@@ -361,7 +363,8 @@
             return c->open() == 0;
         });
     }));
-    // Each pause lets one more in: without closing as many as are over, the table grew by one a pause.
+    // Each pause of accepting admits one connection over the limit. The table grew by one per pause when a
+    // new connection evicted only one.
     const auto at = node->status().find("clients=") + 8;
     EXPECT_LE(std::stoul(node->status().substr(at)), decide::derive_limits(256, 32).client_connections + 1)
         << node->status();
@@ -370,7 +373,7 @@
     expect_no_violations();
 }
 
-TEST_F(VirtualNodeTest, TheModulesPictureIsTheSocketsPicture) {
+TEST_F(VirtualNodeTest, PolicyAndConnectionsAgreeOnAttemptsInFlight) {
     for (int i = 1; i <= 3; ++i)
         add_engine("s-" + std::to_string(i))
             .set({.shed = 0.05,
@@ -384,11 +387,11 @@
     auto& c = add_client();
     for (int round = 0; round < 10; ++round) {
         for (int i = 0; i < 30; ++i) {
-            if (c.open() < 30)  // the protocol allows 32
+            if (c.open() < 30)  // the protocol allows 32 open requests
                 c.ask(make_request(i % 6 == 0 ? "load" : "lookup", 30, static_cast<std::size_t>(i * 10)));
             advance_time(30 * kMillisecond);
         }
-        // At rest both sides must come to nothing; while busy, the module's count is the sockets'.
+        // Under load the policy's count must equal the connections' count; at rest both must be 0.
         for (const auto& [module, sockets] : node->in_flight_by_engine())
             EXPECT_EQ(module, sockets);
     }
@@ -405,7 +408,7 @@
     expect_no_violations();
 }
 
-TEST_F(VirtualNodeTest, APlannedRestartServesWhileClientsComeAndAnswersAllItTook) {
+TEST_F(VirtualNodeTest, PlannedRestartServesNewClientsAndRespondsToAllAccepted) {
     add_engine("s-1"), add_engine("s-2");
     start();
     auto& c = add_client();
@@ -419,7 +422,7 @@
     auto& late = add_client();
     const auto still = late.ask(make_request("lookup", 50));
     advance_time(500 * kMillisecond);
-    // Connections at rest are closed by now: whoever still comes does so over a new one.
+    // Idle connections are closed by now, so further requests arrive on new ones.
     EXPECT_TRUE(late.ended());
     auto& last = add_client();
     const auto refused = last.ask(make_request("lookup", 50));
@@ -432,11 +435,11 @@
     EXPECT_EQ(late.got().at(still).how, "served");
     EXPECT_EQ(last.got().at(refused).how, "refused");
     EXPECT_EQ(c.got().at(slow).how,
-              "refused");  // by key, and every engine knows it: its client may come again
+              "refused");  // every engine recognizes its key, so its client may retry
     expect_no_violations();
 }
 
-TEST_F(VirtualNodeTest, WhatMayHaveRunOnceIsNotRefusedAtARestart) {
+TEST_F(VirtualNodeTest, RestartFailsRequestThatMayHaveBeenExecuted) {
     settings.policy.classes[1].idempotency = Idempotency::non_idempotent;
     auto& e = add_engine("s-1");
     start();
--- a/tests/node/raw_socket.hpp
+++ b/tests/node/raw_socket.hpp
@@ -1,4 +1,4 @@
-// Sockets of the tests' own, for what no stand-in does.
+// Plain sockets for peer behavior that the stand-ins do not have.
 #pragma once
 
 #include <arpa/inet.h>
@@ -54,7 +54,8 @@
     void send(std::string_view bytes) {
         EXPECT_EQ(::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL), static_cast<ssize_t>(bytes.size()));
     }
-    // Reads what is there into `got`. False once the other side has ended; `reset` says how.
+    // Appends the available bytes to `got`. Returns false once the peer has closed the connection; `reset` is
+    // then whether by a reset.
     bool read() {
         char piece[65536];
         for (;;) {
@@ -83,7 +84,7 @@
     int fd_;
 };
 
-// An engine whose machine accepts no connection until it is asked to: whoever connects waits.
+// An engine whose machine accepts no connection until let_in(): connection attempts wait.
 class HeldEngine {
 public:
     HeldEngine() : address(listener_.listen(0)) {
--- a/tests/node/rig.hpp
+++ b/tests/node/rig.hpp
@@ -1,7 +1,7 @@
-// Fixtures that run a front node among the platform's stand-ins (lab/platform.hpp): engines, clients and a
-// name service. NodeRig runs in virtual time, SocketRig over loopback sockets. A test sets `settings`, adds
-// engines, calls start(), and ends with expect_rules_kept(), which judges the platform's rules from what the
-// stand-ins recorded on their sockets.
+// Fixtures that run a front node with the platform's stand-ins (lab/platform.hpp): engines, clients and a
+// name service. VirtualNodeTest runs in virtual time, SocketNodeTest over loopback sockets. A test sets
+// `settings`, adds engines, calls start(), and ends with expect_no_violations(), which checks the platform's
+// rules on the traffic that the stand-ins recorded.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
 template <typename Loop>
 class NodeFixture : public ::testing::Test {
 protected:
-    // How long a condition is awaited at most.
+    // Maximum time to wait for a condition, in microseconds.
     static constexpr Micros kMaxWait = 60 * kSecondMicros;
     static constexpr bool kVirtual = std::is_same_v<Loop, sim::VirtualLoop>;
     static auto loop_settings() {
@@ -27,7 +27,8 @@
         else
             return net::PollLoop::Limits{.input = 96 * 1024};
     }
-    // The address to listen on: this one in virtual time; on real sockets the kernel picks the port.
+    // Returns the address to listen on: `address` in virtual time; on real sockets the kernel chooses the
+    // port.
     static net::Address listen_address(const std::string& address) {
         return *net::Address::parse(kVirtual ? address : "127.0.0.1:0");
     }
@@ -48,7 +49,8 @@
         clients.clear();
     }
 
-    // Starts an engine and lists it at the name service; in virtual time at `address`, if one is given.
+    // Starts an engine and lists it at the name service. `address` is used in virtual time only; empty: one
+    // is assigned.
     lab::PlatformEngine& add_engine(const std::string& name, const std::string& address = "") {
         lab::PlatformEngineSettings s;
         s.name = name;
@@ -68,8 +70,7 @@
         engines.push_back(std::move(e));
         return *engines.back();
     }
-    // An event of the name service; before start() it is part of the list of the start, as a configuration
-    // would hold it.
+    // Adds or changes an endpoint at the name service; before start() also in the configured initial list.
     void publish_endpoint(const std::string& name, const net::Address& place, bool draining = false) {
         name_service.put({name, "z", "std", {{"n0", place}}, draining});
         if (node)
@@ -81,7 +82,7 @@
         e.kind = "std";
         settings.known_endpoints.push_back(std::move(e));
     }
-    // Starts the name service and the node, and waits until the node answers a client.
+    // Starts the name service and the node, and waits until the node responds to a client.
     void start() {
         const auto dns = name_service.listen("n0", listen_address("127.2.0.1:1053"));
         ASSERT_TRUE(dns);
@@ -99,12 +100,12 @@
         settings.listen = *bound;
         wait_until_ready();
     }
-    // A new client, which connects at once.
+    // Returns a new client, which connects immediately.
     lab::PlatformClient& add_client() {
         clients.push_back(std::make_unique<lab::PlatformClient>(loop, "n0", settings.listen, records));
         return *clients.back();
     }
-    // Waits until the node answers a probe.
+    // Waits until the node responds to a probe.
     void wait_until_ready() {
         auto& c = add_client();
         c.probe();
@@ -112,7 +113,7 @@
             return c.ready();
         }));
     }
-    // A request of a new id, for work of so many milliseconds and a result of so many rows.
+    // Returns a request with a new id, `work_ms` milliseconds of work and a result of `rows` rows.
     lab::PlatformClient::Ask make_request(const std::string& cls = "lookup", int work_ms = 20,
                                           std::size_t rows = 3) {
         lab::PlatformClient::Ask a;
@@ -125,7 +126,7 @@
             a.nonce = random.hex(32);
         return a;
     }
-    // Runs the loop until the condition holds; false: it did not in time.
+    // Runs the loop until the condition holds. Returns false if it does not in time.
     template <typename C>
     bool run_until(C condition, Micros longest = kMaxWait) {
         if constexpr (kVirtual)
@@ -133,7 +134,7 @@
         else
             return await(loop, condition, longest);
     }
-    // Lets so much virtual time pass.
+    // Advances the virtual time.
     void advance_time(Micros span) {
         static_assert(kVirtual, "conditions are awaited on real sockets");
         const Micros end = loop.now() + span;
@@ -144,7 +145,7 @@
             },
             span + 1);
     }
-    // The rules judged from what has been recorded by now.
+    // Checks the rules on all traffic recorded so far.
     lab::Judgement check_rules() {
         records.facts.classes = settings.policy.classes;
         records.facts.answer_grace = settings.policy.response_grace;
@@ -160,7 +161,7 @@
             EXPECT_TRUE(e->unusable().empty()) << e->unusable()[0];
     }
 
-    // Two classes: `lookup` is idempotent, `load` is safe to repeat by its key.
+    // Two classes: `lookup` is idempotent, `load` may be retried with its key.
     static void set_policy(PolicySettings& policy) {
         ClassSettings lookup;
         lookup.name = "lookup";
@@ -200,7 +201,7 @@
     Loop loop{loop_settings()};
     Random random{7};
     std::uint64_t seed = 0;
-    std::string log;  // of the node, with its trace
+    std::string log;  // log and trace lines of the node
     lab::Records records;
     lab::NameService name_service{loop, records, 3};
     node::NodeSettings settings;
