--- a/src/node/active_request.hpp
+++ b/src/node/active_request.hpp
@@ -76,7 +76,7 @@
     Micros last_progress_at = 0;          // for logs
     int progress_updates = 0;             // for logs
     bool in_flight = false;               // counted as in flight by the request's lifecycle
-    bool over = false;
+    bool ended = false;
     std::unique_ptr<Exchange> exchange;  // null: not sent, or ended
 };
 
--- a/src/node/attempt_dispatcher.cpp
+++ b/src/node/attempt_dispatcher.cpp
@@ -52,7 +52,7 @@
         endpoints_.record_slow_start_send(attempt.engine, attempt.dispatched_at,
                                           deps_.faults->slow_start_weight_of_attempt());
     send(attempt, *engine, *permit);
-    if (!attempt.over && attempt.number == 0 && deps_.faults->duplicates_first_attempt())
+    if (!attempt.ended && attempt.number == 0 && deps_.faults->duplicates_first_attempt())
         dispatch(request, engine_id, timeout);
 }
 
@@ -101,8 +101,8 @@
     const ActiveRequest& request = attempt.request;
     const Micros now = deps_.faults->sends_stale_time_left() ? attempt.dispatched_at : loop_.now();
     const Micros time_left = attempt.expires_at - now;
-    const bool is_awaited = !request.lifecycle.finished() || deps_.faults->sends_after_client_disconnected();
-    if (attempt.over || time_left <= 0 || !is_awaited)
+    const bool is_needed = !request.lifecycle.finished() || deps_.faults->sends_after_client_disconnected();
+    if (attempt.ended || time_left <= 0 || !is_needed)
         return std::nullopt;
     std::string fields = "kind=" + request.class_settings->name +
                          ",ms=" + std::to_string(std::max<Micros>(1, time_left / kMillisecond));
@@ -125,9 +125,9 @@
     const bool engine_ready =
         endpoints_.state(attempt.engine) == EndpointState::ready || deps_.faults->begins_at_draining_engine();
     const bool permitted = !violation || deps_.faults->begins_despite_violation();
-    const bool may_begin = !attempt.over && engine_ready && permitted;
+    const bool may_begin = !attempt.ended && engine_ready && permitted;
     if (deps_.trace)
-        deps_.trace(name_of(attempt) + (may_begin ? " begins" : " may not begin any more") +
+        deps_.trace(name_of(attempt) + (may_begin ? " begins" : " is no longer permitted to begin") +
                     " on connection " + std::to_string(connection) +
                     (violation ? std::string(": ") + decide::name_of(*violation) : "") +
                     " waited_ms=" + std::to_string((loop_.now() - attempt.dispatched_at) / kMillisecond) +
@@ -158,7 +158,7 @@
 // ---- While in flight
 
 void AttemptDispatcher::on_progress(Attempt& attempt, ProgressKind kind, double value) {
-    if (attempt.over)
+    if (attempt.ended)
         return;
     ++attempt.progress_updates;
     attempt.last_progress_at = loop_.now();
@@ -181,24 +181,24 @@
 }
 
 void AttemptDispatcher::withdraw_unsent(Attempt& attempt) {
-    if (!attempt.over && attempt.exchange && attempt.exchange->withdraw_unsent())
+    if (!attempt.ended && attempt.exchange && attempt.exchange->withdraw_unsent())
         complete(attempt, AttemptOutcome::not_sent);
 }
 
 // Ends an attempt whose request has not been sent completely, and so was never executed. If a part has been
 // sent, its connection is reset.
 void AttemptDispatcher::reset_partial(Attempt& attempt) {
-    if (!attempt.over && attempt.exchange && attempt.exchange->reset_partial())
+    if (!attempt.ended && attempt.exchange && attempt.exchange->reset_partial())
         complete(attempt, AttemptOutcome::not_sent);
 }
 
 // Does not depend on PolicySettings::can_cancel: no attempt may begin for a disconnected client.
-void AttemptDispatcher::on_client_left(ActiveRequest& request) {
+void AttemptDispatcher::on_client_disconnected(ActiveRequest& request) {
     Attempt* const attempt = request.attempt_in_flight();
     if (!attempt)
         return;
     reset_partial(*attempt);
-    if (!attempt->over && attempt->exchange && attempt->exchange->discard_unacknowledged())
+    if (!attempt->ended && attempt->exchange && attempt->exchange->discard_unacknowledged())
         complete(*attempt, AttemptOutcome::connection_reset);
 }
 
@@ -208,7 +208,7 @@
 }
 
 void AttemptDispatcher::on_end(Attempt& attempt, decide::ExchangeResult result) {
-    if (attempt.over)
+    if (attempt.ended)
         return;
     if (result.status == decide::ExchangeResult::Status::completed && !attempt.request.lifecycle.finished())
         events_.on_result(attempt.request, result);
@@ -217,7 +217,7 @@
 
 void AttemptDispatcher::complete(Attempt& attempt, AttemptOutcome outcome,
                                  const decide::ExchangeResult* result) {
-    if (std::exchange(attempt.over, true))
+    if (std::exchange(attempt.ended, true))
         return;
     attempt.cancel_timers();
     const std::string progress = deps_.trace && attempt.exchange ? attempt.exchange->describe() : "";
--- a/src/node/attempt_dispatcher.hpp
+++ b/src/node/attempt_dispatcher.hpp
@@ -34,7 +34,7 @@
         // The last open attempt of a finished request has ended, so the request may be released.
         std::function<void(const ActiveRequest&)> on_releasable;
         // AttemptGuard has refused a permit; the text names the attempt.
-        std::function<void(decide::Invariant, const std::string& what)> on_violation;
+        std::function<void(decide::Invariant, const std::string& subject)> on_violation;
     };
 
     // All references must outlive the dispatcher. Requests passed to it must be released before it is
@@ -53,7 +53,7 @@
     void withdraw_unsent(Attempt& attempt);
     // Handles a client's disconnection: ends the attempt in flight unless the engine's machine has
     // acknowledged the complete request.
-    void on_client_left(ActiveRequest& request);
+    void on_client_disconnected(ActiveRequest& request);
     // Sends the request again to the engine of its first attempt. For fault injection.
     void repeat_first_attempt(ActiveRequest& request);
 
--- a/src/node/client_sessions.cpp
+++ b/src/node/client_sessions.cpp
@@ -12,7 +12,7 @@
 constexpr Micros kBacklogEmptyAfter = 10 * kMillisecond;  // since the last accepted connection
 constexpr Micros kSweepInterval = 100 * kMillisecond;
 constexpr Micros kUnreadGrace = 50 * kMillisecond;  // time to read the bytes that a last read left unread
-constexpr std::size_t kSpareShare = 8;  // graceful closes keep one in this many connection slots free
+constexpr std::size_t kSpareSlotDivisor = 8;  // graceful closes keep one in this many connection slots free
 
 }  // namespace
 
@@ -56,7 +56,7 @@
     // Closes gracefully: pending output is sent, further input is read and discarded.
     void close(const decide::ClosePermit& permit);
     std::set<std::int32_t> release_all() {
-        return numbers_.release_all();
+        return sequence_numbers_.release_all();
     }
 
 private:
@@ -71,13 +71,13 @@
     void handle(thrift::Call call);
     void handle_process(thrift::Call call);
     void end_malformed(std::int32_t sequence, thrift::Fault fault, const std::string& reason);
-    Micros waited_unseen() const;
+    Micros max_unread_wait() const;
 
     ClientSessions& sessions_;
     ClientId id_;
     std::unique_ptr<net::Stream> stream_;
-    decide::ClientSnapshot state_;  // without the number of open requests, which is in `numbers_`
-    decide::ClientSequenceNumbers numbers_;
+    decide::ClientSnapshot state_;  // without the number of open requests, which is in `sequence_numbers_`
+    decide::ClientSequenceNumbers sequence_numbers_;
     Micros backlog_wait_ = 0;  // maximum time spent in the listen backlog
     bool deferred_ = false;    // complete messages wait for the next turn
     // A malformed message has arrived: further input is discarded, and the connection closes once the
@@ -127,7 +127,7 @@
     if (calls == kCallsPerTurn) {
         state_.partial_request_since = 0;
         deferred_ = true;
-        deferred_since_ = sessions_.loop_.now() - waited_unseen();
+        deferred_since_ = sessions_.loop_.now() - max_unread_wait();
         stream_->offer();
         return Reading::deferred;
     }
@@ -159,7 +159,7 @@
             stream_->send(thrift::answer(call.method, call.seq, {}));
             return;
         case What::give_up:
-            if (numbers_.release(call.given_up))
+            if (sequence_numbers_.release(call.given_up))
                 sessions_.events_.on_cancelled(id_, call.given_up);
             return;
         case What::unknown:
@@ -172,7 +172,7 @@
 }
 
 void ClientSessions::Connection::handle_process(thrift::Call call) {
-    switch (numbers_.accept(call.seq)) {
+    switch (sequence_numbers_.accept(call.seq)) {
         case decide::ClientSequenceNumbers::Verdict::accepted:
             break;
         case decide::ClientSequenceNumbers::Verdict::not_increasing:
@@ -182,28 +182,28 @@
                 call.seq, thrift::Fault::protocol,
                 "more than " + std::to_string(decide::ClientSequenceNumbers::kMaxOpen) + " open requests");
     }
-    const Micros unseen = std::max(waited_unseen(), state_.has_sent_request ? 0 : backlog_wait_);
+    const Micros unread_wait = std::max(max_unread_wait(), state_.has_sent_request ? 0 : backlog_wait_);
     state_.has_sent_request = true;
-    sessions_.events_.on_request(id_, std::move(call), unseen);
+    sessions_.events_.on_request(id_, std::move(call), unread_wait);
 }
 
 // Returns the maximum time for which the messages being read have waited on this machine.
-Micros ClientSessions::Connection::waited_unseen() const {
+Micros ClientSessions::Connection::max_unread_wait() const {
     const Micros deferred = waiting_since_ > 0 ? sessions_.loop_.now() - waiting_since_ : 0;
     return std::max({sessions_.loop_.unseen(), stream_->starved(), deferred});
 }
 
 decide::ClientSnapshot ClientSessions::Connection::snapshot() const {
-    auto now = state_;
-    now.open_requests = numbers_.open_count();
-    now.has_unsent = stream_->unsent() > 0;
-    now.has_unread = deferred_ || sessions_.loop_.now() < unread_until_;
-    return now;
+    auto snapshot = state_;
+    snapshot.open_requests = sequence_numbers_.open_count();
+    snapshot.has_unsent = stream_->unsent() > 0;
+    snapshot.has_unread = deferred_ || sessions_.loop_.now() < unread_until_;
+    return snapshot;
 }
 
 decide::ClosingContext ClientSessions::Connection::closing_context() const {
-    const auto now = snapshot();
-    return {now.open_requests, now.has_unsent, now.has_unread};
+    const auto current = snapshot();
+    return {current.open_requests, current.has_unsent, current.has_unread};
 }
 
 // Ends reading after a malformed message, as the rest of the stream can't be parsed. The requests accepted
@@ -214,20 +214,20 @@
     stream_->send(thrift::exception("process", sequence, fault, reason));
     malformed_ = true;
     state_.partial_request_since = 0;
-    if (numbers_.release(sequence))
+    if (sequence_numbers_.release(sequence))
         sessions_.events_.on_cancelled(id_, sequence);
     close_if_answered();
 }
 
 void ClientSessions::Connection::close_if_answered() {
-    if (!malformed_ || state_.closing || numbers_.open_count() > 0)
+    if (!malformed_ || state_.closing || sequence_numbers_.open_count() > 0)
         return;
     if (const auto permit = sessions_.permit_close(*this, decide::CloseReason::malformed))
         close(*permit);
 }
 
 std::optional<std::size_t> ClientSessions::Connection::respond(std::int32_t sequence, std::string frame) {
-    if (!numbers_.release(sequence))
+    if (!sequence_numbers_.release(sequence))
         return std::nullopt;
     state_.last_active_at = sessions_.loop_.now();
     stream_->send(std::move(frame));
@@ -290,7 +290,7 @@
         if (!evict_one())
             return;
     // Close gracefully before the limit is reached: an immediate close could cross a request on its way.
-    const std::size_t spare = limits_.client_connections / kSpareShare;
+    const std::size_t spare = limits_.client_connections / kSpareSlotDivisor;
     if (connections_.size() + spare < limits_.client_connections)
         return;
     const auto next = next_eviction();
@@ -464,13 +464,13 @@
         close_if_idle(id, decide::CloseReason::shutdown);
 }
 
-void ClientSessions::close_listener(bool now) {
+void ClientSessions::close_listener(bool force) {
     if (!listener_)
         return;
     // Beyond the limit there may be no descriptors left.
     const std::size_t capacity =
         limits_.client_connections - std::min(limits_.client_connections, connections_.size());
-    if (listener_->accept_waiting(capacity) || now)
+    if (listener_->accept_waiting(capacity) || force)
         listener_.reset();
 }
 
--- a/src/node/client_sessions.hpp
+++ b/src/node/client_sessions.hpp
@@ -44,9 +44,9 @@
 class ClientSessions {
 public:
     struct Events {
-        // A `process` call, whose response is sent with respond(). `unseen`: how long, in microseconds, it
-        // may have waited before this process read it.
-        std::function<void(ClientId, thrift::Call, Micros unseen)> on_request;
+        // A `process` call, whose response is sent with respond(). `unread_wait`: how long, in microseconds,
+        // it may have waited before this process read it.
+        std::function<void(ClientId, thrift::Call, Micros unread_wait)> on_request;
         // The client has cancelled the request or its connection has ended: no response is expected any more.
         std::function<void(ClientId, std::int32_t sequence)> on_cancelled;
         // This node closes a connection; for logs.
@@ -80,8 +80,8 @@
     // Closes the connections that are idle now; to be called repeatedly.
     void close_idle();
     // Accepts connections from the listen backlog as far as the limits allow, and closes the listener once
-    // the backlog is empty; to be called repeatedly. `now`: closes it even if connections wait.
-    void close_listener(bool now);
+    // the backlog is empty; to be called repeatedly. `force`: closes it even if connections wait.
+    void close_listener(bool force);
 
     bool is_listening() const {
         return listener_ != nullptr;
--- a/src/node/config.cpp
+++ b/src/node/config.cpp
@@ -40,10 +40,10 @@
 
 template <typename T>
 T positive(const Json& object, const char* name) {
-    const auto got = value<double>(object, name, "a number");
-    if (!(got > 0 && got < kMaxNumber))
+    const auto number = value<double>(object, name, "a number");
+    if (!(number > 0 && number < kMaxNumber))
         throw ConfigError(std::string(name) + " must be a number over 0");
-    return static_cast<T>(got);
+    return static_cast<T>(number);
 }
 
 net::Address address(const Json& object, const char* name) {
--- a/src/node/endpoint_registry.cpp
+++ b/src/node/endpoint_registry.cpp
@@ -5,19 +5,19 @@
 namespace gatetiller::node {
 namespace {
 
-constexpr Micros kListOldAfter = 2 * kSecondMicros;  // without a confirmation by the name service
-constexpr Micros kDiscardLead = 100 * kMillisecond;  // before the end of an engine's drain grace
-constexpr std::size_t kMaxEnginesLogged = 40;        // per update
-constexpr double kWorkSmoothing = 0.02;              // weight of one request in the mean work
+constexpr Micros kListStaleAfter = 2 * kSecondMicros;  // without a confirmation by the name service
+constexpr Micros kDiscardLead = 100 * kMillisecond;    // before the end of an engine's drain grace
+constexpr std::size_t kMaxEnginesLogged = 40;          // per update
+constexpr double kWorkSmoothing = 0.02;                // weight of one request in the mean work
 
 const char* state_text(EndpointState state) {
     switch (state) {
         case EndpointState::ready:
-            return " is on";
+            return " is ready";
         case EndpointState::draining:
-            return " drains";
+            return " is draining";
         case EndpointState::removed:
-            return " is gone";
+            return " is removed";
     }
     return " is in an unknown state";
 }
@@ -60,13 +60,13 @@
 void EndpointRegistry::apply_received(const discovery::ReceivedUpdate& update) {
     const auto previous = list_.serial();
     if (deps_.trace)
-        deps_.trace("name service: list " + std::to_string(update.serial) + " of " +
-                    std::to_string(update.endpoints.size()) + " engines asked " +
+        deps_.trace("name service: list " + std::to_string(update.serial) + " with " +
+                    std::to_string(update.endpoints.size()) + " engines, polled " +
                     std::to_string((loop_.now() - update.polled_at) / kMillisecond) +
                     " ms ago, current: " + list_text());
     auto change = list_.apply(update.serial, update.endpoints, loop_.now(), wall_now(), update.polled_at);
     if (update.serial < previous && list_.serial() == update.serial)
-        deps_.log("the name service's numbering has started anew: list " + std::to_string(previous) +
+        deps_.log("the name service's serials have restarted: list " + std::to_string(previous) +
                   " was current, " + std::to_string(update.serial) + " is now");
     apply(std::move(change));
 }
@@ -81,10 +81,10 @@
     const auto replaced = connect_listed();
     for (auto& [id, engine] : engines_)
         engine.listed = list_.endpoints().contains(id);
-    record(*update);
+    apply_endpoint_states(*update);
     events_.on_update(deps_.faults->update_for_policy(std::move(*update)));
     for (const auto& connections : replaced)
-        connections->end_all("the engine has another address");
+        connections->end_all("the engine's address has changed");
     // Requests still waiting to be sent to a draining engine could otherwise begin after its drain grace.
     events_.on_applied();
     reset_before_grace_ends();
@@ -120,7 +120,7 @@
     return limits;
 }
 
-void EndpointRegistry::record(const EndpointUpdate& update) {
+void EndpointRegistry::apply_endpoint_states(const EndpointUpdate& update) {
     const bool logs_each =
         update.kind == EndpointUpdateKind::incremental && update.endpoints.size() <= kMaxEnginesLogged;
     if (!logs_each)
@@ -178,7 +178,7 @@
         const RegisteredEngine* const engine = find(id);
         if (engine && engine->connections)
             engine->connections->end_unacknowledged(
-                "the engine drains and has not acknowledged what was sent");
+                "the engine is draining and has not acknowledged all sent bytes");
     }
 }
 
@@ -268,11 +268,11 @@
 // Logs once when the list becomes old and once when it is confirmed again. The current list stays in use
 // regardless of its age (docs/incidents/drain-told-and-not-held.md).
 void EndpointRegistry::log_list_age() {
-    const bool old = loop_.now() - list_.confirmed_at() > kListOldAfter;
-    if (old == std::exchange(list_old_, old))
+    const bool is_stale = loop_.now() - list_.confirmed_at() > kListStaleAfter;
+    if (is_stale == std::exchange(list_stale_logged_, is_stale))
         return;
-    deps_.log((old ? "no response of the name service, the current list stays: "
-                   : "the name service responds again: ") +
+    deps_.log((is_stale ? "no response from the name service, keeping the current list: "
+                        : "the name service responds again: ") +
               list_text());
 }
 
--- a/src/node/endpoint_registry.hpp
+++ b/src/node/endpoint_registry.hpp
@@ -116,7 +116,7 @@
     void apply(std::optional<EndpointUpdate> update);
     std::vector<std::unique_ptr<EngineConnections>> connect_listed();
     decide::ConnectionLimits connection_limits() const;
-    void record(const EndpointUpdate& update);
+    void apply_endpoint_states(const EndpointUpdate& update);
     void log_state(const RegisteredEngine& engine, const Endpoint& endpoint) const;
     void reset_before_grace_ends();
     void log_list_age();
@@ -130,9 +130,9 @@
     ConnectionPool pool_;
     decide::EndpointList list_;
     std::map<EngineId, RegisteredEngine> engines_;
-    double mean_work_ = 0;   // of accepted requests, in microseconds on one thread; 0: unknown
-    Micros wall_offset_;     // from the loop's clock to the wall clock, read once at construction
-    bool list_old_ = false;  // logged as old
+    double mean_work_ = 0;            // of accepted requests, in microseconds on one thread; 0: unknown
+    Micros wall_offset_;              // from the loop's clock to the wall clock, read once at construction
+    bool list_stale_logged_ = false;  // whether the log says that the list is old
     net::TimerId discard_timer_ = 0;
 };
 
--- a/src/node/engine_connection.cpp
+++ b/src/node/engine_connection.cpp
@@ -22,12 +22,12 @@
 constexpr Micros kMaxPartialWriteTime = 120 * kMillisecond;
 
 // A request without a response for longer than this may be unread at a proxy or a hanging engine.
-constexpr Micros kSilentAfter = 300 * kMillisecond;
+constexpr Micros kSilenceThreshold = 300 * kMillisecond;
 
-constexpr std::size_t kResponseParts = 4;  // id, kind, fields, body
-constexpr std::size_t kMaxPartBytes = 8'192;
+constexpr std::size_t kResponseFields = 4;  // id, kind, fields, body
+constexpr std::size_t kMaxResponseFieldBytes = 8'192;
 constexpr std::size_t kMaxDetailBytes = 80;  // of an engine's error message, for logs
-const resp::Limits kResponseLimits{kResponseParts, kMaxPartBytes};
+const resp::Limits kResponseLimits{kResponseFields, kMaxResponseFieldBytes};
 
 std::optional<LoadReport> parse_load_report(std::string_view gauges) {
     LoadReport report;
@@ -69,7 +69,7 @@
       address_(address.text()),
       pool_(pool),
       owner_(owner),
-      number_(++pool.opened),
+      connection_number_(++pool.opened),
       opened_at_(loop.now()),
       last_used_at_(opened_at_) {
     ++pool_.open_connections;
@@ -83,30 +83,31 @@
 }
 
 std::string EngineConnection::name() const {
-    return "connection " + std::to_string(number_) + " to " + address_;
+    return "connection " + std::to_string(connection_number_) + " to " + address_;
 }
 
-void EngineConnection::trace(const std::string& what) const {
-    pool_.trace(name() + " " + what + " open=" + std::to_string(open_.size()) +
+void EngineConnection::trace(const std::string& event) const {
+    pool_.trace(name() + " " + event + " open=" + std::to_string(open_.size()) +
                 " ms=" + std::to_string((loop_.now() - opened_at_) / kMillisecond));
 }
 
 void EngineConnection::on_connected() {
     connected_ = true;
     if (pool_.trace)
-        trace("is up");
+        trace("is established");
 }
 
-void EngineConnection::on_closed(net::Closed how) {
-    switch (how) {
+void EngineConnection::on_closed(net::Closed reason) {
+    switch (reason) {
         case net::Closed::refused:
         case net::Closed::too_late:
             ++pool_.refused;
-            return end_all(ConnectionEnd::never_established, StreamState::ended, "no connection");
+            return end_all(ConnectionEnd::never_established, StreamState::ended,
+                           "the connection could not be established");
         case net::Closed::local:
             ++pool_.local_failures;
             return end_all(ConnectionEnd::local_resource_exhausted, StreamState::ended,
-                           "this machine lacks something for a connection");
+                           "this machine lacks a resource for the connection");
         case net::Closed::by_peer:
         case net::Closed::reset:
             break;
@@ -117,41 +118,41 @@
 
 // ---- Sending
 
-void EngineConnection::begin(Exchange& exchange, const Exchange::Request& request) {
+void EngineConnection::enqueue(Exchange& exchange, const Exchange::Request& request) {
     exchange.connection_ = this;
     open_.emplace(exchange.id_, &exchange);
     sent_ids_.insert(exchange.id_);
     std::string bytes = encode(exchange.id_, request);
     exchange.request_bytes_ = bytes.size();
     exchange.written_at_ = loop_.now();
-    exchange.request_send_ = send(std::move(bytes));
-    exchange.ends_at_byte_ = bytes_given_;
+    exchange.request_send_id_ = send(std::move(bytes));
+    exchange.end_offset_ = bytes_queued_;
     unsent_.push_back(&exchange);
 }
 
 net::SendId EngineConnection::send(std::string bytes) {
-    bytes_given_ += bytes.size();
+    bytes_queued_ += bytes.size();
     return stream_->send(std::move(bytes));
 }
 
 // Prepares the waiting requests that fit into the next write: each must carry its current time left.
-void EngineConnection::on_sending(std::size_t most) {
+void EngineConnection::on_sending(std::size_t max_bytes) {
     std::erase_if(unsent_, [&](const Exchange* exchange) {
-        return stream_->written(exchange->request_send_) == net::Written::whole;
+        return stream_->written(exchange->request_send_id_) == net::Written::whole;
     });
     auto waiting = unsent_;  // a copy, as withdrawing a request changes `unsent_`
     const bool first_has_begun =
-        !waiting.empty() && stream_->written(waiting.front()->request_send_) == net::Written::part;
+        !waiting.empty() && stream_->written(waiting.front()->request_send_id_) == net::Written::part;
     if (first_has_begun) {
         if (loop_.now() - waiting.front()->written_at_ > kMaxPartialWriteTime)
-            return cut_off("its first part had gone out too long ago");
+            return schedule_abort("a request was partly sent for too long");
         waiting.erase(waiting.begin());
     }
     std::size_t bytes = 0;
     for (Exchange* const exchange : waiting) {
-        if (bytes >= most)
+        if (bytes >= max_bytes)
             break;
-        bytes += prepare(*exchange);
+        bytes += prepare_for_sending(*exchange);
     }
 }
 
@@ -159,8 +160,8 @@
     unsent_.clear();
 }
 
-std::size_t EngineConnection::prepare(Exchange& exchange) {
-    if (exchange.events_.may_begin(number_))
+std::size_t EngineConnection::prepare_for_sending(Exchange& exchange) {
+    if (exchange.events_.may_begin(connection_number_))
         return rewrite_if_stale(exchange);
     withdraw_while_sending(exchange);
     return 0;
@@ -178,39 +179,39 @@
     exchange.request_bytes_ = bytes.size();
     exchange.written_at_ = loop_.now();
     ++pool_.rewritten;
-    stream_->replace(exchange.request_send_, std::move(bytes));
+    stream_->replace(exchange.request_send_id_, std::move(bytes));
     return exchange.request_bytes_;
 }
 
 // Withdraws a request that may no longer begin. Its caller is notified in a later turn, as the stream is in
 // the middle of a write.
 void EngineConnection::withdraw_while_sending(Exchange& exchange) {
-    if (!stream_->take_back(exchange.request_send_))
+    if (!stream_->take_back(exchange.request_send_id_))
         return;
-    exchange.request_send_ = 0;
+    exchange.request_send_id_ = 0;
     for (const auto change : std::exchange(exchange.priority_changes_, {}))
         stream_->take_back(change);
     std::erase(unsent_, &exchange);
     loop_.after(0, [this, alive = std::weak_ptr<char>(alive_), id = exchange.id_] {
         if (!alive.expired())
-            end_as_not_sent(id);
+            finish_as_not_sent(id);
     });
 }
 
-void EngineConnection::end_as_not_sent(const std::string& id) {
+void EngineConnection::finish_as_not_sent(const std::string& id) {
     const auto found = open_.find(id);
-    if (found == open_.end() || found->second->request_send_ != 0)
+    if (found == open_.end() || found->second->request_send_id_ != 0)
         return;
     ExchangeResult result;
     result.status = Status::not_sent;
-    result.detail = "it waited until it might not begin any more";
+    result.detail = "the request waited until it was no longer permitted to begin";
     finish(*found->second, std::move(result));
 }
 
 // Ends the connection after a part of a request has been sent, so that the rest never follows. All other open
 // requests end too, each with the status that follows for it. This happens in a later turn, as the caller
 // still uses the connection.
-void EngineConnection::cut_off(const char* reason) {
+void EngineConnection::schedule_abort(const char* reason) {
     stream_->drop_unsent();
     loop_.after(0, [this, alive = std::weak_ptr<char>(alive_), reason] {
         if (!alive.expired())
@@ -228,8 +229,8 @@
         const auto reading = resp::read_array(in.view(), kResponseLimits, parts, size);
         if (reading == resp::Reading::none)
             return;
-        if (reading == resp::Reading::spoilt || parts.size() != kResponseParts) {
-            end_malformed("an answer that can't be read");
+        if (reading == resp::Reading::spoilt || parts.size() != kResponseFields) {
+            end_malformed("malformed response");
             return;
         }
         // Copied, as handling the response may destroy this connection and its buffer.
@@ -246,7 +247,7 @@
         return true;
     decide::ResponseFields fields;
     if (!fields.parse(response.fields))
-        return end_malformed("fields that can't be read");
+        return end_malformed("malformed response fields");
     const auto found = open_.find(response.id);
     if (found == open_.end())
         return on_unsolicited();
@@ -260,7 +261,7 @@
         return on_further_page(exchange, fields, response.body);
     if (response.kind == "SHED" || response.kind == "LATE" || response.kind == "FAULT")
         return on_failure(exchange, fields, response);
-    return end_malformed("an answer of an unknown kind");
+    return end_malformed("response of unknown kind");
 }
 
 bool EngineConnection::on_progress(Exchange& exchange, const decide::ResponseFields& fields) {
@@ -279,7 +280,7 @@
         return on_unsolicited();
     const auto pages = to_number<std::size_t>(fields.find("chunks"));
     if (!exchange.pages_.start(pages.value_or(1), response.body))
-        return end_malformed("a page that can't be read");
+        return end_malformed("malformed page");
     exchange.result_.work_ms = to_number<double>(fields.find("spent")).value_or(0);
     exchange.result_.needed_mb = to_number<double>(fields.find("wanted")).value_or(0);
     exchange.result_.load_report = parse_load_report(fields.find("gauges"));
@@ -299,7 +300,7 @@
         case decide::ResultPages::PageVerdict::malformed:
             break;
     }
-    return end_malformed("a page that can't be read");
+    return end_malformed("malformed page");
 }
 
 bool EngineConnection::on_failure(Exchange& exchange, const decide::ResponseFields& fields,
@@ -311,7 +312,7 @@
     else if (response.kind == "LATE")
         result.status = Status::deadline_passed;
     if (result.status != Status::failed && exchange.pages_.started())
-        return end_malformed("an end after a result");
+        return end_malformed("a SHED or LATE response after a result");
     result.load_report = parse_load_report(fields.find("gauges"));
     result.detail = response.body.substr(0, kMaxDetailBytes);
     return finish(exchange, std::move(result));
@@ -363,7 +364,7 @@
 
 // Removes a cancelled request and retires the connection: a late response to its id must not count for
 // another attempt, and a connection on which no response arrives is no longer usable.
-void EngineConnection::give_up(Exchange& exchange) {
+void EngineConnection::remove_and_retire(Exchange& exchange) {
     cancelled_silent_request_ = cancelled_silent_request_ || is_silent(exchange);
     remove(exchange);
     retired_ = true;
@@ -374,7 +375,7 @@
 bool EngineConnection::close_if_unused() {
     if (!retired_ || !open_.empty())
         return true;
-    if (holds_unacknowledged() || cancelled_silent_request_)
+    if (has_unacknowledged_bytes() || cancelled_silent_request_)
         discard();
     owner_.release(*this);
     return false;
@@ -382,28 +383,28 @@
 
 // Returns whether the kernel holds unacknowledged bytes. The engine may be unreachable or not reading, so
 // they could be delivered much later.
-bool EngineConnection::holds_unacknowledged() const {
+bool EngineConnection::has_unacknowledged_bytes() const {
     return stream_ && stream_->unacknowledged().value_or(0) > 0;
 }
 
 // Returns whether the kernel holds unacknowledged bytes of this request: more than the bytes written after
 // it.
-bool EngineConnection::holds_unacknowledged(const Exchange& exchange) const {
-    const std::size_t behind = bytes_given_ - std::min(bytes_given_, exchange.ends_at_byte_);
-    const std::size_t behind_in_kernel = behind - std::min(behind, unsent_bytes());
-    return stream_ && stream_->unacknowledged().value_or(0) > behind_in_kernel;
+bool EngineConnection::has_unacknowledged_bytes(const Exchange& exchange) const {
+    const std::size_t bytes_after = bytes_queued_ - std::min(bytes_queued_, exchange.end_offset_);
+    const std::size_t bytes_after_in_kernel = bytes_after - std::min(bytes_after, unsent_bytes());
+    return stream_ && stream_->unacknowledged().value_or(0) > bytes_after_in_kernel;
 }
 
-bool EngineConnection::holds_unacknowledged_request() const {
+bool EngineConnection::has_unacknowledged_request() const {
     return std::any_of(open_.begin(), open_.end(), [this](const auto& open) {
-        return holds_unacknowledged(*open.second);
+        return has_unacknowledged_bytes(*open.second);
     });
 }
 
 // Returns whether there has been no response for so long that the request may still be unread at a proxy or
 // the engine, even if its bytes were acknowledged.
 bool EngineConnection::is_silent(const Exchange& exchange) const {
-    return !exchange.has_response_ && loop_.now() - exchange.written_at_ > kSilentAfter;
+    return !exchange.has_response_ && loop_.now() - exchange.written_at_ > kSilenceThreshold;
 }
 
 // Resets the connection so that no cancelled request can still begin. A reset cancels as an `undo` does.
@@ -422,16 +423,16 @@
     std::vector<std::pair<Exchange::Events*, Status>> ended;
     for (const auto& [id, exchange] : std::exchange(open_, {})) {
         auto progress = WriteProgress::complete;
-        if (stream_->take_back(exchange->request_send_))
+        if (stream_->take_back(exchange->request_send_id_))
             progress = WriteProgress::none;
         else if (stream_state == StreamState::ended &&
-                 stream_->written(exchange->request_send_) != net::Written::whole)
+                 stream_->written(exchange->request_send_id_) != net::Written::whole)
             progress = WriteProgress::partial;
         ended.emplace_back(&exchange->events_, decide::classify_connection_end(end, progress));
         exchange->connection_ = nullptr;
     }
     unsent_.clear();
-    if (holds_unacknowledged())
+    if (has_unacknowledged_bytes())
         discard();  // false if the stream has ended, as the kernel then holds nothing of it
     stream_.reset();
     owner_.release(*this);  // destroys `this`: only local variables are used below
@@ -450,7 +451,7 @@
 }
 
 bool EngineConnection::withdraw_unsent(Exchange& exchange) {
-    if (!stream_->take_back(exchange.request_send_))
+    if (!stream_->take_back(exchange.request_send_id_))
         return false;
     for (const auto change : exchange.priority_changes_)
         stream_->take_back(change);  // queued behind the request, so not written either
@@ -461,39 +462,39 @@
 }
 
 bool EngineConnection::reset_partial(Exchange& exchange) {
-    if (stream_->written(exchange.request_send_) != net::Written::part)
+    if (stream_->written(exchange.request_send_id_) != net::Written::part)
         return false;
-    cut_off("cut off in the middle of a request given up");
-    give_up(exchange);
+    schedule_abort("a partly sent request was cancelled");
+    remove_and_retire(exchange);
     return true;
 }
 
 bool EngineConnection::discard_unacknowledged(Exchange& exchange) {
-    if (open_.size() != 1 || !holds_unacknowledged(exchange))
+    if (open_.size() != 1 || !has_unacknowledged_bytes(exchange))
         return false;
-    give_up(exchange);  // closes the connection, as no other request is open on it
+    remove_and_retire(exchange);  // closes the connection, as no other request is open on it
     return true;
 }
 
 void EngineConnection::cancel(Exchange& exchange) {
     send(resp::array({exchange.pages_.started() ? "forget" : "undo", exchange.id_}));
-    give_up(exchange);
+    remove_and_retire(exchange);
 }
 
 std::string EngineConnection::describe(const Exchange& exchange) const {
-    const char* progress = "not gone out";
-    switch (stream_->written(exchange.request_send_)) {
+    const char* progress = "not sent";
+    switch (stream_->written(exchange.request_send_id_)) {
         case net::Written::whole:
-            progress = "gone out completely";
+            progress = "sent completely";
             break;
         case net::Written::part:
-            progress = "gone out in part";
+            progress = "sent in part";
             break;
         case net::Written::nothing:
             break;
     }
     const auto unacknowledged = stream_->unacknowledged();
-    return name() + (connected_ ? " (up)" : " (not up)") + ", " + progress +
+    return name() + (connected_ ? " (established)" : " (connecting)") + ", " + progress +
            (unacknowledged ? ", unacknowledged " + std::to_string(*unacknowledged) : "");
 }
 
--- a/src/node/engine_connection.hpp
+++ b/src/node/engine_connection.hpp
@@ -61,14 +61,14 @@
     EngineConnection& operator=(const EngineConnection&) = delete;
 
     // Queues a request, which is sent once the connection is established.
-    void begin(Exchange& exchange, const Exchange::Request& request);
+    void enqueue(Exchange& exchange, const Exchange::Request& request);
     // Returns the state from which a connection is chosen for the request with this id.
     decide::ConnectionSnapshot snapshot(const std::string& id) const;
     std::size_t open_requests() const {
         return open_.size();
     }
     // Returns whether the kernel holds unacknowledged bytes of an open request.
-    bool holds_unacknowledged_request() const;
+    bool has_unacknowledged_request() const;
     // Ends the connection and each open request, with the status that follows for it. Destroys `this`.
     void abort(const char* reason);
     // Removes all open requests without notifying anyone.
@@ -98,18 +98,18 @@
     // net::StreamEvents
     void on_connected() override;
     void on_data(Buffer& in) override;
-    void on_closed(net::Closed how) override;
-    void on_sending(std::size_t most) override;
+    void on_closed(net::Closed reason) override;
+    void on_sending(std::size_t max_bytes) override;
     void on_sent() override;
 
     // Sending. The functions that return a size return the bytes of the request to be sent, or 0 if it was
     // withdrawn.
-    std::size_t prepare(Exchange& exchange);
+    std::size_t prepare_for_sending(Exchange& exchange);
     std::size_t rewrite_if_stale(Exchange& exchange);
     void withdraw_while_sending(Exchange& exchange);
-    void end_as_not_sent(const std::string& id);
+    void finish_as_not_sent(const std::string& id);
     net::SendId send(std::string bytes);
-    void cut_off(const char* reason);
+    void schedule_abort(const char* reason);
 
     // Responses. The functions return false if this connection has been destroyed.
     bool on_response(const Response& response);
@@ -123,10 +123,10 @@
     bool finish(Exchange& exchange, decide::ExchangeResult result);
 
     void remove(Exchange& exchange);
-    void give_up(Exchange& exchange);
+    void remove_and_retire(Exchange& exchange);
     bool close_if_unused();
-    bool holds_unacknowledged() const;
-    bool holds_unacknowledged(const Exchange& exchange) const;
+    bool has_unacknowledged_bytes() const;
+    bool has_unacknowledged_bytes(const Exchange& exchange) const;
     bool is_silent(const Exchange& exchange) const;
     void discard();
     void end_all(decide::ConnectionEnd end, StreamState stream_state, const char* reason);
@@ -135,13 +135,13 @@
     std::size_t unsent_bytes() const {
         return stream_ ? stream_->unsent() : 0;
     }
-    void trace(const std::string& what) const;
+    void trace(const std::string& event) const;
 
     net::Loop& loop_;
     std::string address_;
     ConnectionPool& pool_;
     EngineConnectionOwner& owner_;
-    std::uint64_t number_;  // sequential over all connections of the front node; for logs
+    std::uint64_t connection_number_;  // sequential over all connections of the front node; for logs
     Micros opened_at_;
     Micros last_used_at_;
     bool connected_ = false;
@@ -153,7 +153,7 @@
     std::set<std::string> sent_ids_;
     bool retired_ = false;
     bool cancelled_silent_request_ = false;  // see is_silent()
-    std::size_t bytes_given_ = 0;            // total bytes passed to the stream
+    std::size_t bytes_queued_ = 0;           // total bytes passed to the stream
     std::shared_ptr<char> alive_ = std::make_shared<char>();
 };
 
--- a/src/node/engine_connections.cpp
+++ b/src/node/engine_connections.cpp
@@ -19,14 +19,14 @@
 }
 
 void EngineConnections::end_unacknowledged(const char* reason) {
-    std::vector<EngineConnection*> holding;
+    std::vector<EngineConnection*> unacknowledged;
     for (const auto& connection : connections_)
-        if (connection->holds_unacknowledged_request())
-            holding.push_back(connection.get());
-    for (EngineConnection* const connection : holding) {
+        if (connection->has_unacknowledged_request())
+            unacknowledged.push_back(connection.get());
+    for (EngineConnection* const connection : unacknowledged) {
         // Ending one connection may have released another.
-        const bool exists = std::any_of(connections_.begin(), connections_.end(), [&](const auto& kept) {
-            return kept.get() == connection;
+        const bool exists = std::any_of(connections_.begin(), connections_.end(), [&](const auto& candidate) {
+            return candidate.get() == connection;
         });
         if (exists)
             connection->abort(reason);
@@ -40,7 +40,7 @@
     return requests;
 }
 
-EngineConnection& EngineConnections::choose(const std::string& id) {
+EngineConnection& EngineConnections::select_connection(const std::string& id) {
     std::vector<decide::ConnectionSnapshot> snapshots;
     snapshots.reserve(connections_.size());
     for (const auto& connection : connections_)
@@ -67,18 +67,18 @@
     if (!request)
         return nullptr;
     std::unique_ptr<Exchange> exchange(new Exchange(id, events));
-    choose(id).begin(*exchange, *request);
+    select_connection(id).enqueue(*exchange, *request);
     return exchange;
 }
 
 void EngineConnections::release(EngineConnection& connection) {
-    const auto at = std::find_if(connections_.begin(), connections_.end(), [&](const auto& kept) {
-        return kept.get() == &connection;
+    const auto found = std::find_if(connections_.begin(), connections_.end(), [&](const auto& candidate) {
+        return candidate.get() == &connection;
     });
-    if (at == connections_.end())
+    if (found == connections_.end())
         return;
-    const auto released = std::move(*at);  // destroyed when this returns
-    connections_.erase(at);
+    const auto released = std::move(*found);  // destroyed when this returns
+    connections_.erase(found);
 }
 
 void EngineConnections::close_expiring_idle() {
--- a/src/node/engine_connections.hpp
+++ b/src/node/engine_connections.hpp
@@ -43,7 +43,7 @@
 
 private:
     void release(EngineConnection& connection) override;
-    EngineConnection& choose(const std::string& id);
+    EngineConnection& select_connection(const std::string& id);
 
     net::Loop& loop_;
     net::Address address_;
--- a/src/node/exchange.hpp
+++ b/src/node/exchange.hpp
@@ -68,9 +68,9 @@
     std::string id_;
     Events& events_;
     EngineConnection* connection_ = nullptr;  // null: the exchange has ended
-    net::SendId request_send_ = 0;            // identifies the request's bytes in the stream
+    net::SendId request_send_id_ = 0;         // identifies the request's bytes in the stream
     std::size_t request_bytes_ = 0;           // size of the encoded request
-    std::size_t ends_at_byte_ = 0;            // offset of its end in all bytes passed to the stream
+    std::size_t end_offset_ = 0;              // offset of its end in all bytes passed to the stream
     bool has_response_ = false;               // the engine has sent any message about it
     Micros written_at_ = 0;  // when the request was encoded with the time left at that moment
     std::vector<net::SendId> priority_changes_;  // queued behind the request
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -19,8 +19,8 @@
     return faults.policy_settings(std::move(settings));
 }
 
-std::string milliseconds(Micros span) {
-    return std::to_string(span / kMillisecond) + " ms";
+std::string milliseconds(Micros duration) {
+    return std::to_string(duration / kMillisecond) + " ms";
 }
 
 }  // namespace
@@ -57,8 +57,8 @@
 
 ClientSessions::Events Node::client_events() {
     return {.on_request =
-                [this](ClientId client, thrift::Call call, Micros unseen) {
-                    requests_.on_request({client, std::move(call), unseen});
+                [this](ClientId client, thrift::Call call, Micros unread_wait) {
+                    requests_.on_request({client, std::move(call), unread_wait});
                 },
             .on_cancelled =
                 [this](ClientId client, std::int32_t sequence) {
@@ -101,8 +101,8 @@
             .on_poll_sent =
                 [this](std::uint16_t id, int unanswered) {
                     if (deps_.trace && unanswered > 0)
-                        deps_.trace("name service: asked again with id " + std::to_string(id) +
-                                    ", unanswered before " + std::to_string(unanswered) +
+                        deps_.trace("name service: sent another poll with id " + std::to_string(id) +
+                                    ", earlier polls without response " + std::to_string(unanswered) +
                                     ", current: " + endpoints_.list_text());
                 }};
 }
@@ -176,7 +176,7 @@
 
 void Node::reload(const NodeSettings& settings) {
     if (settings.dns != settings_.dns)
-        deps_.log("the name service is asked at " + settings.dns.text() + " from now on");
+        deps_.log("name service address changed to " + settings.dns.text());
     settings_.dns = settings.dns;
     discovery_.set_server(settings.dns);
     if (!settings.known_endpoints.empty())
@@ -191,7 +191,7 @@
     }
     if (settings.settings_text != settings_.settings_text || settings.listen != settings_.listen ||
         settings.name != settings_.name)
-        deps_.log("name, listen or settings have changed: that needs a restart, the old ones stay in force");
+        deps_.log("a change of name, listen or settings needs a restart; the current values remain in use");
 }
 
 void Node::drain(std::function<void()> done) {
--- a/src/node/request_admission.cpp
+++ b/src/node/request_admission.cpp
@@ -19,7 +19,7 @@
 
 AdmittedRequest accept(IncomingCall incoming, const decide::ClientRequest& checked, Micros now) {
     const Micros time_left =
-        decide::client_time_left(checked.client_timeout, incoming.unseen, kResponseReserve);
+        decide::client_time_left(checked.client_timeout, incoming.unread_wait, kResponseReserve);
     auto request = std::make_unique<ActiveRequest>();
     request->id = checked.id;
     request->idempotency_key = checked.idempotency_key;
--- a/src/node/request_admission.hpp
+++ b/src/node/request_admission.hpp
@@ -28,7 +28,7 @@
 struct IncomingCall {
     ClientId client = 0;
     thrift::Call call;
-    Micros unseen = 0;  // maximum time that the call waited before this process read it
+    Micros unread_wait = 0;  // maximum time that the call waited before this process read it
 };
 
 struct AdmittedRequest {
--- a/src/node/request_dispatcher.cpp
+++ b/src/node/request_dispatcher.cpp
@@ -8,17 +8,16 @@
 
 namespace gatetiller::node {
 
-RequestDispatcher::RequestDispatcher(const Collaborators& collaborators)
-    : with_(collaborators), requests_(collaborators.loop) {}
+RequestDispatcher::RequestDispatcher(const Context& context) : context_(context), requests_(context.loop) {}
 
 // ---- Admission
 
 void RequestDispatcher::on_request(IncomingCall incoming) {
     const ClientId client = incoming.client;
     const std::int32_t sequence = incoming.call.seq;
-    const AdmissionContext context{with_.settings.policy,         with_.limits,
-                                   with_.shutdown.schedule(),     requests_,
-                                   with_.shutdown.draining_for(), with_.loop.now()};
+    const AdmissionContext context{context_.settings.policy,         context_.limits,
+                                   context_.shutdown.schedule(),     requests_,
+                                   context_.shutdown.draining_for(), context_.loop.now()};
     auto decision = admit_request(std::move(incoming), context);
     if (auto* const rejected = std::get_if<RejectedRequest>(&decision))
         return reject(client, sequence, std::move(*rejected));
@@ -26,35 +25,35 @@
 }
 
 void RequestDispatcher::reject(ClientId client, std::int32_t sequence, RejectedRequest rejected) {
-    if (with_.deps.trace && !rejected.reason.empty())
-        with_.deps.trace("rejected: " + rejected.reason);
+    if (context_.deps.trace && !rejected.reason.empty())
+        context_.deps.trace("rejected: " + rejected.reason);
     counters_.count(rejected.outcome);
-    with_.clients.respond(client, sequence, std::move(rejected.frame));
+    context_.clients.respond(client, sequence, std::move(rejected.frame));
 }
 
 void RequestDispatcher::accept(AdmittedRequest admitted) {
     if (admitted.arrival.estimated_work)
-        with_.endpoints.record_work(*admitted.arrival.estimated_work);
+        context_.endpoints.record_work(*admitted.arrival.estimated_work);
     const ActiveRequest& request = requests_.add(std::move(admitted.request));
-    if (with_.deps.trace)
-        with_.deps.trace(request.name() + " accepted from client " + std::to_string(request.client) +
-                         " left_ms=" + std::to_string(admitted.arrival.time_left / kMillisecond));
-    admitted.arrival.time_left = with_.deps.faults->time_left_for_policy(admitted.arrival.time_left);
-    with_.policy.post(std::move(admitted.arrival));
+    if (context_.deps.trace)
+        context_.deps.trace(request.name() + " accepted from client " + std::to_string(request.client) +
+                            " left_ms=" + std::to_string(admitted.arrival.time_left / kMillisecond));
+    admitted.arrival.time_left = context_.deps.faults->time_left_for_policy(admitted.arrival.time_left);
+    context_.policy.post(std::move(admitted.arrival));
 }
 
 void RequestDispatcher::on_client_cancelled(ClientId client, std::int32_t sequence) {
-    ActiveRequest* const request = requests_.take_sequence(client, sequence);
+    ActiveRequest* const request = requests_.extract_by_sequence(client, sequence);
     if (!request || !request->lifecycle.apply(decide::RequestEvent::client_disconnected))
         return;
     request->client_disconnected = true;
     counters_.count(RequestOutcome::client_cancelled);
-    if (with_.deps.trace)
-        with_.deps.trace(request->name() + " cancelled by client " + std::to_string(client));
-    with_.policy.post(ClientDisconnected{request->id});
-    if (with_.deps.faults->sends_after_client_disconnected())
-        with_.attempts.repeat_first_attempt(*request);
-    with_.attempts.on_client_left(*request);
+    if (context_.deps.trace)
+        context_.deps.trace(request->name() + " cancelled by client " + std::to_string(client));
+    context_.policy.post(ClientDisconnected{request->id});
+    if (context_.deps.faults->sends_after_client_disconnected())
+        context_.attempts.repeat_first_attempt(*request);
+    context_.attempts.on_client_disconnected(*request);
     if (request->lifecycle.releasable())
         schedule_release(*request);
 }
@@ -64,11 +63,11 @@
 void RequestDispatcher::apply(const Action& action) {
     std::visit(Overloaded{[&](const DispatchAttempt& dispatch) {
                               if (ActiveRequest* const request = requests_.find(dispatch.id))
-                                  with_.attempts.dispatch(*request, dispatch.engine, dispatch.timeout);
+                                  context_.attempts.dispatch(*request, dispatch.engine, dispatch.timeout);
                           },
                           [&](const ResourceGrant& grant) {
                               if (ActiveRequest* const request = requests_.find(grant.id))
-                                  with_.attempts.grant(*request, grant);
+                                  context_.attempts.grant(*request, grant);
                           },
                           [&](const ShedRequest& shed) {
                               if (ActiveRequest* const request = requests_.find(shed.id))
@@ -81,13 +80,13 @@
                           },
                           [&](const CancelAttempt& cancellation) {
                               if (ActiveRequest* const request = requests_.find(cancellation.id))
-                                  with_.attempts.cancel(*request, cancellation.attempt);
+                                  context_.attempts.cancel(*request, cancellation.attempt);
                           },
                           [&](const CheckHealth& check) {
                               // These engines report their load only in responses, so there is no health
                               // check to send.
-                              with_.policy.post(HealthCheckCompleted{check.engine, 0,
-                                                                     AttemptOutcome::not_sent, std::nullopt});
+                              context_.policy.post(HealthCheckCompleted{
+                                  check.engine, 0, AttemptOutcome::not_sent, std::nullopt});
                           },
                           [](const BroadcastToPeers&) {},  // there are no peers: the settings never allow it
                           [](const WatchEndpoints&) {},    // the name service is polled continuously
@@ -98,14 +97,14 @@
 void RequestDispatcher::withdraw_from_unready_engines() {
     const auto waiting = requests_.select([this](ActiveRequest& request) {
         const Attempt* const attempt = request.attempt_in_flight();
-        return attempt && with_.endpoints.state(attempt->engine) != EndpointState::ready;
+        return attempt && context_.endpoints.state(attempt->engine) != EndpointState::ready;
     });
     std::vector<Attempt*> attempts;
     attempts.reserve(waiting.size());
     for (ActiveRequest* const request : waiting)
         attempts.push_back(request->attempt_in_flight());
     for (Attempt* const attempt : attempts)
-        with_.attempts.withdraw_unsent(*attempt);
+        context_.attempts.withdraw_unsent(*attempt);
 }
 
 // ---- Final responses
@@ -124,13 +123,13 @@
         return;
     request.lifecycle.apply(decide::RequestEvent::response_delivered);
     counters_.count(outcome, reason);
-    if (with_.deps.trace)
+    if (context_.deps.trace)
         trace_response(request, outcome, reason);
-    requests_.forget_sequence(request);
-    if (!with_.deps.faults->loses_response(request.deadline))
-        with_.clients.respond(request.client, request.sequence, std::move(frame));
-    if (with_.deps.faults->sends_after_final_response())
-        with_.attempts.repeat_first_attempt(request);
+    requests_.erase_sequence(request);
+    if (!context_.deps.faults->loses_response(request.deadline))
+        context_.clients.respond(request.client, request.sequence, std::move(frame));
+    if (context_.deps.faults->sends_after_final_response())
+        context_.attempts.repeat_first_attempt(request);
     if (request.lifecycle.releasable())
         schedule_release(request);
 }
@@ -138,12 +137,12 @@
 void RequestDispatcher::trace_response(const ActiveRequest& request, RequestOutcome outcome,
                                        std::optional<GiveUpReason> reason) const {
     const std::string engine =
-        request.attempts.empty() ? "-" : with_.endpoints.name_of(request.attempts.back()->engine);
-    with_.deps.trace(request.name() + " " + name_of(outcome) +
-                     (reason ? std::string(" for ") + name_of(*reason) : "") + " at " + engine +
-                     " attempts=" + std::to_string(request.attempts.size()) +
-                     " ms=" + std::to_string((with_.loop.now() - request.arrived_at) / kMillisecond) +
-                     " left_ms=" + std::to_string((request.deadline - with_.loop.now()) / kMillisecond));
+        request.attempts.empty() ? "-" : context_.endpoints.name_of(request.attempts.back()->engine);
+    context_.deps.trace(
+        request.name() + " " + name_of(outcome) + (reason ? std::string(" for ") + name_of(*reason) : "") +
+        " at " + engine + " attempts=" + std::to_string(request.attempts.size()) +
+        " ms=" + std::to_string((context_.loop.now() - request.arrived_at) / kMillisecond) +
+        " left_ms=" + std::to_string((request.deadline - context_.loop.now()) / kMillisecond));
 }
 
 void RequestDispatcher::abort_remaining() {
@@ -157,7 +156,7 @@
             respond(*request, rejection_frame(request->sequence, 0), RequestOutcome::shutting_down);
         else
             fail(*request);
-        with_.policy.post(ClientDisconnected{request->id});  // makes the policy cancel attempts in flight
+        context_.policy.post(ClientDisconnected{request->id});  // makes the policy cancel attempts in flight
     }
 }
 
--- a/src/node/request_dispatcher.hpp
+++ b/src/node/request_dispatcher.hpp
@@ -26,7 +26,7 @@
 class RequestDispatcher {
 public:
     // All references must outlive the dispatcher.
-    struct Collaborators {
+    struct Context {
         net::Loop& loop;
         const NodeSettings& settings;
         const decide::ResourceLimits& limits;
@@ -37,7 +37,7 @@
         core::PolicyDriver& policy;
         const GracefulShutdown& shutdown;
     };
-    explicit RequestDispatcher(const Collaborators& collaborators);
+    explicit RequestDispatcher(const Context& context);
 
     // Admits a client's call as an active request, or rejects it immediately.
     void on_request(IncomingCall incoming);
@@ -73,7 +73,7 @@
     void trace_response(const ActiveRequest& request, RequestOutcome outcome,
                         std::optional<GiveUpReason> reason) const;
 
-    Collaborators with_;
+    Context context_;
     RequestTable requests_;
     RequestCounters counters_;
 };
--- a/src/node/request_outcome.cpp
+++ b/src/node/request_outcome.cpp
@@ -48,8 +48,8 @@
 
 std::string RequestCounters::text() const {
     std::string text;
-    for (const auto& [end, count] : counts_) {
-        const auto& [outcome, reason] = end;
+    for (const auto& [key, count] : counts_) {
+        const auto& [outcome, reason] = key;
         text += (text.empty() ? "" : " ") +
                 (reason ? name_of(outcome, *reason) : std::string(name_of(outcome))) + "=" +
                 std::to_string(count);
--- a/src/node/request_table.cpp
+++ b/src/node/request_table.cpp
@@ -20,7 +20,7 @@
     return found == requests_.end() ? nullptr : found->second.get();
 }
 
-ActiveRequest* RequestTable::take_sequence(ClientId client, std::int32_t sequence) {
+ActiveRequest* RequestTable::extract_by_sequence(ClientId client, std::int32_t sequence) {
     const auto found = ids_by_sequence_.find({client, sequence});
     if (found == ids_by_sequence_.end())
         return nullptr;
@@ -29,7 +29,7 @@
     return request;
 }
 
-void RequestTable::forget_sequence(const ActiveRequest& request) {
+void RequestTable::erase_sequence(const ActiveRequest& request) {
     ids_by_sequence_.erase({request.client, request.sequence});
 }
 
--- a/src/node/request_table.hpp
+++ b/src/node/request_table.hpp
@@ -31,9 +31,9 @@
     ActiveRequest* find(const std::string& id);
     // Returns the client's request with this sequence number and removes the sequence number from the table;
     // null if there is none.
-    ActiveRequest* take_sequence(ClientId client, std::int32_t sequence);
+    ActiveRequest* extract_by_sequence(ClientId client, std::int32_t sequence);
     // Removes the request's sequence number from the table.
-    void forget_sequence(const ActiveRequest& request);
+    void erase_sequence(const ActiveRequest& request);
     // Releases the request in a later turn of the loop.
     void schedule_release(const ActiveRequest& request);
 
--- a/src/node/status_report.cpp
+++ b/src/node/status_report.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::size_t kMaxEnginesShown = 40;
 
-std::string figure(const char* name, std::uint64_t value) {
+std::string counter_text(const char* name, std::uint64_t value) {
     return " " + std::string(name) + "=" + std::to_string(value);
 }
 
@@ -39,7 +39,7 @@
     return text + (count > shown.size() ? ",and " + std::to_string(count - shown.size()) + " more" : "");
 }
 
-std::string closed_text(const ClientCounters& counters) {
+std::string closed_by_reason_text(const ClientCounters& counters) {
     std::string text;
     for (std::size_t i = 0; i < counters.closed.size(); ++i) {
         if (counters.closed[i] == 0)
@@ -52,16 +52,18 @@
 }
 
 std::string clients_text(const ClientCounters& counters) {
-    return figure("accepted", counters.accepted) + figure("malformed_messages", counters.malformed) +
-           figure("evicted", counters.evicted) + figure("overdue", counters.overdue) +
-           figure("waits", counters.waits) + " closed=" + closed_text(counters);
+    return counter_text("accepted", counters.accepted) +
+           counter_text("malformed_messages", counters.malformed) +
+           counter_text("evicted", counters.evicted) + counter_text("overdue", counters.overdue) +
+           counter_text("waits", counters.waits) + " closed=" + closed_by_reason_text(counters);
 }
 
 std::string pool_text(const ConnectionPool& pool) {
-    return figure("opened", pool.opened) + figure("no_connection", pool.refused) +
-           figure("local_failures", pool.local_failures) + figure("rewritten", pool.rewritten) +
-           figure("broken", pool.broken) + figure("malformed_responses", pool.malformed_responses) +
-           figure("discarded", pool.discarded) + figure("unsolicited", pool.unsolicited);
+    return counter_text("opened", pool.opened) + counter_text("no_connection", pool.refused) +
+           counter_text("local_failures", pool.local_failures) + counter_text("rewritten", pool.rewritten) +
+           counter_text("broken", pool.broken) +
+           counter_text("malformed_responses", pool.malformed_responses) +
+           counter_text("discarded", pool.discarded) + counter_text("unsolicited", pool.unsolicited);
 }
 
 }  // namespace
@@ -72,14 +74,14 @@
         in_flight += engine.in_flight;
     const std::string ended = sources.requests.counters().text();
     return "requests=" + std::to_string(sources.requests.active_requests()) +
-           figure("clients", sources.clients.connections()) + " " + sources.endpoints.list_text() +
+           counter_text("clients", sources.clients.connections()) + " " + sources.endpoints.list_text() +
            " engines(policy/sockets/connections)=" + engines_text(sources.endpoints) +
            (ended.empty() ? "" : " " + ended) + clients_text(sources.clients.counters()) +
            " attempts=" + sources.attempts.counters_text() + pool_text(sources.endpoints.pool()) +
-           figure("bad_lists", sources.bad_lists) +
-           (sources.log_lines_lost ? figure("log_lost", *sources.log_lines_lost) : "") +
-           figure("connections", sources.endpoints.pool().open_connections) +
-           figure("attempts_in_flight", in_flight) + figure("timers", sources.timers) +
+           counter_text("bad_lists", sources.bad_lists) +
+           (sources.log_lines_lost ? counter_text("log_lost", *sources.log_lines_lost) : "") +
+           counter_text("connections", sources.endpoints.pool().open_connections) +
+           counter_text("attempts_in_flight", in_flight) + counter_text("timers", sources.timers) +
            " violations=" + sources.violations.text();
 }
 
--- a/tests/node/attempt_dispatcher_test.cpp
+++ b/tests/node/attempt_dispatcher_test.cpp
@@ -12,25 +12,25 @@
         settings.policy.can_cancel = may_cancel;
         node.reset(), clients.clear(), settings.known_endpoints.clear();
         settings.listen = listen_address("");
-        HeldEngine held;
+        NonAcceptingEngine held;
         ASSERT_TRUE(run_until([&] {
-            return held.full();
+            return held.backlog_full();
         }));
         publish_endpoint("s-held", held.address);
         start();
-        auto& leaves = add_client();
-        const auto left = make_request(), after = make_request();
-        request_waits(leaves, left);
-        leaves.give_up(1);
+        auto& cancelling = add_client();
+        const auto cancelled = make_request(), after = make_request();
+        send_waiting_request(cancelling, cancelled);
+        cancelling.give_up(1);
         ASSERT_TRUE(run_until([&] {
             return node->active_requests() == 0;
         }));
         // The first request that the engine receives is a later one on the same connection.
-        auto& stays = add_client();
-        request_waits(stays, after);
-        const std::string said = said_once_up(held, 60);
-        EXPECT_EQ(said.find(left.trace), std::string::npos) << said;
-        EXPECT_NE(said.find(after.trace), std::string::npos) << said;
+        auto& other = add_client();
+        send_waiting_request(other, after);
+        const std::string received = receive_once_connected(held, 60);
+        EXPECT_EQ(received.find(cancelled.trace), std::string::npos) << received;
+        EXPECT_NE(received.find(after.trace), std::string::npos) << received;
         node.reset(), name_service.remove("s-held"), name_service.close("n0");
     }
 }
@@ -38,53 +38,53 @@
 TEST_F(EventOrderTest, DoesNotSendRequestCancelledInTheSameTurn) {
     auto& e = add_engine("s-1");
     start();
-    const auto left = make_request(), gone = make_request();
+    const auto cancelled = make_request(), disconnected = make_request();
     auto& c = add_client();
-    c.raw(call(left, 1) + thrift::give_up_call(2, 1));
+    c.raw(encode_call(cancelled, 1) + thrift::give_up_call(2, 1));
     {
-        RawSocket leaves;
-        leaves.connect(settings.listen);
+        RawSocket cancelling;
+        cancelling.connect(settings.listen);
         ASSERT_TRUE(run_until([&] {
-            return leaves.connected();
+            return cancelling.connected();
         }));
-        leaves.send(call(gone, 1));
+        cancelling.send(encode_call(disconnected, 1));
     }  // its destructor disconnects right after the request
-    auto& stays = add_client();
-    const auto seq = stays.ask(make_request());
+    auto& other = add_client();
+    const auto seq = other.ask(make_request());
     ASSERT_TRUE(run_until([&] {
-        return stays.open() == 0 && node->active_requests() == 0;
+        return other.open() == 0 && node->active_requests() == 0;
     }));
-    EXPECT_EQ(stays.got().at(seq).how, "served");
+    EXPECT_EQ(other.got().at(seq).how, "served");
     for (const auto& r : records.engines)
-        for (const auto& a : {left, gone})
+        for (const auto& a : {cancelled, disconnected})
             EXPECT_NE(r.entry.trace, a.trace) << r.entry.event;
     EXPECT_TRUE(e.commands.empty()) << e.commands[0];
     expect_no_violations();
 }
 
-std::int64_t passed_on_ms(const std::string& said) {
-    const auto at = said.find("ms=");
-    return at == std::string::npos ? -1 : std::stoll(said.substr(at + 3));
+std::int64_t sent_time_left_ms(const std::string& received) {
+    const auto at = received.find("ms=");
+    return at == std::string::npos ? -1 : std::stoll(received.substr(at + 3));
 }
 
 TEST_F(EventOrderTest, DeductsConnectTimeFromTheTimeLeftSentToTheEngine) {
-    HeldEngine held;
+    NonAcceptingEngine held;
     ASSERT_TRUE(run_until([&] {
-        return held.full();
+        return held.backlog_full();
     }));
     publish_endpoint("s-held", held.address);
     start();
     auto& c = add_client();
     const auto a = make_request();
     const Micros asked = loop.now();
-    request_waits(c, a);
+    send_waiting_request(c, a);
     ASSERT_TRUE(run_until([&] {
         return loop.now() - asked > 800 * kMillisecond;
     }));
-    const std::string said = said_once_up(held, 60);
-    const Micros left = asked + a.patience - loop.now();
-    ASSERT_GT(passed_on_ms(said), 0) << said;
-    EXPECT_LE(passed_on_ms(said), left / kMillisecond + 150) << said;
+    const std::string received = receive_once_connected(held, 60);
+    const Micros time_left = asked + a.patience - loop.now();
+    ASSERT_GT(sent_time_left_ms(received), 0) << received;
+    EXPECT_LE(sent_time_left_ms(received), time_left / kMillisecond + 150) << received;
 }
 
 // An engine that reads nothing, and so acknowledges little: most of a large request stays in this machine's
@@ -94,10 +94,10 @@
     UnacknowledgedRequest() {
         settings.policy.can_cancel = false;
         settings.policy.drain_grace = 300 * kMillisecond;
-        raw.receive_little();
+        raw.shrink_receive_buffer();
         address = raw.listen(16);
     }
-    void begin_one() {
+    void start_request() {
         publish_endpoint("s-raw", address);
         start();
         auto a = make_request("load");
@@ -112,18 +112,18 @@
         began = loop.now();
     }
     // The peer does not read until the node has discarded the bytes, so they can't arrive.
-    void expect_discarded_by(Micros longest) {
+    void expect_discarded_by(Micros max_wait) {
         ASSERT_TRUE(run_until(
             [&] {
                 return node->status().find("discarded=1") != std::string::npos;
             },
-            longest))
+            max_wait))
             << node->status();
         ASSERT_TRUE(run_until([&] {
             return !peer->read();
         }));
         EXPECT_TRUE(peer->reset);
-        EXPECT_LT(peer->got.size(), 20'000u);
+        EXPECT_LT(peer->received.size(), 20'000u);
     }
     RawSocket raw;
     net::Address address;
@@ -133,11 +133,11 @@
 };
 
 TEST_F(UnacknowledgedRequest, IsDiscardedBeforeTheDrainGraceEnds) {
-    begin_one();
+    start_request();
     add_engine("s-2");
     publish_endpoint("s-raw", address, true);
     ASSERT_TRUE(run_until([&] {
-        return log.find("engine s-raw drains") != std::string::npos;
+        return log.find("engine s-raw is draining") != std::string::npos;
     }));
     expect_discarded_by(settings.policy.drain_grace + 50 * kMillisecond);
     auto& c = *clients.back();
@@ -149,7 +149,7 @@
 }
 
 TEST_F(UnacknowledgedRequest, IsDiscardedWhenItsClientCancels) {
-    begin_one();
+    start_request();
     clients.back()->give_up(seq);
     expect_discarded_by(100 * kMillisecond);
     ASSERT_TRUE(run_until([&] {
@@ -160,15 +160,15 @@
 // A non-idempotent request is retried if its first attempt was withdrawn before it was written.
 TEST_F(EventOrderTest, RetriesNonIdempotentRequestThatWasNeverSent) {
     settings.policy.classes[1].idempotency = Idempotency::non_idempotent;
-    HeldEngine held;
+    NonAcceptingEngine held;
     ASSERT_TRUE(run_until([&] {
-        return held.full();
+        return held.backlog_full();
     }));
     publish_endpoint("s-held", held.address);
     start();
     auto& c = add_client();
     const auto a = make_request("load");
-    request_waits(c, a);
+    send_waiting_request(c, a);
     // The engine begins to drain: the waiting request is withdrawn and sent to a newly listed engine.
     add_engine("s-2");
     publish_endpoint("s-held", held.address, true);
@@ -183,9 +183,9 @@
 // is established only after the key window.
 TEST_F(EventOrderTest, WithdrawsRetryThatWaitsBeyondItsKeyWindow) {
     settings.policy.classes[1].key_window = 1'500 * kMillisecond;
-    HeldEngine held;
+    NonAcceptingEngine held;
     ASSERT_TRUE(run_until([&] {
-        return held.full();
+        return held.backlog_full();
     }));
     auto& first = add_engine("s-1");
     first.set({.silent = 1});
@@ -209,12 +209,12 @@
     }));
     EXPECT_EQ(c.got().at(1).how, "refused");  // a client's retry with the key is recognized by any engine
     EXPECT_NE(node->status().find("s-held:0/0/1"), std::string::npos) << node->status();
-    auto& stays = add_client();
+    auto& other = add_client();
     const auto after = make_request();
-    request_waits(stays, after);
-    const std::string said = said_once_up(held, 60);
-    EXPECT_EQ(said.find(a.trace), std::string::npos) << said;
-    EXPECT_NE(said.find(after.trace), std::string::npos) << said;
+    send_waiting_request(other, after);
+    const std::string received = receive_once_connected(held, 60);
+    EXPECT_EQ(received.find(a.trace), std::string::npos) << received;
+    EXPECT_NE(received.find(after.trace), std::string::npos) << received;
 }
 
 }  // namespace
--- a/tests/node/client_sessions_test.cpp
+++ b/tests/node/client_sessions_test.cpp
@@ -22,7 +22,7 @@
     for (int i = 1; i <= 80; ++i)
         many += thrift::give_up_call(i, 1);
     const auto a = make_request();
-    many += call(a, 81);
+    many += encode_call(a, 81);
     loop.after(0, [&] {
         c.send(many);
         const timespec stall{0, 200'000'000};
@@ -38,8 +38,9 @@
 TEST_F(EventOrderTest, IdleClientsInAFullTableDoNotDelayNewClients) {
     add_engine("s-1");
     start();
-    const std::size_t table = decide::derive_limits(settings.sockets, settings.memory_mb).client_connections;
-    const auto comes = [&] {
+    const std::size_t table_size =
+        decide::derive_limits(settings.sockets, settings.memory_mb).client_connections;
+    const auto serve_new_client = [&] {
         auto& c = add_client();
         c.ask(make_request("lookup", 1));
         ASSERT_TRUE(run_until([&] {
@@ -48,23 +49,23 @@
         ASSERT_EQ(c.got().size(), 1u) << node->status();
         ASSERT_EQ(c.got().at(1).how, "served");
     };
-    const auto clients_now = [&] {
+    const auto connected_clients = [&] {
         return std::stoul(node->status().substr(node->status().find("clients=") + 8));
     };
-    while (clients_now() + 1 < table - table / 8)
-        comes();
+    while (connected_clients() + 1 < table_size - table_size / 8)
+        serve_new_client();
     const Micros full = loop.now();
     ASSERT_TRUE(run_until([&] {
         return loop.now() > full + decide::ClientTimeouts{}.next_request_grace;
     }));
     // All clients have sent one request and stay connected. A silent connection before each new client must
     // not delay it.
-    for (std::size_t i = 0; i < table / 4; ++i) {
+    for (std::size_t i = 0; i < table_size / 4; ++i) {
         add_client();
-        comes();
+        serve_new_client();
     }
     EXPECT_NE(node->status().find("waits=0"), std::string::npos) << node->status();
-    EXPECT_LE(clients_now(), table);
+    EXPECT_LE(connected_clients(), table_size);
     expect_no_violations();
 }
 
@@ -73,15 +74,16 @@
     settings.sockets = 64;
     add_engine("s-1");
     start();
-    const std::size_t table = decide::derive_limits(settings.sockets, settings.memory_mb).client_connections;
-    RawSocket rests;
-    rests.connect(settings.listen);
+    const std::size_t table_size =
+        decide::derive_limits(settings.sockets, settings.memory_mb).client_connections;
+    RawSocket idle;
+    idle.connect(settings.listen);
     ASSERT_TRUE(run_until([&] {
-        return rests.connected();
+        return idle.connected();
     }));
-    rests.send(call(make_request("lookup", 1), 1));
+    idle.send(encode_call(make_request("lookup", 1), 1));
     ASSERT_TRUE(run_until([&] {
-        return rests.read() && !rests.got.empty();
+        return idle.read() && !idle.received.empty();
     }));
     const Micros full = loop.now();
     ASSERT_TRUE(run_until([&] {
@@ -90,16 +92,16 @@
     // The listen backlog holds enough connections to fill the table when the idle client sends its request:
     // they are accepted in one turn, before or after the request is read.
     std::vector<std::unique_ptr<RawSocket>> many;
-    for (std::size_t i = 0; i < table; ++i) {
+    for (std::size_t i = 0; i < table_size; ++i) {
         many.push_back(std::make_unique<RawSocket>());
         many.back()->connect(settings.listen);
     }
-    rests.got.clear();
-    rests.send(call(make_request("lookup", 1), 2));
+    idle.received.clear();
+    idle.send(encode_call(make_request("lookup", 1), 2));
     ASSERT_TRUE(run_until([&] {
-        return !rests.read() || !rests.got.empty();
+        return !idle.read() || !idle.received.empty();
     }));
-    EXPECT_NE(rests.got.find("row 2"), std::string::npos) << node->status();
+    EXPECT_NE(idle.received.find("row 2"), std::string::npos) << node->status();
     expect_no_violations();
 }
 
@@ -112,14 +114,14 @@
         return c.connected();
     }));
     const auto slow = make_request("lookup", 2'600), half = make_request();
-    const std::string second = call(half, 2);
-    c.send(call(slow, 1) + second.substr(0, 30));
+    const std::string second = encode_call(half, 2);
+    c.send(encode_call(slow, 1) + second.substr(0, 30));
     // The time limit of the partial request passes while the first request is in flight: its response must
     // arrive before the limit is enforced.
     ASSERT_TRUE(run_until([&] {
-        return !c.read() || c.got.find("row 2") != std::string::npos;
+        return !c.read() || c.received.find("row 2") != std::string::npos;
     }));
-    ASSERT_NE(c.got.find("row 2"), std::string::npos) << "closed: " << node->status();
+    ASSERT_NE(c.received.find("row 2"), std::string::npos) << "closed: " << node->status();
     expect_no_violations();
 }
 
@@ -139,7 +141,7 @@
     std::string rest = first.substr(10);
     for (int i = 2; i <= 40; ++i)
         rest += thrift::give_up_call(i, 1);
-    rest += call(make_request("lookup", 1), 41);
+    rest += encode_call(make_request("lookup", 1), 41);
     const Micros limit = decide::ClientTimeouts{}.partial_request_timeout;
     ASSERT_TRUE(run_until([&] {
         return loop.now() - half > limit - 50 * kMillisecond;
@@ -154,9 +156,9 @@
         c.send(rest);
     });
     ASSERT_TRUE(run_until([&] {
-        return !c.read() || c.got.find("row 2") != std::string::npos;
+        return !c.read() || c.received.find("row 2") != std::string::npos;
     }));
-    EXPECT_NE(c.got.find("row 2"), std::string::npos) << "closed without an answer: " << node->status();
+    EXPECT_NE(c.received.find("row 2"), std::string::npos) << "closed without a response: " << node->status();
     expect_no_violations();
 }
 
--- a/tests/node/config_test.cpp
+++ b/tests/node/config_test.cpp
@@ -8,7 +8,7 @@
 namespace gatetiller::node {
 namespace {
 
-nlohmann::json good() {
+nlohmann::json valid_config() {
     return nlohmann::json::parse(R"({"name":"n3","listen":"127.0.0.4:5050","seed":"8c1f30d27a5be964",
         "limits":{"cores":0.5,"memory_mb":32,"sockets":256},"dns":"127.2.0.1:1053",
         "known":{"offset":3,"batch":[
@@ -23,7 +23,7 @@
 }
 
 TEST(NodeConfig, MergesInitialEventsIntoOneList) {
-    const auto s = read_config(good().dump());
+    const auto s = read_config(valid_config().dump());
     ASSERT_TRUE(s) << s.error();
     EXPECT_EQ(s->seed, 0x8c1f30d27a5be964u);
     EXPECT_EQ(s->known_serial, 3u);
@@ -37,7 +37,7 @@
 
 TEST(NodeConfig, ErrorsNameTheInvalidMember) {
     const auto error = [](const char* pointer, const nlohmann::json& value) {
-        auto json = good();
+        auto json = valid_config();
         json[nlohmann::json::json_pointer(pointer)] = value;
         const auto s = read_config(json.dump());
         return s ? std::string("fine") : s.error();
@@ -59,7 +59,7 @@
         EXPECT_NE(error(pointer, value).find(name), std::string::npos)
             << pointer << ": " << error(pointer, value);
     }
-    auto lacking = good();
+    auto lacking = valid_config();
     lacking.erase("dns");
     EXPECT_NE(read_config(lacking.dump()).error().find("dns is missing"), std::string::npos);
     EXPECT_FALSE(read_config("{"));
--- a/tests/node/crossing_rig.hpp
+++ b/tests/node/crossing_rig.hpp
@@ -14,7 +14,7 @@
     }
 
     // Returns the bytes of a client's request.
-    std::string call(const lab::PlatformClient::Ask& a, std::int32_t seq) const {
+    std::string encode_call(const lab::PlatformClient::Ask& a, std::int32_t seq) const {
         thrift::Fields f{{"route", a.cls},
                          {"trace", a.trace},
                          {"customer", a.tenant},
@@ -24,48 +24,49 @@
         return thrift::process_call(seq, f, a.sql);
     }
     // Lets the node's connection to a held engine be established, and returns the first bytes received on it,
-    // at least `least`.
-    std::string said_once_up(HeldEngine& held, std::size_t least) {
-        held.let_in();
-        std::unique_ptr<RawSocket> up;
+    // at least `min_bytes`.
+    std::string receive_once_connected(NonAcceptingEngine& held, std::size_t min_bytes) {
+        held.free_backlog();
+        std::unique_ptr<RawSocket> connection;
         EXPECT_TRUE(run_until([&] {
-            return (up = held.accept()) != nullptr;
+            return (connection = held.accept()) != nullptr;
         }));
         EXPECT_TRUE(run_until([&] {
-            return !up->read() || up->got.size() >= least;
+            return !connection->read() || connection->received.size() >= min_bytes;
         }));
-        return up->got;
+        return connection->received;
     }
-    // Begins a planned restart with more clients than the table has slots, each with a request of `work_ms`.
+    // Begins a planned restart with more clients than the table has slots, each with a request of
+    // `work_ms`.
     void expect_shutdown_with_full_table_responds_to_all(int work_ms) {
         settings.sockets = 16;
         add_engine("s-1");
         start();
-        const std::size_t table =
+        const std::size_t table_size =
             decide::derive_limits(settings.sockets, settings.memory_mb).client_connections;
-        std::vector<lab::PlatformClient*> busy;
-        for (std::size_t i = 0; i < table + 3; ++i) {
-            busy.push_back(&add_client());
-            busy.back()->ask(make_request("lookup", work_ms));
+        std::vector<lab::PlatformClient*> busy_clients;
+        for (std::size_t i = 0; i < table_size + 3; ++i) {
+            busy_clients.push_back(&add_client());
+            busy_clients.back()->ask(make_request("lookup", work_ms));
         }
         ASSERT_TRUE(run_until([&] {
             return node->status().find("waits=0") == std::string::npos;
         })) << node->status();
-        bool over = false;
+        bool drained = false;
         node->drain([&] {
-            over = true;
+            drained = true;
         });
         ASSERT_TRUE(run_until([&] {
-            return over;
+            return drained;
         }));
-        for (const auto* c : busy) {
+        for (const auto* c : busy_clients) {
             EXPECT_EQ(c->open(), 0u);
-            EXPECT_TRUE(c->got().contains(1)) << "ended without an answer";
+            EXPECT_TRUE(c->got().contains(1)) << "ended without a response";
         }
         expect_no_violations();
     }
     // Sends a request that waits for its connection to the only engine, which is held.
-    void request_waits(lab::PlatformClient& c, const lab::PlatformClient::Ask& a) {
+    void send_waiting_request(lab::PlatformClient& c, const lab::PlatformClient::Ask& a) {
         c.ask(a);
         ASSERT_TRUE(run_until([&] {
             return node->status().find("s-held:1/1/1") != std::string::npos;
--- a/tests/node/discovery_test.cpp
+++ b/tests/node/discovery_test.cpp
@@ -10,12 +10,12 @@
 
 class DiscoveryTest : public VirtualNodeTest {
 protected:
-    bool receives_endpoint(const std::string& name, Micros longest) {
+    bool receives_endpoint(const std::string& name, Micros max_wait) {
         return run_until(
             [&] {
                 return node->status().find(name) != std::string::npos;
             },
-            longest);
+            max_wait);
     }
 };
 
@@ -28,7 +28,7 @@
         const std::string name = "s-new-" + std::to_string(seconds);
         publish_endpoint(name, listen_address("127.1.9." + std::to_string(seconds) + ":5050"));
         EXPECT_TRUE(receives_endpoint(name, (2 * seconds + 3) * kSecondMicros))
-            << "answers that take " << seconds << " s";
+            << "responses that take " << seconds << " s";
     }
 }
 
@@ -145,7 +145,7 @@
         publish_endpoint(name, listen_address("127.1.9." + std::to_string(i + 1) + ":5050"));
         EXPECT_TRUE(run_until(
             [&] {
-                return log.find("engine " + name + " is on") != std::string::npos;
+                return log.find("engine " + name + " is ready") != std::string::npos;
             },
             1'500 * kMillisecond));
         advance_time(700 * kMillisecond);
@@ -157,12 +157,12 @@
 protected:
     void SetUp() override {
         start_with_long_list();
-        const auto asker = loop.datagrams(listen_address("127.2.0.8:1053"),
-                                          [this](const net::Address&, std::string_view bytes) {
-                                              first = second = bytes;
-                                          });
-        ASSERT_TRUE(asker) << asker.error();
-        (*asker)->send(settings.dns, dns::srv_question(1, "_work._tcp.fleet.local"));
+        const auto poller = loop.datagrams(listen_address("127.2.0.8:1053"),
+                                           [this](const net::Address&, std::string_view bytes) {
+                                               first = second = bytes;
+                                           });
+        ASSERT_TRUE(poller) << poller.error();
+        (*poller)->send(settings.dns, dns::srv_question(1, "_work._tcp.fleet.local"));
         ASSERT_TRUE(run_until([&] {
             return !first.empty();
         }));
@@ -171,28 +171,28 @@
     }
     // Returns the processor time, in seconds, in which a new source handles this many responses.
     double cpu_seconds(std::size_t answers, bool in_turn) {
-        std::size_t said = 0, heard = 0;
+        std::size_t sent = 0, received = 0;
         net::Datagrams* answering = nullptr;
         const auto service = loop.datagrams(
             listen_address("127.2.0.9:1053"), [&](const net::Address& from, std::string_view question) {
-                std::string answer = in_turn && ++said % 2 == 0 ? second : first;
+                std::string answer = in_turn && ++sent % 2 == 0 ? second : first;
                 answering->send(from, answer.replace(0, 2, question.substr(0, 2)));
             });
         EXPECT_TRUE(service) << service.error();
         answering = service->get();
         discovery::DnsEndpointSource source(loop, "_work._tcp.fleet.local", 5, {},
                                             {[&](const auto&) {
-                                                 ++heard;
+                                                 ++received;
                                              },
                                              [&](std::uint32_t) {
-                                                 return ++heard, true;
+                                                 return ++received, true;
                                              },
                                              [](const std::string&) {}});
         EXPECT_TRUE(source.start(listen_address("127.2.0.8:0"), answering->address()));
         const std::clock_t before = std::clock();
         EXPECT_TRUE(run_until(
             [&] {
-                return heard >= answers;
+                return received >= answers;
             },
             600 * kSecondMicros));
         return static_cast<double>(std::clock() - before) / CLOCKS_PER_SEC;
--- a/tests/node/engine_connections_test.cpp
+++ b/tests/node/engine_connections_test.cpp
@@ -13,14 +13,14 @@
 namespace gatetiller::testing {
 namespace {
 
-using How = decide::ExchangeResult::Status;
+using Status = decide::ExchangeResult::Status;
 
-struct Ends final : node::Exchange::Events {
+struct RecordedEvents final : node::Exchange::Events {
     void on_progress(ProgressKind, double) override {}
     void on_end(decide::ExchangeResult e) override {
-        how = e.status, why = e.detail;
+        status = e.status, detail = e.detail;
     }
-    std::string why;
+    std::string detail;
     std::optional<node::Exchange::Request> current_request() override {
         return node::Exchange::Request{"-", body};
     }
@@ -28,7 +28,7 @@
         return allowed;
     }
     bool allowed = true;
-    std::optional<How> how;
+    std::optional<Status> status;
     std::string body = std::string(40'000, 'x');
 };
 
@@ -49,14 +49,15 @@
 class NonReadingEngine : public ::testing::Test {
 protected:
     void SetUp() override {
-        raw.receive_little();
+        raw.shrink_receive_buffer();
         const auto address = raw.listen(16);
         decide::ConnectionLimits limits{.max_connections = 1, .max_streams = 10'000};
         pool.max_connections = 1;
-        link = std::make_unique<node::EngineConnections>(loop, address, limits, pool);
+        connections = std::make_unique<node::EngineConnections>(loop, address, limits, pool);
         for (int i = 0; i < 300; ++i) {
-            ends.push_back(std::make_unique<Ends>());
-            exchanges.push_back(link->send_request(permit(), "id-" + std::to_string(i) + ".", *ends.back()));
+            events.push_back(std::make_unique<RecordedEvents>());
+            exchanges.push_back(
+                connections->send_request(permit(), "id-" + std::to_string(i) + ".", *events.back()));
         }
         ASSERT_TRUE(await(loop, [&] {
             return (peer = raw.accept()) != nullptr;
@@ -68,9 +69,9 @@
     RawSocket raw;
     std::unique_ptr<RawSocket> peer;
     node::ConnectionPool pool;
-    std::vector<std::unique_ptr<Ends>> ends;
+    std::vector<std::unique_ptr<RecordedEvents>> events;
     std::vector<std::unique_ptr<node::Exchange>> exchanges;
-    std::unique_ptr<node::EngineConnections> link;
+    std::unique_ptr<node::EngineConnections> connections;
 };
 
 TEST_F(NonReadingEngine, WithdrawsWaitingRequestsWithoutSendingAnything) {
@@ -81,12 +82,12 @@
     exchanges[297]->set_priority(2);
     ASSERT_TRUE(await(loop, [&] {
         peer->read();
-        return peer->got.find("bump") != std::string::npos;
+        return peer->received.find("bump") != std::string::npos;
     }));
-    EXPECT_NE(peer->got.find("id-297."), std::string::npos);
-    EXPECT_EQ(peer->got.find("id-298."), std::string::npos);
-    EXPECT_EQ(peer->got.find("id-299."), std::string::npos);
-    EXPECT_EQ(peer->got.find("undo"), std::string::npos);
+    EXPECT_NE(peer->received.find("id-297."), std::string::npos);
+    EXPECT_EQ(peer->received.find("id-298."), std::string::npos);
+    EXPECT_EQ(peer->received.find("id-299."), std::string::npos);
+    EXPECT_EQ(peer->received.find("undo"), std::string::npos);
 }
 
 // The rest of a request cancelled while partly sent must not follow: its attempt would begin long after its
@@ -98,7 +99,7 @@
             e.reset();
     ASSERT_TRUE(await(loop, [&] {
         const bool open = peer->read();
-        return !open || link->size() == 0;
+        return !open || connections->size() == 0;
     }));
     for (int i = 0; i < 50; ++i)
         loop.turn(kMillisecond);
@@ -106,12 +107,12 @@
     // Complete requests were written before the cancellation; only the end of the data may be a partial one.
     std::vector<std::string_view> words;
     std::size_t size = 0;
-    std::string_view rest = peer->got;
+    std::string_view rest = peer->received;
     while (resp::read_array(rest, {4, 64 * 1024}, words, size) == resp::Reading::whole)
         rest.remove_prefix(size);
     EXPECT_EQ(rest.find("undo"), std::string_view::npos);
-    EXPECT_EQ(rest.find("\r\n*"), std::string_view::npos) << "something followed a request cut in its middle";
-    EXPECT_EQ(link->size(), 0u);
+    EXPECT_EQ(rest.find("\r\n*"), std::string_view::npos) << "bytes followed a partly sent request";
+    EXPECT_EQ(connections->size(), 0u);
 }
 
 // Bytes of cancelled requests that the kernel still holds, because the engine has not acknowledged them,
@@ -121,13 +122,13 @@
     for (auto& e : exchanges)
         e.reset();
     ASSERT_TRUE(await(loop, [&] {
-        return link->size() == 0;
+        return connections->size() == 0;
     }));
     ASSERT_TRUE(await(loop, [&] {
         return !peer->read();
     }));
     EXPECT_TRUE(peer->reset);
-    EXPECT_LT(peer->got.size(), 200'000u) << "more than its own buffer had taken";
+    EXPECT_LT(peer->received.size(), 200'000u) << "more than fits into the engine's receive buffer";
 }
 
 // The permit of a request is checked when its first byte is written to the kernel, however recently the
@@ -136,10 +137,11 @@
     net::PollLoop loop;
     RawSocket raw;
     node::ConnectionPool pool;
-    node::EngineConnections link(loop, raw.listen(16), {.max_connections = 1, .max_streams = 10}, pool);
-    Ends first, second;
-    const auto a = link.send_request(permit(), "id-a.", first),
-               b = link.send_request(permit(), "id-b.", second);
+    node::EngineConnections connections(loop, raw.listen(16), {.max_connections = 1, .max_streams = 10},
+                                        pool);
+    RecordedEvents first, second;
+    const auto a = connections.send_request(permit(), "id-a.", first),
+               b = connections.send_request(permit(), "id-b.", second);
     first.allowed = false;
     std::unique_ptr<RawSocket> peer;
     ASSERT_TRUE(await(loop, [&] {
@@ -147,16 +149,16 @@
     }));
     ASSERT_TRUE(await(loop, [&] {
         peer->read();
-        return first.how && peer->got.find("id-b.") != std::string::npos;
+        return first.status && peer->received.find("id-b.") != std::string::npos;
     }));
-    EXPECT_EQ(first.how, How::not_sent);
-    EXPECT_EQ(peer->got.find("id-a."), std::string::npos);
+    EXPECT_EQ(first.status, Status::not_sent);
+    EXPECT_EQ(peer->received.find("id-a."), std::string::npos);
 }
 
 // A request carries its time left at sending, also after waiting for an engine that reads nothing for a
 // while.
 TEST_F(NonReadingEngine, RewritesWaitingRequestsWhenTheyAreSent) {
-    for (const auto& e : ends)
+    for (const auto& e : events)
         e->body = std::string(40'000, 'y');
     const Micros since = loop.now();
     ASSERT_TRUE(await(loop, [&] {
@@ -164,56 +166,56 @@
     }));
     ASSERT_TRUE(await(loop, [&] {
         peer->read();
-        return ends.back()->how ||
-               (peer->got.find("id-299.") != std::string::npos && peer->got.ends_with("y\r\n"));
+        return events.back()->status ||
+               (peer->received.find("id-299.") != std::string::npos && peer->received.ends_with("y\r\n"));
     }));
-    if (ends.back()->how) {
+    if (events.back()->status) {
         // On this machine one request stayed partly sent for longer than allowed: the connection was reset,
         // and the last request is never sent.
-        EXPECT_EQ(ends.back()->why, "its first part had gone out too long ago");
-        EXPECT_EQ(ends.back()->how, How::not_sent);
+        EXPECT_EQ(events.back()->detail, "a request was partly sent for too long");
+        EXPECT_EQ(events.back()->status, Status::not_sent);
         EXPECT_GT(loop.now() - since, 120 * kMillisecond);
-        EXPECT_EQ(peer->got.find("id-299."), std::string::npos);
+        EXPECT_EQ(peer->received.find("id-299."), std::string::npos);
         return;
     }
     EXPECT_GT(pool.rewritten, 0u);
-    const auto last = peer->got.rfind("id-299.");
-    EXPECT_EQ(peer->got.find('x', last), std::string::npos);
+    const auto last = peer->received.rfind("id-299.");
+    EXPECT_EQ(peer->received.find('x', last), std::string::npos);
     // All requests arrive in order, each once.
     std::size_t at = 0;
     for (int i = 0; i < 300; ++i) {
         const std::string id = "id-" + std::to_string(i) + ".";
-        const auto found = peer->got.find(id, at);
+        const auto found = peer->received.find(id, at);
         ASSERT_NE(found, std::string::npos) << id;
         at = found + id.size();
-        EXPECT_EQ(peer->got.find(id, at), std::string::npos) << id << " twice";
+        EXPECT_EQ(peer->received.find(id, at), std::string::npos) << id << " twice";
     }
 }
 
 TEST_F(NonReadingEngine, ResetMarksWrittenRequestsLostAndUnsentRequestsNotSent) {
     peer->close();  // with unread bytes, so a reset
     ASSERT_TRUE(await(loop, [&] {
-        return std::all_of(ends.begin(), ends.end(), [](const auto& e) {
-            return e->how.has_value();
+        return std::all_of(events.begin(), events.end(), [](const auto& e) {
+            return e->status.has_value();
         });
     }));
-    EXPECT_EQ(ends.front()->how, How::connection_lost);
-    EXPECT_EQ(ends.back()->how, How::not_sent);
+    EXPECT_EQ(events.front()->status, Status::connection_lost);
+    EXPECT_EQ(events.back()->status, Status::not_sent);
     // In sending order: all requests that may have been executed before all that can't have been.
-    const auto first_unsent = std::find_if(ends.begin(), ends.end(), [](const auto& e) {
-        return e->how == How::not_sent;
+    const auto first_unsent = std::find_if(events.begin(), events.end(), [](const auto& e) {
+        return e->status == Status::not_sent;
     });
-    for (auto e = ends.begin(); e != ends.end(); ++e)
-        EXPECT_EQ((*e)->how, e < first_unsent ? How::connection_lost : How::not_sent);
+    for (auto e = events.begin(); e != events.end(); ++e)
+        EXPECT_EQ((*e)->status, e < first_unsent ? Status::connection_lost : Status::not_sent);
 }
 
 TEST_F(NonReadingEngine, MalformedResponseMarksUnsentRequestsNotSent) {
     peer->send("*1\r\n$-7\r\n");
     ASSERT_TRUE(await(loop, [&] {
-        return ends.back()->how.has_value();
+        return events.back()->status.has_value();
     }));
-    EXPECT_EQ(ends.front()->how, How::connection_lost);
-    EXPECT_EQ(ends.back()->how, How::not_sent);
+    EXPECT_EQ(events.front()->status, Status::connection_lost);
+    EXPECT_EQ(events.back()->status, Status::not_sent);
 }
 
 }  // namespace
--- a/tests/node/graceful_shutdown_test.cpp
+++ b/tests/node/graceful_shutdown_test.cpp
@@ -11,14 +11,14 @@
     add_engine("s-1");
     start();
     RawSocket c;
-    c.receive_little();
+    c.shrink_receive_buffer();
     c.connect(settings.listen);
     ASSERT_TRUE(run_until([&] {
         return c.connected();
     }));
     std::string all;
     for (int i = 1; i <= 32; ++i)
-        all += call(make_request("lookup", 1, 700), i);
+        all += encode_call(make_request("lookup", 1, 700), i);
     std::size_t sent = 0;
     ASSERT_TRUE(run_until([&] {
         if (sent < all.size()) {
@@ -27,28 +27,28 @@
         }
         return node->status().find("served=32") != std::string::npos;
     })) << node->status();
-    bool over = false;
+    bool drained = false;
     const Micros since = loop.now();
     node->drain([&] {
-        over = true;
+        drained = true;
     });
     const auto times = decide::derive_shutdown_schedule(settings.policy);
     ASSERT_TRUE(run_until([&] {
         return loop.now() - since > times.listen_until + 100 * kMillisecond;
     }));
-    EXPECT_FALSE(over) << "answers stood unsent";
+    EXPECT_FALSE(drained) << "drained with responses unsent";
     ASSERT_TRUE(run_until([&] {
         return !c.read();
     }));
     EXPECT_FALSE(c.reset);
     std::size_t answers = 0;
-    for (std::size_t at = c.got.find("row 699\n"); at != std::string::npos;
-         at = c.got.find("row 699\n", at + 1))
+    for (std::size_t at = c.received.find("row 699\n"); at != std::string::npos;
+         at = c.received.find("row 699\n", at + 1))
         ++answers;
     EXPECT_EQ(answers, 32u);
     c.close();
     ASSERT_TRUE(run_until([&] {
-        return over;
+        return drained;
     }));
     EXPECT_LT(loop.now() - since, times.exit_at);
 }
@@ -56,33 +56,33 @@
 TEST_F(EventOrderTest, DoesNotServeRequestThatCrossesTheCloseOfAnIdleConnection) {
     auto& e = add_engine("s-1");
     start();
-    RawSocket rests;
-    rests.connect(settings.listen);
+    RawSocket idle;
+    idle.connect(settings.listen);
     ASSERT_TRUE(run_until([&] {
-        return rests.connected();
+        return idle.connected();
     }));
-    rests.send(call(make_request("lookup", 1), 1));
+    idle.send(encode_call(make_request("lookup", 1), 1));
     ASSERT_TRUE(run_until([&] {
-        return rests.read() && !rests.got.empty();
+        return idle.read() && !idle.received.empty();
     }));
-    bool over = false;
+    bool drained = false;
     node->drain([&] {
-        over = true;
+        drained = true;
     });
     ASSERT_TRUE(run_until([&] {
-        return !rests.read();
+        return !idle.read();
     }));  // the idle connection is closed gracefully
-    EXPECT_FALSE(rests.reset);
-    const std::string before = rests.got;
+    EXPECT_FALSE(idle.reset);
+    const std::string before = idle.received;
     const auto crossing = make_request();
-    rests.send(call(crossing, 2));
+    idle.send(encode_call(crossing, 2));
     ASSERT_TRUE(run_until([&] {
-        return over;
+        return drained;
     }));
     for (const auto& r : records.engines)
         EXPECT_NE(r.entry.trace, crossing.trace);
-    rests.read();
-    EXPECT_EQ(rests.got, before);
+    idle.read();
+    EXPECT_EQ(idle.received, before);
     EXPECT_EQ(e.open(), 0u);
 }
 
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -6,7 +6,7 @@
 
 using Fields = thrift::Fields;
 
-bool told(const lab::PlatformEngine& e, const std::string& command) {
+bool received_command(const lab::PlatformEngine& e, const std::string& command) {
     return std::find(e.commands.begin(), e.commands.end(), command) != e.commands.end();
 }
 std::size_t count_with(const lab::Records& r, const std::string& event) {
@@ -46,7 +46,7 @@
     ASSERT_TRUE(run_until([&] {
         return node->active_requests() == 0;
     }));
-    EXPECT_TRUE(told(e, "undo " + a.trace));
+    EXPECT_TRUE(received_command(e, "undo " + a.trace));
     EXPECT_FALSE(c.got().contains(seq));
     expect_no_violations();
 }
@@ -118,8 +118,8 @@
     start();
     auto& c = add_client();
     int asked = 0;
-    const auto load = [&](Micros span) {
-        for (const Micros end = loop.now() + span; loop.now() < end; ++asked) {
+    const auto load = [&](Micros duration) {
+        for (const Micros end = loop.now() + duration; loop.now() < end; ++asked) {
             c.ask(make_request("lookup", 10));
             advance_time(50 * kMillisecond);
         }
@@ -142,8 +142,8 @@
     ASSERT_TRUE(run_until([&] {
         return c.open() == 0;
     }));
-    const auto j = check_rules();
-    EXPECT_GT(j.drains, 0u);
+    const auto report = check_rules();
+    EXPECT_GT(report.drains, 0u);
     expect_no_violations();
 }
 
@@ -199,10 +199,10 @@
         if (e.name == "s-1")
             e.state = EndpointState::draining;
     node->reload(moved);
-    EXPECT_NE(log.find("engine s-1 drains"), std::string::npos) << log;
+    EXPECT_NE(log.find("engine s-1 is draining"), std::string::npos) << log;
     // A configuration with an older list changes nothing.
     node->reload(settings);
-    EXPECT_EQ(log.find("engine s-1 is on"), std::string::npos) << log;
+    EXPECT_EQ(log.find("engine s-1 is ready"), std::string::npos) << log;
     EXPECT_NE(node->status().find("list=" + std::to_string(moved.known_serial)), std::string::npos);
 }
 
@@ -211,34 +211,34 @@
 TEST_F(VirtualNodeTest, RejectsOrClosesInvalidClientsWithoutReachingAnEngine) {
     add_engine("s-1");
     start();
-    auto whole = make_request();
+    auto valid_request = make_request();
     const auto frame = [](const Fields& fields, const std::string& body, std::int32_t seq) {
         return thrift::process_call(seq, fields, body);
     };
-    const Fields good{
+    const Fields valid_fields{
         {"route", "lookup"}, {"trace", "9b1f03aa5c7e2d41"}, {"customer", "acme"}, {"patience", "1500"}};
-    const auto but = [&](const std::string& name, const std::string& value) {
-        Fields f = good;
+    const auto with_field = [&](const std::string& name, const std::string& value) {
+        Fields f = valid_fields;
         if (value.empty())
             f.erase(name);
         else
             f[name] = value;
         return f;
     };
-    std::vector<std::string> bad{"GET / HTTP/1.1\r\n\r\n",
-                                 std::string(100, '\xff'),
-                                 std::string("\x7f\xff\xff\xff", 4) + std::string(200'000, 'x'),
-                                 std::string("\0\0\0\x04\0\0\0\0", 8),
-                                 frame(but("route", "nosuch"), "x", 1),
-                                 frame(but("customer", "nobody"), "x", 1),
-                                 frame(but("trace", ""), "x", 1),
-                                 frame(but("patience", "-1"), "x", 1),
-                                 frame(but("weight", "nan"), "x", 1),
-                                 frame(good, "", 1),
-                                 frame(good, std::string(40'000, 'x'), 1),
-                                 frame(good, "SELECT 1", 3).substr(0, 60),
-                                 ""};
-    for (const auto& bytes : bad) {
+    std::vector<std::string> invalid_messages{"GET / HTTP/1.1\r\n\r\n",
+                                              std::string(100, '\xff'),
+                                              std::string("\x7f\xff\xff\xff", 4) + std::string(200'000, 'x'),
+                                              std::string("\0\0\0\x04\0\0\0\0", 8),
+                                              frame(with_field("route", "nosuch"), "x", 1),
+                                              frame(with_field("customer", "nobody"), "x", 1),
+                                              frame(with_field("trace", ""), "x", 1),
+                                              frame(with_field("patience", "-1"), "x", 1),
+                                              frame(with_field("weight", "nan"), "x", 1),
+                                              frame(valid_fields, "", 1),
+                                              frame(valid_fields, std::string(40'000, 'x'), 1),
+                                              frame(valid_fields, "SELECT 1", 3).substr(0, 60),
+                                              ""};
+    for (const auto& bytes : invalid_messages) {
         auto& c = add_client();
         if (!bytes.empty())
             c.raw(bytes);
@@ -251,12 +251,12 @@
     }
     EXPECT_EQ(count_with(records, "arrived"), 0u);
     // Two requests with the same sequence number: a response could not be assigned to either.
-    auto& twice = add_client();
-    twice.raw(frame(good, "SELECT 1 /* gt: work_ms=3000 */", 1) +
-              frame(but("trace", "9b1f03aa5c7e2d42"), "SELECT 2", 1));
+    auto& reused = add_client();
+    reused.raw(frame(valid_fields, "SELECT 1 /* gt: work_ms=3000 */", 1) +
+               frame(with_field("trace", "9b1f03aa5c7e2d42"), "SELECT 2", 1));
     EXPECT_TRUE(run_until(
         [&] {
-            return twice.ended();
+            return reused.ended();
         },
         3 * kSecondMicros));
     // More open requests than the protocol allows.
@@ -265,7 +265,7 @@
     for (int i = 1; i <= 300; ++i) {
         char id[17];
         std::snprintf(id, sizeof id, "%016x", i);
-        all += frame(but("trace", id), "SELECT 1 /* gt: work_ms=3000 */", i);
+        all += frame(with_field("trace", id), "SELECT 1 /* gt: work_ms=3000 */", i);
     }
     many.raw(all);
     EXPECT_TRUE(run_until(
@@ -279,12 +279,12 @@
     // Hundreds of silent connections must not take capacity from clients with requests.
     for (int i = 0; i < 400; ++i)
         add_client();
-    auto& usual = add_client();
-    const auto seq = usual.ask(whole);
+    auto& regular = add_client();
+    const auto seq = regular.ask(valid_request);
     ASSERT_TRUE(run_until([&] {
-        return usual.open() == 0;
+        return regular.open() == 0;
     }));
-    EXPECT_EQ(usual.got().at(seq).how, "served");
+    EXPECT_EQ(regular.got().at(seq).how, "served");
     for (const auto& e : engines)
         EXPECT_TRUE(e->unusable().empty()) << e->unusable()[0];
 }
@@ -326,18 +326,18 @@
     add_engine("s-1");
     start();
     auto& c = add_client();
-    const auto other = c.ask(make_request("lookup", 300)), twice = c.ask(make_request("lookup", 300));
+    const auto other = c.ask(make_request("lookup", 300)), reused = c.ask(make_request("lookup", 300));
     ASSERT_TRUE(run_until([&] {
         return engines[0]->open() == 2;
     }));
-    c.raw(thrift::process_call(twice, {}, "SELECT 1"));
+    c.raw(thrift::process_call(reused, {}, "SELECT 1"));
     EXPECT_TRUE(run_until(
         [&] {
             return c.ended();
         },
         5 * kSecondMicros));
     EXPECT_EQ(c.exceptions(), 1u);
-    EXPECT_EQ(c.got().at(twice).how, "failed");
+    EXPECT_EQ(c.got().at(reused).how, "failed");
     ASSERT_TRUE(c.got().contains(other));
     EXPECT_EQ(c.got().at(other).how, "served");
     EXPECT_EQ(engines[0]->open(), 0u);
@@ -348,18 +348,18 @@
 TEST_F(VirtualNodeTest, FloodOfSilentClientsEvictsNoClientAboutToSend) {
     add_engine("s-1");
     start();
-    std::vector<lab::PlatformClient*> usual;
+    std::vector<lab::PlatformClient*> regular;
     for (int i = 0; i < 1500; ++i) {
         if (i % 300 == 299)
             advance_time(60 * kMillisecond);
         auto& c = add_client();
         if (i % 60 != 30)
             continue;
-        usual.push_back(&c);
+        regular.push_back(&c);
         c.ask(make_request());
     }
     ASSERT_TRUE(run_until([&] {
-        return std::all_of(usual.begin(), usual.end(), [](const auto* c) {
+        return std::all_of(regular.begin(), regular.end(), [](const auto* c) {
             return c->open() == 0;
         });
     }));
@@ -368,7 +368,7 @@
     const auto at = node->status().find("clients=") + 8;
     EXPECT_LE(std::stoul(node->status().substr(at)), decide::derive_limits(256, 32).client_connections + 1)
         << node->status();
-    for (const auto* c : usual)
+    for (const auto* c : regular)
         EXPECT_TRUE(c->got().contains(1) && c->got().at(1).how == "served");
     expect_no_violations();
 }
@@ -414,13 +414,13 @@
     auto& c = add_client();
     const auto quick = c.ask(make_request("lookup", 50)), slow = c.ask(make_request("load", 8'000));
     advance_time(10 * kMillisecond);
-    bool over = false;
+    bool drained = false;
     node->drain([&] {
-        over = true;
+        drained = true;
     });
     advance_time(300 * kMillisecond);
     auto& late = add_client();
-    const auto still = late.ask(make_request("lookup", 50));
+    const auto late_sequence = late.ask(make_request("lookup", 50));
     advance_time(500 * kMillisecond);
     // Idle connections are closed by now, so further requests arrive on new ones.
     EXPECT_TRUE(late.ended());
@@ -428,11 +428,11 @@
     const auto refused = last.ask(make_request("lookup", 50));
     ASSERT_TRUE(run_until(
         [&] {
-            return over;
+            return drained;
         },
         3'600 * kMillisecond));
     EXPECT_EQ(c.got().at(quick).how, "served");
-    EXPECT_EQ(late.got().at(still).how, "served");
+    EXPECT_EQ(late.got().at(late_sequence).how, "served");
     EXPECT_EQ(last.got().at(refused).how, "refused");
     EXPECT_EQ(c.got().at(slow).how,
               "refused");  // every engine recognizes its key, so its client may retry
@@ -448,13 +448,13 @@
     ASSERT_TRUE(run_until([&] {
         return e.open() == 1;
     }));
-    bool over = false;
+    bool drained = false;
     node->drain([&] {
-        over = true;
+        drained = true;
     });
     ASSERT_TRUE(run_until(
         [&] {
-            return over;
+            return drained;
         },
         4 * kSecondMicros));
     EXPECT_EQ(c.got().at(out).how, "failed");
--- a/tests/node/raw_socket.hpp
+++ b/tests/node/raw_socket.hpp
@@ -25,18 +25,18 @@
     }
     RawSocket(const RawSocket&) = delete;
     RawSocket& operator=(const RawSocket&) = delete;
-    static sockaddr_in kernel(const net::Address& to) {
+    static sockaddr_in to_sockaddr(const net::Address& to) {
         sockaddr_in in{};
         in.sin_family = AF_INET, in.sin_port = htons(to.port);
         inet_pton(AF_INET, to.host.c_str(), &in.sin_addr);
         return in;
     }
     void connect(const net::Address& to) {
-        auto in = kernel(to);
+        auto in = to_sockaddr(to);
         ::connect(fd_, reinterpret_cast<sockaddr*>(&in), sizeof in);
     }
     net::Address listen(int backlog) {
-        auto in = kernel(*net::Address::parse("127.0.0.1:0"));
+        auto in = to_sockaddr(*net::Address::parse("127.0.0.1:0"));
         EXPECT_EQ(::bind(fd_, reinterpret_cast<sockaddr*>(&in), sizeof in), 0);
         EXPECT_EQ(::listen(fd_, backlog), 0);
         socklen_t size = sizeof in;
@@ -54,21 +54,21 @@
     void send(std::string_view bytes) {
         EXPECT_EQ(::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL), static_cast<ssize_t>(bytes.size()));
     }
-    // Appends the available bytes to `got`. Returns false once the peer has closed the connection; `reset` is
-    // then whether by a reset.
+    // Appends the available bytes to `received`. Returns false once the peer has closed the connection;
+    // `reset` is then whether by a reset.
     bool read() {
-        char piece[65536];
+        char buffer[65536];
         for (;;) {
-            const ssize_t n = ::recv(fd_, piece, sizeof piece, 0);
+            const ssize_t n = ::recv(fd_, buffer, sizeof buffer, 0);
             if (n > 0) {
-                got.append(piece, static_cast<std::size_t>(n));
+                received.append(buffer, static_cast<std::size_t>(n));
                 continue;
             }
             reset = n < 0 && errno != EAGAIN;
             return n < 0 && errno == EAGAIN;
         }
     }
-    void receive_little() {
+    void shrink_receive_buffer() {
         const int size = 4096;
         setsockopt(fd_, SOL_SOCKET, SO_RCVBUF, &size, sizeof size);
     }
@@ -77,7 +77,7 @@
             ::close(std::exchange(fd_, -1));
     }
 
-    std::string got;
+    std::string received;
     bool reset = false;
 
 private:
@@ -85,15 +85,15 @@
 };
 
 // An engine whose machine accepts no connection until let_in(): connection attempts wait.
-class HeldEngine {
+class NonAcceptingEngine {
 public:
-    HeldEngine() : address(listener_.listen(0)) {
+    NonAcceptingEngine() : address(listener_.listen(0)) {
         filler_.connect(address);
     }
-    bool full() const {
+    bool backlog_full() const {
         return filler_.connected();
     }
-    void let_in() {
+    void free_backlog() {
         EXPECT_TRUE(listener_.accept());
     }
     std::unique_ptr<RawSocket> accept() {
--- a/tests/node/rig.hpp
+++ b/tests/node/rig.hpp
@@ -128,22 +128,22 @@
     }
     // Runs the loop until the condition holds. Returns false if it does not in time.
     template <typename C>
-    bool run_until(C condition, Micros longest = kMaxWait) {
+    bool run_until(C condition, Micros max_wait = kMaxWait) {
         if constexpr (kVirtual)
-            return loop.run(condition, longest);
+            return loop.run(condition, max_wait);
         else
-            return await(loop, condition, longest);
+            return await(loop, condition, max_wait);
     }
     // Advances the virtual time.
-    void advance_time(Micros span) {
+    void advance_time(Micros duration) {
         static_assert(kVirtual, "conditions are awaited on real sockets");
-        const Micros end = loop.now() + span;
-        loop.after(span, [] {});
+        const Micros end = loop.now() + duration;
+        loop.after(duration, [] {});
         loop.run(
             [&] {
                 return loop.now() >= end;
             },
-            span + 1);
+            duration + 1);
     }
     // Checks the rules on all traffic recorded so far.
     lab::Judgement check_rules() {
@@ -154,8 +154,8 @@
         return lab::judge(records);
     }
     void expect_no_violations() {
-        const auto j = check_rules();
-        for (const auto& v : j.violations)
+        const auto report = check_rules();
+        for (const auto& v : report.violations)
             ADD_FAILURE() << "rule " << v.rule << ": " << v.what << "\n" << v.story;
         for (const auto& e : engines)
             EXPECT_TRUE(e->unusable().empty()) << e->unusable()[0];
