--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -176,7 +176,7 @@
 
 void Node::reload(const NodeSettings& settings) {
     if (settings.dns != settings_.dns)
-        deps_.log("name service address changed to " + settings.dns.text());
+        deps_.log("name service address changed to " + settings.dns.text() + " by a reload");
     settings_.dns = settings.dns;
     discovery_.set_server(settings.dns);
     if (!settings.known_endpoints.empty())
