--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -49,7 +49,7 @@
         r.required({"aim", "deadline", "effect"});
         r.span("aim", c.latency_objective);
         r.span("deadline", c.deadline);
-        r.number("aim_stretch", c.objective_stretch, 0, 100);
+        r.number("aim_stretch", c.objective_run_factor, 0, 100);
         r.word<Idempotency>("effect", c.idempotency,
                             {{"repeatable", Idempotency::idempotent},
                              {"by_key", Idempotency::keyed},
--- a/src/core/policy_driver.hpp
+++ b/src/core/policy_driver.hpp
@@ -28,7 +28,7 @@
     void post(Event event);
     // The policy's current alpha; for metrics.
     double alpha() const {
-        return policy_.alpha();
+        return policy_.sensitive_share();
     }
 
 private:
--- a/src/lab/load.cpp
+++ b/src/lab/load.cpp
@@ -132,8 +132,8 @@
     const Micros deadline = settings ? settings->deadline : 10 * kSecondMicros;
     r->asked = loop_.now();
     r->aim = settings ? std::min(deadline, settings->latency_objective +
-                                               static_cast<Micros>(settings->objective_stretch * r->work_ms *
-                                                                   1000 / c.threads))
+                                               static_cast<Micros>(settings->objective_run_factor *
+                                                                   r->work_ms * 1000 / c.threads))
                       : deadline;
     double patience =
         static_cast<double>(deadline) * random_.uniform(traffic_.patience_low, traffic_.patience_high);
--- a/src/node/request_dispatcher.cpp
+++ b/src/node/request_dispatcher.cpp
@@ -114,12 +114,12 @@
     respond(request, thrift::answer("process", request.sequence, result.rows), RequestOutcome::served);
 }
 
-void RequestDispatcher::fail(ActiveRequest& request, std::optional<GiveUpReason> reason) {
+void RequestDispatcher::fail(ActiveRequest& request, std::optional<TerminationReason> reason) {
     respond(request, thrift::crashed(request.sequence, {}), RequestOutcome::failed, reason);
 }
 
 void RequestDispatcher::respond(ActiveRequest& request, std::string frame, RequestOutcome outcome,
-                                std::optional<GiveUpReason> reason) {
+                                std::optional<TerminationReason> reason) {
     if (!request.lifecycle.apply(decide::RequestEvent::response_ready))
         return;
     request.lifecycle.apply(decide::RequestEvent::response_delivered);
@@ -136,7 +136,7 @@
 }
 
 void RequestDispatcher::trace_response(const ActiveRequest& request, RequestOutcome outcome,
-                                       std::optional<GiveUpReason> reason) const {
+                                       std::optional<TerminationReason> reason) const {
     const std::string engine =
         request.attempts.empty() ? "-" : with_.endpoints.name_of(request.attempts.back()->engine);
     with_.deps.trace(request.name() + " " + name_of(outcome) +
--- a/src/node/request_dispatcher.hpp
+++ b/src/node/request_dispatcher.hpp
@@ -68,10 +68,10 @@
     void accept(AdmittedRequest admitted);
     void reject(ClientId client, std::int32_t sequence, RejectedRequest rejected);
     void respond(ActiveRequest& request, std::string frame, RequestOutcome outcome,
-                 std::optional<GiveUpReason> reason = std::nullopt);
-    void fail(ActiveRequest& request, std::optional<GiveUpReason> reason = std::nullopt);
+                 std::optional<TerminationReason> reason = std::nullopt);
+    void fail(ActiveRequest& request, std::optional<TerminationReason> reason = std::nullopt);
     void trace_response(const ActiveRequest& request, RequestOutcome outcome,
-                        std::optional<GiveUpReason> reason) const;
+                        std::optional<TerminationReason> reason) const;
 
     Collaborators with_;
     RequestTable requests_;
--- a/src/node/request_outcome.cpp
+++ b/src/node/request_outcome.cpp
@@ -24,23 +24,23 @@
     return "unknown";
 }
 
-const char* name_of(GiveUpReason reason) {
+const char* name_of(TerminationReason reason) {
     switch (reason) {
-        case GiveUpReason::deadline_unreachable:
+        case TerminationReason::deadline_unreachable:
             return "deadline_unreachable";
-        case GiveUpReason::objective_missed:
+        case TerminationReason::objective_missed:
             return "objective_missed";
-        case GiveUpReason::attempts_exhausted:
+        case TerminationReason::attempts_exhausted:
             return "attempts_exhausted";
     }
     return "unknown";
 }
 
-std::string name_of(RequestOutcome outcome, GiveUpReason reason) {
+std::string name_of(RequestOutcome outcome, TerminationReason reason) {
     return std::string(name_of(outcome)) + ":" + name_of(reason);
 }
 
-void RequestCounters::count(RequestOutcome outcome, std::optional<GiveUpReason> reason) {
+void RequestCounters::count(RequestOutcome outcome, std::optional<TerminationReason> reason) {
     ++counts_[{outcome, std::nullopt}];
     if (reason)
         ++counts_[{outcome, reason}];
--- a/src/node/request_outcome.hpp
+++ b/src/node/request_outcome.hpp
@@ -24,19 +24,19 @@
 
 // The names in logs and in the status line.
 const char* name_of(RequestOutcome outcome);
-const char* name_of(GiveUpReason reason);
+const char* name_of(TerminationReason reason);
 // Both, as in "shed:objective_missed".
-std::string name_of(RequestOutcome outcome, GiveUpReason reason);
+std::string name_of(RequestOutcome outcome, TerminationReason reason);
 
 class RequestCounters {
 public:
     // `reason`: the policy's, where it gave the request up.
-    void count(RequestOutcome outcome, std::optional<GiveUpReason> reason = std::nullopt);
+    void count(RequestOutcome outcome, std::optional<TerminationReason> reason = std::nullopt);
     // "served=3 shed=2 shed:objective_missed=1": those that came at all, parted by spaces.
     std::string text() const;
 
 private:
-    std::map<std::pair<RequestOutcome, std::optional<GiveUpReason>>, std::uint64_t> counts_;
+    std::map<std::pair<RequestOutcome, std::optional<TerminationReason>>, std::uint64_t> counts_;
 };
 
 }  // namespace gatetiller::node
--- a/src/platform/settings.cpp
+++ b/src/platform/settings.cpp
@@ -71,7 +71,7 @@
         const std::size_t index = s.classes.size();
         c.name = entry.at("name").get<std::string>();
         c.latency_objective = entry.at("aim_us").get<Micros>();
-        c.objective_stretch = value_or(entry, "aim_stretch", 0.0);
+        c.objective_run_factor = value_or(entry, "aim_stretch", 0.0);
         c.deadline = entry.at("deadline_us").get<Micros>();
         c.idempotency = named(kEffects, entry.at("effect").get<std::string>(), "effect");
         c.key_scope = named(kScopes, value_or<std::string>(entry, "key_scope", "cell"), "key_scope");
--- a/src/policy/actions.hpp
+++ b/src/policy/actions.hpp
@@ -26,7 +26,7 @@
 };
 
 // Why a request ends without an answer; for logs.
-enum class GiveUpReason {
+enum class TerminationReason {
     deadline_unreachable,
     objective_missed,
     attempts_exhausted
@@ -36,13 +36,13 @@
 struct ShedRequest {
     std::string id;
     Micros retry_after = 0;  // 0: no such hint
-    GiveUpReason reason = GiveUpReason::deadline_unreachable;
+    TerminationReason reason = TerminationReason::deadline_unreachable;
 };
 
 // End a request with an error: it may have executed.
 struct FailRequest {
     std::string id;
-    GiveUpReason reason = GiveUpReason::deadline_unreachable;
+    TerminationReason reason = TerminationReason::deadline_unreachable;
 };
 
 // Cancel a running attempt; it ends as cancelled.
--- a/src/policy/gateway_policy.cpp
+++ b/src/policy/gateway_policy.cpp
@@ -175,7 +175,7 @@
     request.deadline_at = now + arrival.time_left;
     const ClassSettings& class_settings = state_.class_of(request);
     const auto stretch =
-        static_cast<Micros>(class_settings.objective_stretch * state_.statistics.run_time(request));
+        static_cast<Micros>(class_settings.objective_run_factor * state_.statistics.run_time(request));
     request.objective_at = now + std::min(arrival.time_left, class_settings.latency_objective + stretch);
     request.dispatch_by = state_.statistics.dispatch_by(request, now);
     if (!state_.quotas.empty())
@@ -433,7 +433,7 @@
     return impl_->handle(now, event);
 }
 
-double GatewayPolicy::alpha() const {
+double GatewayPolicy::sensitive_share() const {
     return impl_->sensitive_share();
 }
 
--- a/src/policy/gateway_policy.hpp
+++ b/src/policy/gateway_policy.hpp
@@ -30,7 +30,7 @@
     // endpoint has no effect; a time before the last event's counts as that event's time.
     std::vector<Action> handle(Micros now, const Event& event);
     // The share of free slots offered to latency-sensitive requests first, in [0.05, 0.95]; for metrics.
-    double alpha() const;
+    double sensitive_share() const;
 
 private:
     class Impl;
--- a/src/policy/request_expiry.cpp
+++ b/src/policy/request_expiry.cpp
@@ -18,12 +18,12 @@
     return input.late_value_share <= 0 && input.now > input.objective_at;
 }
 
-std::optional<GiveUpReason> judge_waiting(const WaitingInput& input) {
+std::optional<TerminationReason> judge_waiting(const WaitingInput& input) {
     if (input.now + kAnswerMargin >= input.deadline_at ||
         input.now + static_cast<Micros>(input.run_time) > input.deadline_at)
-        return GiveUpReason::deadline_unreachable;
+        return TerminationReason::deadline_unreachable;
     if (is_worthless(input))
-        return GiveUpReason::objective_missed;
+        return TerminationReason::objective_missed;
     return std::nullopt;
 }
 
--- a/src/policy/request_expiry.hpp
+++ b/src/policy/request_expiry.hpp
@@ -23,7 +23,7 @@
 
 // Why a request without an open attempt is given up, or nothing. Answers go out a little before the deadline,
 // so that the client still reads them.
-std::optional<GiveUpReason> judge_waiting(const WaitingInput& input);
+std::optional<TerminationReason> judge_waiting(const WaitingInput& input);
 
 struct RunningInput {
     Micros now = 0;
--- a/src/policy/request_lifecycle.cpp
+++ b/src/policy/request_lifecycle.cpp
@@ -48,7 +48,7 @@
     if (request.finished || request.has_open_attempt() || request.queued)
         return;
     if (!may_attempt(request)) {
-        give_up(slot, GiveUpReason::attempts_exhausted);
+        give_up(slot, TerminationReason::attempts_exhausted);
         return;
     }
     if (state_->key_order.has_turn(state_->requests, request, state_->now))
@@ -126,7 +126,7 @@
     request.priority = priority;
 }
 
-void RequestLifecycle::give_up(int slot, GiveUpReason reason) {
+void RequestLifecycle::give_up(int slot, TerminationReason reason) {
     ActiveRequest& request = state_->requests[slot];
     if (request.finished)
         return;
@@ -172,11 +172,11 @@
 
 void RequestLifecycle::expire_waiting(int slot) {
     const ActiveRequest& request = state_->requests[slot];
-    const std::optional<GiveUpReason> reason = judge_waiting(waiting_input(*state_, request));
+    const std::optional<TerminationReason> reason = judge_waiting(waiting_input(*state_, request));
     if (reason)
         give_up(slot, *reason);
     else if (!may_attempt(request))
-        give_up(slot, GiveUpReason::attempts_exhausted);
+        give_up(slot, TerminationReason::attempts_exhausted);
     else if (request.queued && request.side != QueueSide::deferred &&
              judge_side(queue_input(request)) == QueueSide::deferred)
         requeue(slot);
@@ -187,7 +187,7 @@
     const PolicySettings& settings = state_->settings;
     if (is_worthless(waiting_input(*state_, request)) && settings.can_cancel &&
         state_->class_of(request).idempotency == Idempotency::idempotent) {
-        give_up(slot, GiveUpReason::objective_missed);
+        give_up(slot, TerminationReason::objective_missed);
         return;
     }
     if (settings.supports_priorities)
--- a/src/policy/request_lifecycle.hpp
+++ b/src/policy/request_lifecycle.hpp
@@ -32,7 +32,7 @@
     bool try_dispatch(int slot);
     void dispatch(int slot, int endpoint);
     void grant_resources(ActiveRequest& request, double memory_mb);
-    void give_up(int slot, GiveUpReason reason);
+    void give_up(int slot, TerminationReason reason);
     void cancel_open_attempts(int slot);
     void expire_waiting(int slot);
     void expire_running(int slot);
--- a/src/policy/settings.hpp
+++ b/src/policy/settings.hpp
@@ -42,9 +42,9 @@
 // One traffic class.
 struct ClassSettings {
     std::string name;
-    Micros latency_objective = 0;  // an answer within it has its full value; required
-    double objective_stretch = 0;  // the objective grows by this times the request's expected run time
-    Micros deadline = 0;           // an answer after it has no value; at least the objective; required
+    Micros latency_objective = 0;     // an answer within it has its full value; required
+    double objective_run_factor = 0;  // the objective grows by this times the request's expected run time
+    Micros deadline = 0;              // an answer after it has no value; at least the objective; required
     Idempotency idempotency = Idempotency::non_idempotent;
     KeyScope key_scope = KeyScope::cell;
     Micros key_window = 0;        // keyed only: how long repeats are dropped
--- a/src/policy/workload_statistics.cpp
+++ b/src/policy/workload_statistics.cpp
@@ -162,7 +162,7 @@
     input.expected_run = classes_[class_index].work / class_settings.threads;
     input.deadline = static_cast<double>(class_settings.deadline);
     input.objective = std::min(static_cast<double>(class_settings.latency_objective) +
-                                   class_settings.objective_stretch * input.expected_run,
+                                   class_settings.objective_run_factor * input.expected_run,
                                input.deadline);
     stream.refit(input);
 }
--- a/tests/policy/rig.hpp
+++ b/tests/policy/rig.hpp
@@ -22,7 +22,7 @@
         c.latency_objective = aim;
         c.deadline = deadline;
         c.threads = threads;
-        c.objective_stretch = 2;
+        c.objective_run_factor = 2;
         c.late_value_share = 0.5;
         c.key_scope = KeyScope::all;
         c.key_window = 5'000'000;
