--- a/src/cli/report.cpp
+++ b/src/cli/report.cpp
@@ -39,8 +39,8 @@
                      "%s: %lld requests and %lld attempts new or told more of, %lld known; %lld queries new, "
                      "%lld known\n",
                      file.c_str(), static_cast<long long>(c->requests), static_cast<long long>(c->attempts),
-                     static_cast<long long>(c->known), static_cast<long long>(c->events),
-                     static_cast<long long>(c->events_known));
+                     static_cast<long long>(c->known_requests), static_cast<long long>(c->events),
+                     static_cast<long long>(c->known_events));
         for (const auto& t : c->problems)
             std::fprintf(stderr, "%s\n", t.c_str());
     };
@@ -177,7 +177,7 @@
     if (const auto f = ledger.open(file, {"", true}))
         return failed(f.text);
     std::int64_t requests = 0, attempts = 0, damaged = 0;
-    const auto f = ledger.for_each(
+    const auto f = ledger.for_each_request(
         [&](const store::RequestAccount& w) {
             ++requests;
             attempts += static_cast<std::int64_t>(w.attempts.size());
--- a/src/discovery/dns_endpoint_source.cpp
+++ b/src/discovery/dns_endpoint_source.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t kIdBytes = 2;  // at the head of every message
 constexpr std::size_t kMaxOpenPorts = 4;
 constexpr double kSrvWeightPerShare = 10;
-constexpr Micros kInjectedBackoffFactor = 6;  // times `silent_poll_interval`
+constexpr Micros kInjectedBackoffFactor = 6;  // times `backoff_poll_interval`
 
 // "key=value" of a TXT record; unknown keys are ignored.
 void apply_text(decide::DiscoveredEndpoint& endpoint, std::string_view text) {
@@ -30,7 +30,7 @@
 }
 
 // The endpoint of an SRV record; its target is "name.zone.domain".
-Result<decide::DiscoveredEndpoint> endpoint_of(const dns::Service& service, const dns::Answer& answer) {
+Result<decide::DiscoveredEndpoint> endpoint_of(const dns::SrvRecord& service, const dns::Response& answer) {
     decide::DiscoveredEndpoint endpoint;
     const std::string& target = service.target;
     const std::size_t name_end = target.find('.');
@@ -54,9 +54,9 @@
 }
 
 // Fails where a service lacks its zone or its address.
-Result<std::vector<decide::DiscoveredEndpoint>> endpoints_of(const dns::Answer& answer) {
+Result<std::vector<decide::DiscoveredEndpoint>> endpoints_of(const dns::Response& answer) {
     std::vector<decide::DiscoveredEndpoint> endpoints;
-    for (const auto& service : answer.services) {
+    for (const auto& service : answer.srv_records) {
         auto endpoint = endpoint_of(service, answer);
         if (!endpoint)
             return endpoint.failure();
@@ -124,13 +124,13 @@
         pending_polls_.pop_front();
     const bool port_is_due = unanswered_polls_ > 0 && unanswered_polls_ % settings_.attempts_per_port == 0;
     // Where no descriptor is left for a new port, the old one stays in use.
-    if (port_is_due && settings_.renews_port)
+    if (port_is_due && settings_.renew_port)
         (void)open_port();
     close_old_ports();
     const auto id = static_cast<std::uint16_t>(random_.next());
     pending_polls_.push_back({id, now});
     ports_.back().last_polled_at = now;
-    ports_.back().socket->send(server_, dns::srv_question(id, service_name_));
+    ports_.back().socket->send(server_, dns::encode_srv_query(id, service_name_));
     if (events_.on_poll_sent)
         events_.on_poll_sent(id, unanswered_polls_);
     ++unanswered_polls_;
@@ -147,7 +147,7 @@
 // Between two polls where the server responds. The growth with the size bounds what a long list costs.
 Micros DnsEndpointSource::steady_interval() const {
     const Micros by_size = settings_.poll_interval * static_cast<Micros>(response_bytes_) /
-                           static_cast<Micros>(settings_.usual_response_bytes);
+                           static_cast<Micros>(settings_.typical_response_bytes);
     const Micros usual = std::max(settings_.poll_interval, std::min(by_size, settings_.max_poll_interval));
     // A silent server is not a slow one, whatever it was before.
     const bool responds = loop_.now() - last_response_at_ <= round_trip_ + settings_.slow_poll_interval;
@@ -157,10 +157,10 @@
 
 // From a poll to the next one, where no response comes.
 Micros DnsEndpointSource::delay_after_poll() const {
-    if (settings_.backs_off_from_first_silence)
-        return kInjectedBackoffFactor * settings_.silent_poll_interval;
-    if (loop_.now() - last_response_at_ > settings_.full_rate_duration)
-        return std::max(steady_interval(), settings_.silent_poll_interval);
+    if (settings_.back_off_after_every_poll)
+        return kInjectedBackoffFactor * settings_.backoff_poll_interval;
+    if (loop_.now() - last_response_at_ > settings_.backoff_after)
+        return std::max(steady_interval(), settings_.backoff_poll_interval);
     if (unanswered_polls_ > settings_.immediate_retries)
         return steady_interval();
     const Micros by_round_trip = round_trip_ + round_trip_ / 2;
@@ -209,7 +209,7 @@
 
 // Reports a malformed response and returns nothing for it.
 std::optional<ReceivedUpdate> DnsEndpointSource::parse(const PendingPoll& poll, std::string_view message) {
-    const auto answer = dns::read_answer(message, poll.id, service_name_);
+    const auto answer = dns::parse_response(message, poll.id, service_name_);
     if (!answer) {
         events_.on_bad_response(answer.error());
         return std::nullopt;
--- a/src/discovery/dns_endpoint_source.hpp
+++ b/src/discovery/dns_endpoint_source.hpp
@@ -5,7 +5,7 @@
 // - While responses come, polls follow at a steady interval; it grows with the size of the response, and with
 //   a round trip that is longer than the interval.
 // - A poll without a response is repeated after `response_timeout`, a few times, then at the steady interval.
-// - After `full_rate_duration` of silence, polls back off to `silent_poll_interval`.
+// - After `backoff_after` of silence, polls back off to `backoff_poll_interval`.
 // - Responses to earlier polls are accepted but never delay the next poll.
 // - After `attempts_per_port` unanswered polls the next one leaves from a new local port, because a path or
 //   the service may have lost the state of the old one.
@@ -30,7 +30,7 @@
     // Between two polls while responses come. Default 250 ms.
     Micros poll_interval = 250 * kMillisecond;
     // Size of a usual response, in bytes; the interval grows in proportion for a larger one. Default 8000.
-    std::size_t usual_response_bytes = 8'000;
+    std::size_t typical_response_bytes = 8'000;
     // Upper bound of that growth, so that a change is received before it is assumed to be known. Default 1 s.
     Micros max_poll_interval = kSecondMicros;
     // Wait for a response before the poll is repeated. Default 150 ms.
@@ -40,9 +40,9 @@
     // Least interval while round trips are longer than `poll_interval`. Default 500 ms.
     Micros slow_poll_interval = 500 * kMillisecond;
     // Silence before polls back off. Default 8 s.
-    Micros full_rate_duration = 8 * kSecondMicros;
+    Micros backoff_after = 8 * kSecondMicros;
     // Least interval after that. Default 700 ms.
-    Micros silent_poll_interval = 700 * kMillisecond;
+    Micros backoff_poll_interval = 700 * kMillisecond;
     // A response that comes later than this after its poll is ignored. Default 10 s.
     Micros response_lifetime = 10 * kSecondMicros;
     // Polls in a row without a response before the local port is renewed. Default 3.
@@ -51,9 +51,9 @@
     // 0.2.
     double jitter = 0.2;
     // False keeps the first local port for good; only fault injection sets it.
-    bool renews_port = true;
+    bool renew_port = true;
     // True leaves a long pause after each poll; only fault injection sets it.
-    bool backs_off_from_first_silence = false;
+    bool back_off_after_every_poll = false;
 };
 
 // A well-formed response: the complete endpoint list.
--- a/src/dns/dns.cpp
+++ b/src/dns/dns.cpp
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-std::string encoded_name(std::string_view name) {
+std::string encode_name(std::string_view name) {
     std::string out;
     for (const auto label : split(name, '.')) {
         out.push_back(static_cast<char>(label.size()));
@@ -43,18 +43,18 @@
     return out + '\0';
 }
 
-std::string srv_question(std::uint16_t id, const std::string& name) {
+std::string encode_srv_query(std::uint16_t id, const std::string& name) {
     std::string out;
     put_big_endian(out, id, 2);
     for (const unsigned word : {0u, 1u, 0u, 0u, 0u})
         put_big_endian(out, word, 2);  // a plain query with one question
-    out += encoded_name(name);
+    out += encode_name(name);
     put_big_endian(out, ns_t_srv, 2);
     put_big_endian(out, ns_c_in, 2);
     return out;
 }
 
-Result<Answer> read_answer(std::string_view bytes, std::uint16_t id, const std::string& name) {
+Result<Response> parse_response(std::string_view bytes, std::uint16_t id, const std::string& name) {
     ns_msg message;
     if (bytes.size() < kHeader || ns_initparse(reinterpret_cast<const unsigned char*>(bytes.data()),
                                                static_cast<int>(bytes.size()), &message) != 0)
@@ -75,7 +75,7 @@
     });
     if (!asked)
         return Error{"an answer to another question"};
-    Answer answer;
+    Response answer;
     bool serial = false;
     const auto name_at = [&](const unsigned char* at, std::string& into) {
         char text[NS_MAXDNAME];
@@ -90,7 +90,7 @@
         const unsigned char* const end = at + ns_rr_rdlen(r);
         switch (ns_rr_type(r)) {
             case ns_t_srv: {
-                Service s;
+                SrvRecord s;
                 if (ns_rr_rdlen(r) < 7)
                     return false;
                 s.priority = static_cast<std::uint16_t>(ns_get16(at));
@@ -99,7 +99,7 @@
                 if (const int n = name_at(at + 6, s.target); n < 0 || at + 6 + n != end)
                     return false;
                 if (plain(ns_rr_name(r)) == wanted)
-                    answer.services.push_back(std::move(s));
+                    answer.srv_records.push_back(std::move(s));
                 return true;
             }
             case ns_t_a: {
--- a/src/dns/dns.hpp
+++ b/src/dns/dns.hpp
@@ -13,21 +13,21 @@
 
 namespace gatetiller::dns {
 
-std::string encoded_name(std::string_view name);  // as labels, not compressed
-std::string srv_question(std::uint16_t id, const std::string& name);
+std::string encode_name(std::string_view name);  // as labels, not compressed
+std::string encode_srv_query(std::uint16_t id, const std::string& name);
 
-struct Service {
+struct SrvRecord {
     std::uint16_t priority = 0, weight = 0, port = 0;
     std::string target;  // lower case, without the last dot
 };
-struct Answer {
+struct Response {
     std::uint32_t serial = 0;  // of the SOA record in the authority section
-    std::vector<Service> services;
+    std::vector<SrvRecord> srv_records;
     std::map<std::string, std::string> addresses;           // A records by owner
     std::map<std::string, std::vector<std::string>> texts;  // TXT records by owner
 };
 // The answer to the question with that id and name. An error where it is another's, cut short, reports a
 // failure, lacks its serial or can't be read: it says nothing then.
-Result<Answer> read_answer(std::string_view message, std::uint16_t id, const std::string& name);
+Result<Response> parse_response(std::string_view message, std::uint16_t id, const std::string& name);
 
 }  // namespace gatetiller::dns
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -39,7 +39,7 @@
                engines_.hold_slow_start_until(killed ? loop_.now() + settings_.module.overload_window : 0);
            },
            [this](const store::Ledger::WorkSample& sample) {
-               intake_.restore_use(*sample.who, loop_.wall() - sample.taken, sample.work);
+               intake_.restore_use(*sample.requester, loop_.wall() - sample.interval_start, sample.work);
            }}),
       statement_api_(loop, settings_.statements, *this, deps_.entropy),
       server_(loop, settings_.server,
--- a/src/front/ledger_recorder.cpp
+++ b/src/front/ledger_recorder.cpp
@@ -25,7 +25,7 @@
         events_.log(text);
     const auto previous = writer_->previous_incarnation();
     if (previous.known && !std::exchange(previous_incarnation_known_, true))
-        events_.on_previous_incarnation(previous.killed_from.has_value());
+        events_.on_previous_incarnation(previous.last_commit_before_kill.has_value());
     for (const auto& sample : writer_->take_work_history())
         events_.on_past_work(sample);
     flush_timer_ = loop_.after(writer_->flush_interval(), [this] {
--- a/src/lab/books.cpp
+++ b/src/lab/books.cpp
@@ -177,7 +177,7 @@
                 b.rows.emplace_back(std::move(a));
             }
             b.rows.emplace_back(std::move(r));
-            b.wall = at;
+            b.complete_until = at;
             if (n % kAtOnce != 0 && n != o_.requests)
                 continue;
             if (auto f = ledger.write(b))
--- a/src/lab/platform.cpp
+++ b/src/lab/platform.cpp
@@ -417,7 +417,7 @@
         if (at == e.address.end())
             continue;
         ++count;
-        const std::string target = dns::encoded_name(name + "." + e.zone + ".hosts");
+        const std::string target = dns::encode_name(name + "." + e.zone + ".hosts");
         std::string srv;
         put_big_endian(srv, e.draining ? 1 : 0, 2), put_big_endian(srv, 10, 2),
             put_big_endian(srv, at->second.port, 2);
@@ -434,7 +434,7 @@
         }
         around += record_of(target, 16, text);
     }
-    std::string soa = dns::encoded_name("ns") + dns::encoded_name("admin");
+    std::string soa = dns::encode_name("ns") + dns::encode_name("admin");
     put_big_endian(soa, old ? number_ - 1 : number_, 4);
     for (int i = 0; i < 4; ++i)
         put_big_endian(soa, 1, 4);
--- a/src/report/report.cpp
+++ b/src/report/report.cpp
@@ -24,7 +24,7 @@
     std::map<std::string, std::string> kinds;
     auto s = ledger.db().prepare("SELECT name,kind FROM engines ORDER BY name,kind");
     while (s.step())
-        kinds.emplace(s.text(0), s.text(1));
+        kinds.emplace(s.column_text(0), s.column_text(1));
     return kinds;
 }
 
@@ -74,15 +74,17 @@
     });
     for (const auto& l : lives) {
         const auto& gaps = records[l.name].gaps;
-        if (l.ended == 0 && !gaps.empty() && gaps.back().to > l.last + 1000 * 86'400 * kSecondMicros &&
-            report.calendar.until() > l.last)
-            report.unended.emplace_back(l.front, l.last);
+        if (l.ended_at == 0 && !gaps.empty() &&
+            gaps.back().to > l.last_commit_at + 1000 * 86'400 * kSecondMicros &&
+            report.calendar.until() > l.last_commit_at)
+            report.unended.emplace_back(l.front, l.last_commit_at);
     }
 
     decide::Repeats repeats;
-    if (auto f = ledger.for_each_keyed([&](const store::Incarnation& life, const store::RequestRow& r) {
-            repeats.add(r, number_of_life[life.name]);
-        }))
+    if (auto f =
+            ledger.for_each_request_with_key([&](const store::Incarnation& life, const store::RequestRow& r) {
+                repeats.add(r, number_of_life[life.name]);
+            }))
         return Error{f.text};
     repeats.finish();
 
@@ -115,16 +117,16 @@
     std::vector<decide::Settlement> settled;
     const auto take = [&](const store::AccountEntry& e) {
         if (!e.account)
-            return alone(e.logged[0][0]);
-        for (const auto& q : e.unmatched)
+            return alone(e.events_by_attempt[0][0]);
+        for (const auto& q : e.unmatched_events)
             alone(q);
         const auto& r = e.account->request;
         if (!days.holds(r.taken))
             return;
         settled.clear();
-        for (std::size_t i = 0; i < e.logged.size(); ++i) {
+        for (std::size_t i = 0; i < e.events_by_attempt.size(); ++i) {
             const auto& a = e.account->attempts[i];
-            settled.push_back(settle(r, a, e.logged[i]));
+            settled.push_back(settle(r, a, e.events_by_attempt[i]));
             odd(settled.back(),
                 e.account->incarnation->name + "." + std::to_string(r.number) + "." +
                     std::to_string(a.number),
@@ -134,7 +136,7 @@
                     repeats.repeat(number_of_life[e.account->incarnation->name], r.number),
                     e.account->attempts, settled);
     };
-    if (auto f = books.for_each(take, [&](std::string text) {
+    if (auto f = books.for_each_entry(take, [&](std::string text) {
             report.troubles.push_back(std::move(text));
         }))
         return Error{f.text};
@@ -231,7 +233,7 @@
     s.bind(0, period);
     std::vector<Version> all;
     while (s.step())
-        all.push_back({static_cast<std::int64_t>(all.size()) + 1, s.number(0), s.text(1)});
+        all.push_back({static_cast<std::int64_t>(all.size()) + 1, s.column_int64(0), s.column_text(1)});
     if (s.failure())
         return Error{s.failure().text};
     return all;
--- a/src/store/accounting_store.cpp
+++ b/src/store/accounting_store.cpp
@@ -51,8 +51,8 @@
         while (events_.valid() && name_of_event() < name_of(account))
             visit_event();
         entry_.account = &account;
-        entry_.logged.assign(account.attempts.size(), {});
-        entry_.unmatched.clear();
+        entry_.events_by_attempt.assign(account.attempts.size(), {});
+        entry_.unmatched_events.clear();
         for (; events_.valid() && name_of_event() == name_of(account); events_.next())
             add_event(account);
         visit_(entry_);
@@ -73,7 +73,7 @@
     }
     void visit_event() {
         AccountEntry entry;
-        entry.logged.push_back({events_.event()});
+        entry.events_by_attempt.push_back({events_.event()});
         visit_(entry);
         events_.next();
     }
@@ -84,9 +84,10 @@
                 return row.number == event.name->attempt;
             });
         if (attempt == account.attempts.end())
-            entry_.unmatched.push_back(event);
+            entry_.unmatched_events.push_back(event);
         else
-            entry_.logged[static_cast<std::size_t>(attempt - account.attempts.begin())].push_back(event);
+            entry_.events_by_attempt[static_cast<std::size_t>(attempt - account.attempts.begin())].push_back(
+                event);
     }
 
     EventCursor& events_;
@@ -101,8 +102,8 @@
         return gap.cause == StoreError::killed;
     });
     static constexpr Micros kNoEnd = std::numeric_limits<Micros>::max() / 2;
-    if (incarnation.ended == 0 && !marked)
-        record.gaps.push_back({StoreError::killed, incarnation.last, kNoEnd, -1, -1});
+    if (incarnation.ended_at == 0 && !marked)
+        record.gaps.push_back({StoreError::killed, incarnation.last_commit_at, kNoEnd, -1, -1});
 }
 
 }  // namespace
@@ -128,7 +129,7 @@
     put.bind(11, event.peak_bytes).bind(12, event.spilled_bytes).bind(13, event.row_bytes);
     put.bind(14, event.error);
     auto failure = put.run();
-    inserted = !failure && ledger_.db().changed() > 0;
+    inserted = !failure && ledger_.db().changed_rows() > 0;
     return failure;
 }
 
@@ -155,7 +156,7 @@
         bool inserted = false;
         if (auto failure = put_event(put, logged_query(*event), inserted))
             return Error{failure.text};
-        (inserted ? result.events : result.events_known) += 1;
+        (inserted ? result.events : result.known_events) += 1;
         if (auto failure = transaction.on_row_written())
             return Error{failure.text};
     }
@@ -181,9 +182,9 @@
 StoreFailure AccountingStore::read_gaps(const RecordsByRow& records) {
     auto gaps = ledger_.db().prepare("SELECT life,cause,since,until,requests,updates FROM gaps");
     while (gaps.step()) {
-        const LedgerGap gap{static_cast<StoreError>(gaps.number(1)), gaps.number(2), gaps.number(3),
-                            gaps.number(4), gaps.number(5)};
-        if (const auto record = records.find(gaps.number(0)); record != records.end()) {
+        const LedgerGap gap{static_cast<StoreError>(gaps.column_int64(1)), gaps.column_int64(2),
+                            gaps.column_int64(3), gaps.column_int64(4), gaps.column_int64(5)};
+        if (const auto record = records.find(gaps.column_int64(0)); record != records.end()) {
             record->second->gaps.push_back(gap);
             continue;
         }
@@ -197,20 +198,20 @@
 StoreFailure AccountingStore::read_clock_slack(const RecordsByRow& records) {
     auto steps = ledger_.db().prepare("SELECT life,by FROM clock_steps");
     while (steps.step())
-        if (const auto record = records.find(steps.number(0)); record != records.end())
-            record->second->clock_slack += std::abs(steps.number(1));
+        if (const auto record = records.find(steps.column_int64(0)); record != records.end())
+            record->second->clock_slack += std::abs(steps.column_int64(1));
     return steps.failure();
 }
 
-StoreFailure AccountingStore::for_each(const std::function<void(const AccountEntry&)>& visit,
-                                       const DamageReporter& damaged) {
+StoreFailure AccountingStore::for_each_entry(const std::function<void(const AccountEntry&)>& visit,
+                                             const DamageReporter& damaged) {
     EventCursor events(ledger_.db());
     EntryJoin join(events, visit);
     join.visit_unnamed_events();
     const auto visit_request = [&](const RequestAccount& account) {
         join.visit_request(account);
     };
-    if (auto failure = ledger_.for_each(visit_request, damaged))
+    if (auto failure = ledger_.for_each_request(visit_request, damaged))
         return failure;
     join.visit_remaining_events();
     return events.failure();
--- a/src/store/accounting_store.hpp
+++ b/src/store/accounting_store.hpp
@@ -20,11 +20,11 @@
 
 // A request with what the journals have of it, or one event that belongs to no known request.
 struct AccountEntry {
-    const RequestAccount* account = nullptr;  // none: logged[0][0] is the event
+    const RequestAccount* account = nullptr;  // none: events_by_attempt[0][0] is the event
     // By attempt, as in account->attempts.
-    std::vector<std::vector<decide::LoggedQuery>> logged;
+    std::vector<std::vector<decide::LoggedQuery>> events_by_attempt;
     // Events of this request whose attempts the ledger lacks.
-    std::vector<decide::LoggedQuery> unmatched;
+    std::vector<decide::LoggedQuery> unmatched_events;
 };
 
 class AccountingStore {
@@ -40,8 +40,8 @@
 
     // Gives every request in the order of incarnations' names and numbers, and every event that belongs to
     // none; events that name no attempt come first. What can't be read is reported to `damaged`.
-    StoreFailure for_each(const std::function<void(const AccountEntry&)>& visit,
-                          const DamageReporter& damaged);
+    StoreFailure for_each_entry(const std::function<void(const AccountEntry&)>& visit,
+                                const DamageReporter& damaged);
     // What each incarnation's ledger says of its gaps, by the incarnation's name. One that was neither ended
     // nor marked as killed gets an open gap behind its last commit.
     StoreFailure incarnations(std::map<std::string, decide::IncarnationRecord>& to);
--- a/src/store/db.cpp
+++ b/src/store/db.cpp
@@ -69,7 +69,7 @@
     const int code = sqlite3_step(handle_);
     if (code == SQLITE_ROW)
         return true;
-    failure_ = code == SQLITE_DONE ? StoreFailure{} : db_->failure_of(code);
+    failure_ = code == SQLITE_DONE ? StoreFailure{} : db_->to_failure(code);
     sqlite3_reset(handle_);
     return false;
 }
@@ -79,11 +79,11 @@
     return failure_;
 }
 
-std::int64_t Statement::number(int column) const {
+std::int64_t Statement::column_int64(int column) const {
     return sqlite3_column_int64(handle_, column);
 }
 
-std::string Statement::text(int column) const {
+std::string Statement::column_text(int column) const {
     const auto* bytes = reinterpret_cast<const char*>(sqlite3_column_text(handle_, column));
     return bytes ? std::string(bytes, static_cast<std::size_t>(sqlite3_column_bytes(handle_, column))) : "";
 }
@@ -109,7 +109,7 @@
         sqlite3_busy_timeout(handle_, kBusyTimeoutMilliseconds);
         return {};
     }
-    StoreFailure failure = failure_of(code);
+    StoreFailure failure = to_failure(code);
     close();
     return failure;
 }
@@ -118,7 +118,7 @@
     sqlite3_close_v2(std::exchange(handle_, nullptr));
 }
 
-StoreFailure Db::failure_of(int code) const {
+StoreFailure Db::to_failure(int code) const {
     if (error_of(code) == StoreError::none)
         return {};
     const int extended = handle_ ? sqlite3_extended_errcode(handle_) : code;
@@ -130,7 +130,7 @@
 StoreFailure Db::exec(const std::string& sql) {
     if (!handle_)
         return not_open(file_);
-    return failure_of(sqlite3_exec(handle_, sql.c_str(), nullptr, nullptr, nullptr));
+    return to_failure(sqlite3_exec(handle_, sql.c_str(), nullptr, nullptr, nullptr));
 }
 
 Statement Db::prepare(const std::string& sql) {
@@ -140,30 +140,30 @@
         statement.failure_ = not_open(file_);
     else
         statement.failure_ =
-            failure_of(sqlite3_prepare_v2(handle_, sql.c_str(), -1, &statement.handle_, nullptr));
+            to_failure(sqlite3_prepare_v2(handle_, sql.c_str(), -1, &statement.handle_, nullptr));
     return statement;
 }
 
-std::int64_t Db::last_row() const {
+std::int64_t Db::last_insert_row() const {
     return sqlite3_last_insert_rowid(handle_);
 }
-std::int64_t Db::changed() const {
+std::int64_t Db::changed_rows() const {
     return sqlite3_changes64(handle_);
 }
 
-Result<std::int64_t> Db::number(const std::string& sql) {
+Result<std::int64_t> Db::query_int64(const std::string& sql) {
     auto statement = prepare(sql);
     if (statement.step())
-        return statement.number(0);
+        return statement.column_int64(0);
     if (statement.failure())
         return Error{statement.failure().text};
     return std::int64_t{0};
 }
 
-Result<std::string> Db::text(const std::string& sql) {
+Result<std::string> Db::query_text(const std::string& sql) {
     auto statement = prepare(sql);
     if (statement.step())
-        return statement.text(0);
+        return statement.column_text(0);
     if (statement.failure())
         return Error{statement.failure().text};
     return std::string();
@@ -175,14 +175,14 @@
         return failure;
     sqlite3_backup* backup = sqlite3_backup_init(to.handle_, "main", handle_, "main");
     if (!backup)
-        return to.failure_of(sqlite3_errcode(to.handle_));
+        return to.to_failure(sqlite3_errcode(to.handle_));
     int code = SQLITE_OK;
     // In portions, so that a writer waits for one of them at most.
     do
         code = sqlite3_backup_step(backup, pages_at_once);
     while (code == SQLITE_OK || code == SQLITE_BUSY || code == SQLITE_LOCKED);
     sqlite3_backup_finish(backup);
-    return code == SQLITE_DONE ? StoreFailure{} : to.failure_of(code);
+    return code == SQLITE_DONE ? StoreFailure{} : to.to_failure(code);
 }
 
 }  // namespace gatetiller::store
--- a/src/store/db.hpp
+++ b/src/store/db.hpp
@@ -30,8 +30,8 @@
     // The text is copied.
     Statement& bind(int parameter, std::string_view text);
 
-    // True: it stands on a row, for number() and text(). False: done or failed, as failure() says; it may be
-    // bound and stepped again.
+    // True: it stands on a row, for column_int64() and column_text(). False: done or failed, as failure()
+    // says; it may be bound and stepped again.
     bool step();
     // Steps to the end, for statements without rows.
     StoreFailure run();
@@ -41,8 +41,8 @@
     }
 
     // A column of the row; 0 or an empty text for NULL.
-    std::int64_t number(int column) const;
-    std::string text(int column) const;
+    std::int64_t column_int64(int column) const;
+    std::string column_text(int column) const;
     // Leaves the row before the end, so that the statement can be bound again.
     void reset();
 
@@ -81,12 +81,12 @@
     // A failure shows in the statement's failure() and at its step().
     Statement prepare(const std::string& sql);
     // The first column of the first row; 0 or an empty text without a row.
-    Result<std::int64_t> number(const std::string& sql);
-    Result<std::string> text(const std::string& sql);
+    Result<std::int64_t> query_int64(const std::string& sql);
+    Result<std::string> query_text(const std::string& sql);
 
     // The row of the last insertion, and the number of rows that the last statement changed.
-    std::int64_t last_row() const;
-    std::int64_t changed() const;
+    std::int64_t last_insert_row() const;
+    std::int64_t changed_rows() const;
 
     // Copies the database, `pages_at_once` at a time, while others write.
     StoreFailure copy_to(const std::string& file, int pages_at_once);
@@ -97,7 +97,7 @@
 private:
     friend class Statement;
 
-    StoreFailure failure_of(int code) const;
+    StoreFailure to_failure(int code) const;
 
     sqlite3* handle_ = nullptr;
     std::string file_;
@@ -106,17 +106,17 @@
 // A transaction for writing; rolled back at its end unless it was committed.
 class Transaction {
 public:
-    explicit Transaction(Db& db) : db_(db), begun_(db.exec("BEGIN IMMEDIATE")) {}
+    explicit Transaction(Db& db) : db_(db), begin_failure_(db.exec("BEGIN IMMEDIATE")) {}
     ~Transaction() {
-        if (!begun_ && !committed_)
+        if (!begin_failure_ && !committed_)
             (void)db_.exec("ROLLBACK");
     }
     Transaction(const Transaction&) = delete;
     Transaction& operator=(const Transaction&) = delete;
 
     // Whether it could not begin: locked where another connection writes for long.
-    const StoreFailure& begun() const {
-        return begun_;
+    const StoreFailure& begin_failure() const {
+        return begin_failure_;
     }
     StoreFailure commit() {
         StoreFailure failure = db_.exec("COMMIT");
@@ -126,7 +126,7 @@
 
 private:
     Db& db_;
-    StoreFailure begun_;
+    StoreFailure begin_failure_;
     bool committed_ = false;
 };
 
--- a/src/store/event_cursor.cpp
+++ b/src/store/event_cursor.cpp
@@ -14,21 +14,21 @@
     if (!valid_)
         return;
     event_ = {};
-    if (auto incarnation = statement_.text(0); !incarnation.empty())
-        event_.name = {std::move(incarnation), static_cast<std::uint32_t>(statement_.number(1)),
-                       static_cast<std::uint32_t>(statement_.number(2))};
-    event_.engine = statement_.text(3);
-    event_.id = statement_.text(4);
-    event_.user = statement_.text(5);
-    event_.source = statement_.text(6);
-    event_.tags = statement_.text(7);
-    event_.created = statement_.number(8);
-    event_.ended = statement_.number(9);
-    event_.work = statement_.number(10);
-    event_.peak_bytes = statement_.number(11);
-    event_.spilled_bytes = statement_.number(12);
-    event_.row_bytes = statement_.number(13);
-    event_.error = statement_.text(14);
+    if (auto incarnation = statement_.column_text(0); !incarnation.empty())
+        event_.name = {std::move(incarnation), static_cast<std::uint32_t>(statement_.column_int64(1)),
+                       static_cast<std::uint32_t>(statement_.column_int64(2))};
+    event_.engine = statement_.column_text(3);
+    event_.id = statement_.column_text(4);
+    event_.user = statement_.column_text(5);
+    event_.source = statement_.column_text(6);
+    event_.tags = statement_.column_text(7);
+    event_.created = statement_.column_int64(8);
+    event_.ended = statement_.column_int64(9);
+    event_.work = statement_.column_int64(10);
+    event_.peak_bytes = statement_.column_int64(11);
+    event_.spilled_bytes = statement_.column_int64(12);
+    event_.row_bytes = statement_.column_int64(13);
+    event_.error = statement_.column_text(14);
 }
 
 }  // namespace gatetiller::store
--- a/src/store/ledger.cpp
+++ b/src/store/ledger.cpp
@@ -52,27 +52,27 @@
     db_.close();
 }
 
-StoreFailure Ledger::adopt(const Incarnation& incarnation, std::int64_t& row) {
+StoreFailure Ledger::upsert_incarnation(const Incarnation& incarnation, std::int64_t& row) {
     auto add = db_.prepare("INSERT OR IGNORE INTO lives(name,front,began,last,ended) VALUES(?,?,?,?,?)");
-    add.bind(0, incarnation.name).bind(1, incarnation.front).bind(2, incarnation.began);
-    add.bind(3, incarnation.last).bind(4, incarnation.ended);
+    add.bind(0, incarnation.name).bind(1, incarnation.front).bind(2, incarnation.started_at);
+    add.bind(3, incarnation.last_commit_at).bind(4, incarnation.ended_at);
     if (auto failure = add.run())
         return failure;
     auto extend = db_.prepare("UPDATE lives SET last=max(last,?), ended=max(ended,?) WHERE name=?");
-    extend.bind(0, incarnation.last).bind(1, incarnation.ended).bind(2, incarnation.name);
+    extend.bind(0, incarnation.last_commit_at).bind(1, incarnation.ended_at).bind(2, incarnation.name);
     if (auto failure = extend.run())
         return failure;
     auto find = db_.prepare("SELECT row FROM lives WHERE name=?");
     find.bind(0, incarnation.name);
-    row = find.step() ? find.number(0) : 0;
+    row = find.step() ? find.column_int64(0) : 0;
     return find.failure();
 }
 
 StoreFailure Ledger::begin_incarnation(const std::string& name, const std::string& front, Micros wall,
                                        RecoveredState& recovered) {
     Transaction transaction(db_);
-    if (transaction.begun())
-        return transaction.begun();
+    if (transaction.begin_failure())
+        return transaction.begin_failure();
     std::vector<Incarnation> earlier;
     if (auto failure = incarnations(earlier))
         return failure;
@@ -80,7 +80,7 @@
         return incarnation.name == name;
     });
     std::int64_t row = 0;
-    if (auto failure = adopt({0, name, front, wall, wall, 0}, row))
+    if (auto failure = upsert_incarnation({0, name, front, wall, wall, 0}, row))
         return failure;
     if (!known)
         if (auto failure = recover(earlier, wall, recovered))
@@ -101,10 +101,10 @@
             mark_interrupted<AttemptRow>("SELECT * FROM attempts WHERE state=0 ORDER BY request",
                                          AttemptState::interrupted, recovered.attempts_interrupted))
         return failure;
-    if (earlier.empty() || earlier.back().ended != 0)
+    if (earlier.empty() || earlier.back().ended_at != 0)
         return {};
-    recovered.killed = decide::gap_after_kill(earlier.back().last, wall, kUncommittedTail);
-    return add_gap(earlier.back().row, *recovered.killed);
+    recovered.killed_gap = decide::gap_after_kill(earlier.back().last_commit_at, wall, kUncommittedTail);
+    return add_gap(earlier.back().row, *recovered.killed_gap);
 }
 
 // The checksum of a row covers its state, so that each row is read and written again.
@@ -113,7 +113,7 @@
     std::vector<std::pair<std::int64_t, Row>> rows;  // with the incarnation's row
     auto open = db_.prepare(select_open);
     while (open.step()) {
-        const std::int64_t key = open.number(0);
+        const std::int64_t key = open.column_int64(0);
         Row row;
         if (!codec_.read(open, row))
             continue;
@@ -137,8 +137,8 @@
 
 StoreFailure Ledger::write(const Batch& batch) {
     Transaction transaction(db_);
-    if (transaction.begun())
-        return transaction.begun();
+    if (transaction.begin_failure())
+        return transaction.begin_failure();
     auto failure = write_rows(batch);
     if (!failure)
         failure = transaction.commit();
@@ -162,7 +162,7 @@
         if (auto failure = insert_clock_step_.run())
             return failure;
     }
-    update_last_.bind(0, batch.wall).bind(1, incarnation_row_);
+    update_last_.bind(0, batch.complete_until).bind(1, incarnation_row_);
     return update_last_.run();
 }
 
@@ -175,8 +175,8 @@
 StoreFailure Ledger::expire(Micros wall, int max_requests, std::int64_t& removed) {
     removed = 0;
     Transaction transaction(db_);
-    if (transaction.begun())
-        return transaction.begun();
+    if (transaction.begin_failure())
+        return transaction.begin_failure();
     std::int64_t last_key = 0;
     LedgerGap gap{StoreError::none, wall, 0, 0, 0};
     if (auto failure = select_expired(wall, max_requests, last_key, gap))
@@ -199,11 +199,11 @@
     auto oldest = db_.prepare("SELECT row, taken, state FROM requests ORDER BY row LIMIT ?");
     oldest.bind(0, max_requests);
     while (oldest.step()) {
-        const Micros taken = oldest.number(1);
-        const bool open = oldest.number(2) == static_cast<int>(RequestState::open);
+        const Micros taken = oldest.column_int64(1);
+        const bool open = oldest.column_int64(2) == static_cast<int>(RequestState::open);
         if (taken >= wall || open)
             break;
-        last_key = oldest.number(0);
+        last_key = oldest.column_int64(0);
         ++gap.requests;
         gap.from = std::min(gap.from, taken);
         gap.to = std::max(gap.to, taken);
@@ -230,7 +230,7 @@
     grow.bind(0, gap.from).bind(1, gap.to).bind(2, gap.requests);
     if (auto failure = grow.run())
         return failure;
-    return db_.changed() == 0 ? add_gap(0, gap) : StoreFailure{};
+    return db_.changed_rows() == 0 ? add_gap(0, gap) : StoreFailure{};
 }
 
 StoreFailure Ledger::snapshot(const std::string& file) {
--- a/src/store/ledger.hpp
+++ b/src/store/ledger.hpp
@@ -37,16 +37,16 @@
     // Steps of the wall clock: when (after the step), and by what span.
     std::vector<std::pair<Micros, Micros>> clock_steps;
     // Everything until this time is in this batch or in one before.
-    Micros wall = 0;
+    Micros complete_until = 0;
 };
 
 struct Incarnation {
     std::int64_t row = 0;
     std::string name;  // 16 hex digits
     std::string front;
-    Micros began = 0;
-    Micros last = 0;   // of the last commit
-    Micros ended = 0;  // 0: running, or killed
+    Micros started_at = 0;
+    Micros last_commit_at = 0;  // of the last commit
+    Micros ended_at = 0;        // 0: running, or killed
 };
 
 // What a new incarnation finds of those before it.
@@ -54,7 +54,7 @@
     std::int64_t requests_interrupted = 0;
     std::int64_t attempts_interrupted = 0;
     // Where the last one was killed: the time at its end in which requests may be missing.
-    std::optional<LedgerGap> killed;
+    std::optional<LedgerGap> killed_gap;
 };
 
 // A request with its attempts, in the order of their numbers.
@@ -97,9 +97,9 @@
 
     // The work of one requester in one step of time.
     struct WorkSample {
-        std::shared_ptr<const decide::Requester> who;
-        Micros taken = 0;  // begin of the step
-        Micros work = 0;   // span of processor time
+        std::shared_ptr<const decide::Requester> requester;
+        Micros interval_start = 0;  // begin of the step
+        Micros work = 0;            // span of processor time
     };
     // The work of all requests taken since `wall`, by requester and by `step` (a span).
     StoreFailure work_samples_since(Micros wall, Micros step, std::vector<WorkSample>& to);
@@ -109,10 +109,11 @@
 
     // Gives all requests in the order of their incarnations' names and their numbers. What can't be read (a
     // damaged page, a row that doesn't match its checksum) is left out and reported to `damaged`.
-    StoreFailure for_each(const std::function<void(const RequestAccount&)>& visit,
-                          const DamageReporter& damaged);
+    StoreFailure for_each_request(const std::function<void(const RequestAccount&)>& visit,
+                                  const DamageReporter& damaged);
     // Gives the requests that have a key and its window, without their attempts.
-    StoreFailure for_each_keyed(const std::function<void(const Incarnation&, const RequestRow&)>& visit);
+    StoreFailure for_each_request_with_key(
+        const std::function<void(const Incarnation&, const RequestRow&)>& visit);
 
     // Each of these adds to `to`: incarnations in the order of their rows,
     StoreFailure incarnations(std::vector<Incarnation>& to);
@@ -123,7 +124,7 @@
 
     // For the accounting store: adds an incarnation of another ledger or extends the known one, and gives its
     // row here.
-    StoreFailure adopt(const Incarnation& incarnation, std::int64_t& row);
+    StoreFailure upsert_incarnation(const Incarnation& incarnation, std::int64_t& row);
     // Replaces a row, within the caller's transaction.
     StoreFailure put(std::int64_t incarnation_row, const RequestRow& request) {
         return codec_.write(incarnation_row, request);
--- a/src/store/ledger_collector.cpp
+++ b/src/store/ledger_collector.cpp
@@ -36,7 +36,7 @@
 
 StoreFailure LedgerCollector::adopt_incarnations() {
     for (const Incarnation& incarnation : incarnations_)
-        if (auto failure = to_.adopt(incarnation, rows_[incarnation.row]))
+        if (auto failure = to_.upsert_incarnation(incarnation, rows_[incarnation.row]))
             return failure;
     return {};
 }
@@ -55,7 +55,7 @@
         if (!failed)
             failed = transaction.on_row_written();
     };
-    const auto failure = from_.for_each(collect_account, [&](std::string text) {
+    const auto failure = from_.for_each_request(collect_account, [&](std::string text) {
         result_.problems.push_back(file_ + ": " + std::move(text));
     });
     return failure ? failure : failed;
@@ -64,10 +64,11 @@
 StoreFailure LedgerCollector::collect_request(std::int64_t incarnation_row, const RequestRow& request) {
     find_request_.bind(0, request_key(incarnation_row, request.number));
     const bool known = find_request_.step();
-    const auto known_state = known ? static_cast<RequestState>(find_request_.number(0)) : RequestState::open;
+    const auto known_state =
+        known ? static_cast<RequestState>(find_request_.column_int64(0)) : RequestState::open;
     find_request_.reset();
     if (known)
-        ++result_.known;
+        ++result_.known_requests;
     if (known && !decide::further(request.state, known_state))
         return {};
     if (auto failure = to_.put(incarnation_row, request))
@@ -80,7 +81,7 @@
     find_attempt_.bind(0, request_key(incarnation_row, attempt.request)).bind(1, attempt.number);
     const bool known = find_attempt_.step();
     const auto known_state =
-        known ? static_cast<AttemptState>(find_attempt_.number(0)) : AttemptState::in_flight;
+        known ? static_cast<AttemptState>(find_attempt_.column_int64(0)) : AttemptState::in_flight;
     find_attempt_.reset();
     if (known && !decide::further(attempt.state, known_state))
         return {};
@@ -98,15 +99,15 @@
     auto gaps = from_.db().prepare("SELECT life,cause,since,until,requests,updates FROM gaps");
     while (gaps.step()) {
         // The gap of what was removed by age: the same one as at an earlier collection, grown.
-        if (gaps.number(1) == static_cast<int>(StoreError::none)) {
-            remove_expired.bind(0, gaps.number(2));
+        if (gaps.column_int64(1) == static_cast<int>(StoreError::none)) {
+            remove_expired.bind(0, gaps.column_int64(2));
             if (auto failure = remove_expired.run())
                 return failure;
         }
-        const auto row = rows_.find(gaps.number(0));
+        const auto row = rows_.find(gaps.column_int64(0));
         put_gap_.bind(0, row == rows_.end() ? 0 : row->second);
         for (int column = 1; column < kColumns; ++column)
-            put_gap_.bind(column, gaps.number(column));
+            put_gap_.bind(column, gaps.column_int64(column));
         if (auto failure = put_gap_.run())
             return failure;
     }
@@ -119,7 +120,7 @@
         return {};
     for (const Incarnation& incarnation : incarnations_) {
         put_gap_.bind(0, rows_[incarnation.row]).bind(1, static_cast<int>(StoreError::corrupt));
-        put_gap_.bind(2, incarnation.began).bind(3, incarnation.last).bind(4, -1).bind(5, -1);
+        put_gap_.bind(2, incarnation.started_at).bind(3, incarnation.last_commit_at).bind(4, -1).bind(5, -1);
         if (auto failure = put_gap_.run())
             return failure;
     }
@@ -130,7 +131,9 @@
     auto steps = from_.db().prepare("SELECT life,at,by FROM clock_steps");
     auto put_step = to_.db().prepare("INSERT OR IGNORE INTO clock_steps VALUES(?,?,?)");
     while (steps.step()) {
-        put_step.bind(0, rows_[steps.number(0)]).bind(1, steps.number(1)).bind(2, steps.number(2));
+        put_step.bind(0, rows_[steps.column_int64(0)])
+            .bind(1, steps.column_int64(1))
+            .bind(2, steps.column_int64(2));
         if (auto failure = put_step.run())
             return failure;
     }
--- a/src/store/ledger_collector.hpp
+++ b/src/store/ledger_collector.hpp
@@ -15,11 +15,11 @@
 
 // What a collection came to.
 struct CollectResult {
-    std::int64_t requests = 0;  // new ones, and known ones that say more now
-    std::int64_t attempts = 0;  // the same
-    std::int64_t known = 0;     // requests that were there already
+    std::int64_t requests = 0;        // new ones, and known ones that say more now
+    std::int64_t attempts = 0;        // the same
+    std::int64_t known_requests = 0;  // requests that were there already
     std::int64_t events = 0;
-    std::int64_t events_known = 0;
+    std::int64_t known_events = 0;
     std::vector<std::string> problems;  // rows and lines that could not be read, each with its place
 };
 
--- a/src/store/ledger_read.cpp
+++ b/src/store/ledger_read.cpp
@@ -26,8 +26,8 @@
 StoreFailure Ledger::incarnations(std::vector<Incarnation>& to) {
     auto rows = db_.prepare("SELECT row,name,front,began,last,ended FROM lives ORDER BY row");
     while (rows.step())
-        to.push_back(
-            {rows.number(0), rows.text(1), rows.text(2), rows.number(3), rows.number(4), rows.number(5)});
+        to.push_back({rows.column_int64(0), rows.column_text(1), rows.column_text(2), rows.column_int64(3),
+                      rows.column_int64(4), rows.column_int64(5)});
     return rows.failure();
 }
 
@@ -36,9 +36,9 @@
         "SELECT coalesce(front,''),cause,since,until,requests,updates FROM gaps "
         "LEFT JOIN lives ON lives.row=life ORDER BY since, until, cause, 1");
     while (rows.step()) {
-        const LedgerGap gap{cause_from(rows.number(1)), rows.number(2), rows.number(3), rows.number(4),
-                            rows.number(5)};
-        to.emplace_back(rows.text(0), gap);
+        const LedgerGap gap{cause_from(rows.column_int64(1)), rows.column_int64(2), rows.column_int64(3),
+                            rows.column_int64(4), rows.column_int64(5)};
+        to.emplace_back(rows.column_text(0), gap);
     }
     return rows.failure();
 }
@@ -46,7 +46,7 @@
 StoreFailure Ledger::clock_steps(std::vector<std::pair<Micros, Micros>>& to) {
     auto rows = db_.prepare("SELECT at,by FROM clock_steps ORDER BY at,by");
     while (rows.step())
-        to.emplace_back(rows.number(0), rows.number(1));
+        to.emplace_back(rows.column_int64(0), rows.column_int64(1));
     return rows.failure();
 }
 
@@ -58,7 +58,8 @@
         "WHERE taken>=?1 GROUP BY 1, 2 ORDER BY 2, 1");
     rows.bind(0, wall).bind(1, step_or_one);
     while (rows.step())
-        to.push_back({codec_.requester_at(rows.number(0)), rows.number(1) * step_or_one, rows.number(2)});
+        to.push_back({codec_.requester_at(rows.column_int64(0)), rows.column_int64(1) * step_or_one,
+                      rows.column_int64(2)});
     return rows.failure();
 }
 
@@ -81,8 +82,8 @@
     return found;
 }
 
-StoreFailure Ledger::for_each(const std::function<void(const RequestAccount&)>& visit,
-                              const DamageReporter& damaged) {
+StoreFailure Ledger::for_each_request(const std::function<void(const RequestAccount&)>& visit,
+                                      const DamageReporter& damaged) {
     std::vector<Incarnation> by_name;
     if (auto failure = incarnations(by_name))
         return failure;
@@ -111,7 +112,8 @@
     return {};
 }
 
-StoreFailure Ledger::for_each_keyed(const std::function<void(const Incarnation&, const RequestRow&)>& visit) {
+StoreFailure Ledger::for_each_request_with_key(
+    const std::function<void(const Incarnation&, const RequestRow&)>& visit) {
     std::vector<Incarnation> all;
     if (auto failure = incarnations(all))
         return failure;
@@ -121,11 +123,11 @@
     auto rows = db_.prepare("SELECT * FROM requests WHERE key_window>0");
     RequestRow request;
     while (rows.step()) {
-        const auto incarnation = by_row.find(incarnation_row_of(rows.number(0)));
+        const auto incarnation = by_row.find(incarnation_row_of(rows.column_int64(0)));
         if (codec_.read(rows, request) && incarnation != by_row.end())
             visit(*incarnation->second, request);
     }
-    // Damaged pages are reported by for_each(), which reads past them.
+    // Damaged pages are reported by for_each_request(), which reads past them.
     return rows.failure().error == StoreError::corrupt ? StoreFailure{} : rows.failure();
 }
 
--- a/src/store/ledger_writer.cpp
+++ b/src/store/ledger_writer.cpp
@@ -33,7 +33,7 @@
     append(to.rows, from.rows);
     append(to.gaps, from.gaps);
     append(to.clock_steps, from.clock_steps);
-    to.wall = from.wall;
+    to.complete_until = from.complete_until;
 }
 
 bool is_empty(const Batch& batch) {
@@ -101,7 +101,7 @@
             next.gaps.push_back(*gap);
             log_lines_.push_back(gap_message(*gap));
         }
-    next.wall = wall;
+    next.complete_until = wall;
     handed_over_rows_ += next.rows.size();
     append(shared_, next);
     shared_now_ = now;
@@ -189,7 +189,7 @@
 void LedgerWriter::write_pending(Micros now) {
     {
         const std::lock_guard guard(mutex_);
-        if (shared_.wall > 0)
+        if (shared_.complete_until > 0)
             append(pending_, shared_);
     }
     if (!prepare_to_write(now))
@@ -240,7 +240,7 @@
     const std::lock_guard guard(mutex_);
     committed_rows_ += static_cast<std::int64_t>(pending_.rows.size());
     batches_ += 1;
-    written_until_ = pending_.wall;
+    written_until_ = pending_.complete_until;
     handed_over_rows_ -= pending_.rows.size();
     error_ = decide::StoreError::none;
 }
@@ -249,7 +249,8 @@
     if (settings_.retention <= 0)
         return;
     std::int64_t removed = 0;
-    if (const auto failure = ledger_.expire(pending_.wall - settings_.retention, kExpireAtOnce, removed))
+    if (const auto failure =
+            ledger_.expire(pending_.complete_until - settings_.retention, kExpireAtOnce, removed))
         log(expire_failed_message(failure));
 }
 
@@ -260,15 +261,15 @@
     if (auto failure = ledger_.open(settings_.file, {settings_.vfs}))
         return failure;
     RecoveredState recovered;
-    if (auto failure =
-            ledger_.begin_incarnation(settings_.incarnation, settings_.front, pending_.wall, recovered))
+    if (auto failure = ledger_.begin_incarnation(settings_.incarnation, settings_.front,
+                                                 pending_.complete_until, recovered))
         return failure;
-    if (recovered.requests_interrupted + recovered.attempts_interrupted > 0 || recovered.killed)
+    if (recovered.requests_interrupted + recovered.attempts_interrupted > 0 || recovered.killed_gap)
         log(recovered_message(recovered));
     {
         const std::lock_guard guard(mutex_);
-        if (!std::exchange(previous_.known, true) && recovered.killed)
-            previous_.killed_from = recovered.killed->from;
+        if (!std::exchange(previous_.known, true) && recovered.killed_gap)
+            previous_.last_commit_before_kill = recovered.killed_gap->from;
     }
     if (settings_.history_window > 0 && !std::exchange(history_read_, true))
         read_work_history();
@@ -279,7 +280,7 @@
     std::vector<Ledger::WorkSample> history;
     const Micros window = settings_.history_window;
     if (const auto failure =
-            ledger_.work_samples_since(pending_.wall - window, window / kHistorySteps, history))
+            ledger_.work_samples_since(pending_.complete_until - window, window / kHistorySteps, history))
         log(history_failed_message(failure));
     const std::lock_guard guard(mutex_);
     work_history_ = std::move(history);
--- a/src/store/ledger_writer.hpp
+++ b/src/store/ledger_writer.hpp
@@ -92,7 +92,7 @@
     struct PreviousIncarnation {
         bool known = false;  // false: the ledger is not open yet
         // Until when (wall clock) the incarnation before had written, where it was killed.
-        std::optional<Micros> killed_from;
+        std::optional<Micros> last_commit_before_kill;
     };
     PreviousIncarnation previous_incarnation() const;
 
--- a/src/store/name_cache.cpp
+++ b/src/store/name_cache.cpp
@@ -18,7 +18,7 @@
 // The row that `find` gives, or that `add` makes; both are bound already.
 std::int64_t find_or_add(Db& db, Statement& find, Statement& add, StoreFailure& failure) {
     if (find.step()) {
-        const std::int64_t row = find.number(0);
+        const std::int64_t row = find.column_int64(0);
         find.reset();
         return row;
     }
@@ -26,7 +26,7 @@
     if (failure)
         return 0;
     failure = add.run();
-    return failure ? 0 : db.last_row();
+    return failure ? 0 : db.last_insert_row();
 }
 
 void bind_requester(Statement& statement, const Requester& requester) {
@@ -98,7 +98,8 @@
     find.bind(0, row);
     Requester requester;
     if (find.step())
-        requester = {find.text(0), find.text(1), find.text(2), find.text(3), find.text(4)};
+        requester = {find.column_text(0), find.column_text(1), find.column_text(2), find.column_text(3),
+                     find.column_text(4)};
     cached = std::make_shared<const Requester>(std::move(requester));
     return cached;
 }
@@ -113,7 +114,7 @@
     find.bind(0, row);
     auto& endpoint = endpoints_[row];
     if (find.step())
-        endpoint = {find.text(0), find.text(1)};
+        endpoint = {find.column_text(0), find.column_text(1)};
     return endpoint;
 }
 
--- a/src/store/row_codec.cpp
+++ b/src/store/row_codec.cpp
@@ -109,39 +109,39 @@
 }
 
 bool RowCodec::read(Statement& statement, RequestRow& request) {
-    const std::int64_t key = statement.number(0);
-    const std::int64_t requester = statement.number(1);
+    const std::int64_t key = statement.column_int64(0);
+    const std::int64_t requester = statement.column_int64(1);
     request.number = request_number_of(key);
     request.who = names_.requester_at(requester);
-    request.id = statement.text(2);
-    request.key = statement.text(3);
-    request.key_window = statement.number(4);
-    request.taken = statement.number(5);
-    request.state = state_from<RequestState>(statement.number(6), decide::kRequestStates);
-    request.error = statement.number(7) != 0;
-    request.attempts = static_cast<std::uint32_t>(statement.number(8));
-    request.ended_after = statement.number(9);
-    request.closed_after = statement.number(10);
-    return statement.number(11) == checksum(key, requester, request);
+    request.id = statement.column_text(2);
+    request.key = statement.column_text(3);
+    request.key_window = statement.column_int64(4);
+    request.taken = statement.column_int64(5);
+    request.state = state_from<RequestState>(statement.column_int64(6), decide::kRequestStates);
+    request.error = statement.column_int64(7) != 0;
+    request.attempts = static_cast<std::uint32_t>(statement.column_int64(8));
+    request.ended_after = statement.column_int64(9);
+    request.closed_after = statement.column_int64(10);
+    return statement.column_int64(11) == checksum(key, requester, request);
 }
 
 bool RowCodec::read(Statement& statement, AttemptRow& attempt) {
-    const std::int64_t request = statement.number(0);
-    const std::int64_t endpoint = statement.number(2);
+    const std::int64_t request = statement.column_int64(0);
+    const std::int64_t endpoint = statement.column_int64(2);
     attempt.request = request_number_of(request);
-    attempt.number = static_cast<std::uint32_t>(statement.number(1));
+    attempt.number = static_cast<std::uint32_t>(statement.column_int64(1));
     std::tie(attempt.engine, attempt.kind) = names_.endpoint_at(endpoint);
-    attempt.engine_id = statement.text(3);
-    attempt.state = state_from<AttemptState>(statement.number(4), decide::kAttemptStates);
-    attempt.sent_after = statement.number(5);
-    attempt.ended_after = statement.number(6);
-    attempt.grant_bytes = statement.number(7);
-    attempt.work = statement.number(8);
-    attempt.peak_bytes = statement.number(9);
-    attempt.spilled_bytes = statement.number(10);
-    attempt.row_bytes = statement.number(11);
-    attempt.whole = statement.number(12) != 0;
-    return statement.number(13) == checksum(request, endpoint, attempt);
+    attempt.engine_id = statement.column_text(3);
+    attempt.state = state_from<AttemptState>(statement.column_int64(4), decide::kAttemptStates);
+    attempt.sent_after = statement.column_int64(5);
+    attempt.ended_after = statement.column_int64(6);
+    attempt.grant_bytes = statement.column_int64(7);
+    attempt.work = statement.column_int64(8);
+    attempt.peak_bytes = statement.column_int64(9);
+    attempt.spilled_bytes = statement.column_int64(10);
+    attempt.row_bytes = statement.column_int64(11);
+    attempt.whole = statement.column_int64(12) != 0;
+    return statement.column_int64(13) == checksum(request, endpoint, attempt);
 }
 
 }  // namespace gatetiller::store
--- a/src/store/schema.cpp
+++ b/src/store/schema.cpp
@@ -51,9 +51,9 @@
 }
 
 StoreFailure migrate_schema(Db& db, bool read_only) {
-    const auto application_id = db.number("PRAGMA application_id");
-    const auto version = db.number("PRAGMA user_version");
-    const auto tables = db.number("SELECT count(*) FROM sqlite_master");
+    const auto application_id = db.query_int64("PRAGMA application_id");
+    const auto version = db.query_int64("PRAGMA user_version");
+    const auto tables = db.query_int64("SELECT count(*) FROM sqlite_master");
     for (const auto* number : {&application_id, &version, &tables})
         if (!*number)
             return {StoreError::corrupt, number->error()};
@@ -66,8 +66,8 @@
     if (read_only)
         return *version == 0 ? empty_file(db.file()) : StoreFailure{};
     Transaction transaction(db);
-    if (transaction.begun())
-        return transaction.begun();
+    if (transaction.begin_failure())
+        return transaction.begin_failure();
     if (auto failure = db.exec("PRAGMA application_id=" + std::to_string(kApplicationId)))
         return failure;
     for (auto step = *version; step < kSchemaVersion; ++step)
--- a/src/store/table_cursor.cpp
+++ b/src/store/table_cursor.cpp
@@ -24,7 +24,7 @@
 void TableCursor::next() {
     for (valid_ = true;;) {
         if (statement_.step()) {
-            const std::int64_t key = statement_.number(0);
+            const std::int64_t key = statement_.column_int64(0);
             if (unreadable_behind_)
                 report_until(key);
             key_ = key;
--- a/tests/dns/dns_test.cpp
+++ b/tests/dns/dns_test.cpp
@@ -54,29 +54,29 @@
 }
 
 TEST(Dns, AnAnswerWithCompressedNamesIsRead) {
-    const auto a = read_answer(answer_message(77), 77, kName);
+    const auto a = parse_response(answer_message(77), 77, kName);
     ASSERT_TRUE(a) << a.error();
     EXPECT_EQ(a->serial, 41u);
-    ASSERT_EQ(a->services.size(), 1u);
-    EXPECT_EQ(a->services[0].target, "s-00c4.east.hosts");
-    EXPECT_EQ(a->services[0].priority, 1);
-    EXPECT_EQ(a->services[0].weight, 40);
-    EXPECT_EQ(a->services[0].port, 5050);
+    ASSERT_EQ(a->srv_records.size(), 1u);
+    EXPECT_EQ(a->srv_records[0].target, "s-00c4.east.hosts");
+    EXPECT_EQ(a->srv_records[0].priority, 1);
+    EXPECT_EQ(a->srv_records[0].weight, 40);
+    EXPECT_EQ(a->srv_records[0].port, 5050);
     EXPECT_EQ(a->addresses.at("s-00c4.east.hosts"), "10.1.0.9");
     EXPECT_EQ(a->texts.at("s-00c4.east.hosts"),
               (std::vector<std::string>{"kind=std", "cell=2", "started=0"}));
 }
 
 TEST(Dns, WhatIsNoGoodAnswerSaysNothing) {
-    EXPECT_FALSE(read_answer(answer_message(77), 78, kName));          // another's
-    EXPECT_FALSE(read_answer(answer_message(77), 77, "_x._tcp.y"));    // to another question
-    EXPECT_FALSE(read_answer(answer_message(77, 0x0400), 77, kName));  // a question itself
-    EXPECT_FALSE(read_answer(answer_message(77, 0x8402), 77, kName));  // reports a failure
-    EXPECT_FALSE(read_answer(answer_message(77, 0x8600), 77, kName));  // says that it was cut
-    EXPECT_FALSE(read_answer(srv_question(77, kName), 77, kName));
+    EXPECT_FALSE(parse_response(answer_message(77), 78, kName));          // another's
+    EXPECT_FALSE(parse_response(answer_message(77), 77, "_x._tcp.y"));    // to another question
+    EXPECT_FALSE(parse_response(answer_message(77, 0x0400), 77, kName));  // a question itself
+    EXPECT_FALSE(parse_response(answer_message(77, 0x8402), 77, kName));  // reports a failure
+    EXPECT_FALSE(parse_response(answer_message(77, 0x8600), 77, kName));  // says that it was cut
+    EXPECT_FALSE(parse_response(encode_srv_query(77, kName), 77, kName));
     const std::string whole = answer_message(77);
     for (std::size_t n = 0; n < whole.size(); ++n)
-        EXPECT_FALSE(read_answer(std::string_view(whole).substr(0, n), 77, kName)) << n;
+        EXPECT_FALSE(parse_response(std::string_view(whole).substr(0, n), 77, kName)) << n;
 }
 
 TEST(Dns, ChangedBytesNeverHarm) {
@@ -87,7 +87,7 @@
         std::string bad = whole;
         for (std::uint64_t n = 1 + random.below(4); n > 0; --n)
             bad[12 + random.below(bad.size() - 12)] = static_cast<char>(random.next());
-        read += static_cast<bool>(read_answer(bad, 77, kName));
+        read += static_cast<bool>(parse_response(bad, 77, kName));
     }
     EXPECT_GT(read, 0);  // a changed letter or weight can't be told from a good one
 }
--- a/tests/front/ledger_test.cpp
+++ b/tests/front/ledger_test.cpp
@@ -68,14 +68,14 @@
             const auto life = q.name ? lives.find(q.name->life) : lives.end();
             count(decide::settle_alone(q, life == lives.end() ? nullptr : &life->second));
         };
-        const auto f = books.for_each(
+        const auto f = books.for_each_entry(
             [&](const store::AccountEntry& e) {
                 if (!e.account)
-                    return alone(e.logged[0][0]);
+                    return alone(e.events_by_attempt[0][0]);
                 s.by_id[e.account->request.id] = *e.account;
-                for (std::size_t i = 0; i < e.logged.size(); ++i)
-                    count(decide::settle(e.account->request, e.account->attempts[i], e.logged[i]));
-                for (const auto& q : e.unmatched)
+                for (std::size_t i = 0; i < e.events_by_attempt.size(); ++i)
+                    count(decide::settle(e.account->request, e.account->attempts[i], e.events_by_attempt[i]));
+                for (const auto& q : e.unmatched_events)
                     alone(q);
             },
             [&](std::string text) {
@@ -162,7 +162,7 @@
     const auto again = settle(w.events + w.events);
     EXPECT_EQ(again.findings, s.findings);
     EXPECT_EQ(again.work, s.work);
-    EXPECT_EQ(again.journal.events_known, again.journal.events);
+    EXPECT_EQ(again.journal.known_events, again.journal.events);
     w.expect_no_violations();
 }
 
--- a/tests/fuzz/platform_fuzz.cpp
+++ b/tests/fuzz/platform_fuzz.cpp
@@ -34,8 +34,8 @@
         }
         default:
             if (bytes.size() >= 2)
-                (void)dns::read_answer(bytes, static_cast<std::uint16_t>(data[1] << 8 | data[2]),
-                                       "_work._tcp.fleet.local");
+                (void)dns::parse_response(bytes, static_cast<std::uint16_t>(data[1] << 8 | data[2]),
+                                          "_work._tcp.fleet.local");
     }
     return 0;
 }
--- a/tests/node/discovery_test.cpp
+++ b/tests/node/discovery_test.cpp
@@ -161,7 +161,7 @@
                 first = second = bytes;
             });
         ASSERT_TRUE(asker) << asker.error();
-        (*asker)->send(settings.dns, dns::srv_question(1, "_work._tcp.fleet.local"));
+        (*asker)->send(settings.dns, dns::encode_srv_query(1, "_work._tcp.fleet.local"));
         ASSERT_TRUE(until([&] {
             return !first.empty();
         }));
--- a/tests/soak/planted.cpp
+++ b/tests/soak/planted.cpp
@@ -56,8 +56,8 @@
         return update;
     }
     discovery::DnsPollSettings poll_settings(discovery::DnsPollSettings settings) const override {
-        settings.renews_port = !planted("one_port");
-        settings.backs_off_from_first_silence = planted("slow_questions");
+        settings.renew_port = !planted("one_port");
+        settings.back_off_after_every_poll = planted("slow_questions");
         return settings;
     }
     bool follows_restarted_numbering() const override {
--- a/tests/store/accounting_store_test.cpp
+++ b/tests/store/accounting_store_test.cpp
@@ -137,14 +137,14 @@
             const auto record = q.name ? records.find(q.name->life) : records.end();
             count(settle_alone(q, record == records.end() ? nullptr : &record->second));
         };
-        ASSERT_FALSE(store.for_each(
+        ASSERT_FALSE(store.for_each_entry(
             [&](const AccountEntry& e) {
                 if (!e.account)
-                    return count_event(e.logged[0][0]);
+                    return count_event(e.events_by_attempt[0][0]);
                 ++requests;
-                for (std::size_t i = 0; i < e.logged.size(); ++i)
-                    count(settle(e.account->request, e.account->attempts[i], e.logged[i]));
-                for (const auto& q : e.unmatched)
+                for (std::size_t i = 0; i < e.events_by_attempt.size(); ++i)
+                    count(settle(e.account->request, e.account->attempts[i], e.events_by_attempt[i]));
+                for (const auto& q : e.unmatched_events)
                     count_event(q);
             },
             [](const std::string& text) {
@@ -173,8 +173,8 @@
     EXPECT_EQ(c->problems[0], "e1.jsonl:2: not a query-completed event: not a JSON object");
     EXPECT_NE(c->problems[1].find("e1.jsonl:3"), std::string::npos);
     EXPECT_NE(c->problems[2].find("spilledBytes"), std::string::npos);
-    EXPECT_EQ(*store.ledger().db().number("SELECT work FROM events"), 61'500'000);
-    EXPECT_EQ(*store.ledger().db().number("SELECT ended FROM events"), 1'793'491'200'000'000);
+    EXPECT_EQ(*store.ledger().db().query_int64("SELECT work FROM events"), 61'500'000);
+    EXPECT_EQ(*store.ledger().db().query_int64("SELECT ended FROM events"), 1'793'491'200'000'000);
 }
 
 // Kept by what is known of the row, not by who came last.
@@ -207,8 +207,8 @@
         ASSERT_FALSE(store.open(":memory:"));
         ASSERT_TRUE(store.collect_ledger(copy_first ? copy : file));
         ASSERT_TRUE(store.collect_ledger(copy_first ? file : copy));
-        EXPECT_EQ(*store.ledger().db().number("SELECT count(*) FROM requests"), 1);
-        EXPECT_EQ(*store.ledger().db().number("SELECT state FROM requests"),
+        EXPECT_EQ(*store.ledger().db().query_int64("SELECT count(*) FROM requests"), 1);
+        EXPECT_EQ(*store.ledger().db().query_int64("SELECT state FROM requests"),
                   static_cast<int>(RequestState::served));
     }
     std::filesystem::remove_all(folder);
--- a/tests/store/ledger_contents.hpp
+++ b/tests/store/ledger_contents.hpp
@@ -59,7 +59,7 @@
 };
 inline LedgerContents read_ledger(Ledger& ledger) {
     LedgerContents contents;
-    const auto f = ledger.for_each(
+    const auto f = ledger.for_each_request(
         [&](const RequestAccount& account) {
             const bool fresh =
                 contents.accounts
--- a/tests/store/ledger_test.cpp
+++ b/tests/store/ledger_test.cpp
@@ -19,7 +19,7 @@
     Batch draw(Random& random, std::uint32_t& next) {
         requests = with_last, work = work_with_last;
         Batch b;
-        b.wall = kWall + next * 1000;
+        b.complete_until = kWall + next * 1000;
         for (auto n = random.below(12) + 1; n > 0; --n) {
             const bool fresh = with_last.empty() || random.chance(0.5);
             const auto number = fresh ? ++next : static_cast<std::uint32_t>(random.below(next) + 1);
--- a/tests/store/ledger_writer_test.cpp
+++ b/tests/store/ledger_writer_test.cpp
@@ -200,7 +200,7 @@
     {
         Db db;
         ASSERT_FALSE(db.open(temp.file, {}));
-        page = *db.number("SELECT rootpage FROM sqlite_master WHERE name='requests'");
+        page = *db.query_int64("SELECT rootpage FROM sqlite_master WHERE name='requests'");
     }
     // Every page but the first few is spoilt in its head, as a torn block would leave some of them.
     const auto size = static_cast<std::int64_t>(std::filesystem::file_size(temp.file));
@@ -324,8 +324,8 @@
     db.close();
     EXPECT_EQ(read_ledger(temp.file, false).accounts.size(), 1u);
     ASSERT_FALSE(db.open(temp.file, {}));
-    EXPECT_EQ(*db.number("PRAGMA user_version"), kSchemaVersion);
-    EXPECT_EQ(*db.number("SELECT count(*) FROM events"), 0);
+    EXPECT_EQ(*db.query_int64("PRAGMA user_version"), kSchemaVersion);
+    EXPECT_EQ(*db.query_int64("SELECT count(*) FROM events"), 0);
     ASSERT_FALSE(db.exec("PRAGMA user_version=99"));
     db.close();
     auto writer = open(kSecondIncarnation);
--- a/tests/store/stored_data_test.cpp
+++ b/tests/store/stored_data_test.cpp
@@ -71,11 +71,11 @@
         ASSERT_EQ(incarnations.size(), 2u);
         EXPECT_EQ(incarnations[0].name, kKilledIncarnation);
         EXPECT_EQ(incarnations[0].front, "office-1");
-        EXPECT_EQ(incarnations[0].last, kKilledFrom);
-        EXPECT_EQ(incarnations[0].ended, 0);
+        EXPECT_EQ(incarnations[0].last_commit_at, kKilledFrom);
+        EXPECT_EQ(incarnations[0].ended_at, 0);
         EXPECT_EQ(incarnations[1].name, kEndedIncarnation);
-        EXPECT_EQ(incarnations[1].began, kNextBegan);
-        EXPECT_EQ(incarnations[1].ended, kOrderlyEnd);
+        EXPECT_EQ(incarnations[1].started_at, kNextBegan);
+        EXPECT_EQ(incarnations[1].ended_at, kOrderlyEnd);
     }
     static void expect_gaps_of_version_2(Ledger& ledger) {
         std::vector<std::pair<std::string, LedgerGap>> gaps;
@@ -94,7 +94,7 @@
 
 LedgerContents read_ledger(Ledger& ledger) {
     LedgerContents contents;
-    const auto failure = ledger.for_each(
+    const auto failure = ledger.for_each_request(
         [&](const RequestAccount& account) {
             contents.add(account);
         },
@@ -138,7 +138,7 @@
     ASSERT_FALSE(ledger.begin_incarnation("00000000000000a1", "office-1", kOrderlyEnd + 1, recovered));
     EXPECT_EQ(recovered.requests_interrupted, 0);
     EXPECT_EQ(recovered.attempts_interrupted, 0);
-    EXPECT_FALSE(recovered.killed);
+    EXPECT_FALSE(recovered.killed_gap);
     read_ledger(ledger).expect_those_of_version_2();
 }
 
@@ -149,20 +149,21 @@
     LedgerContents contents;
     std::map<SettlementFinding, int> findings;
     std::map<std::string, Micros> work_by_user;
-    const auto failure = accounts.for_each(
+    const auto failure = accounts.for_each_entry(
         [&](const AccountEntry& entry) {
             if (!entry.account) {
-                const decide::LoggedQuery& query = entry.logged.at(0).at(0);
+                const decide::LoggedQuery& query = entry.events_by_attempt.at(0).at(0);
                 const auto settled = decide::settle_alone(query, nullptr);
                 ++findings[settled.finding];
                 work_by_user[query.user] += settled.work;
                 return;
             }
-            EXPECT_TRUE(entry.unmatched.empty());
+            EXPECT_TRUE(entry.unmatched_events.empty());
             const RequestAccount& account = *entry.account;
             contents.add(account);
             for (std::size_t i = 0; i < account.attempts.size(); ++i) {
-                const auto settled = decide::settle(account.request, account.attempts[i], entry.logged[i]);
+                const auto settled =
+                    decide::settle(account.request, account.attempts[i], entry.events_by_attempt[i]);
                 ++findings[settled.finding];
                 work_by_user[account.request.who->user] += settled.work;
             }
@@ -195,7 +196,7 @@
     ASSERT_TRUE(collected) << collected.error();
     EXPECT_EQ(collected->requests, 0);
     EXPECT_EQ(collected->attempts, 0);
-    EXPECT_EQ(collected->known, 9);
+    EXPECT_EQ(collected->known_requests, 9);
     EXPECT_TRUE(collected->problems.empty());
 }
 
