--- a/src/discovery/dns_endpoint_source.cpp
+++ b/src/discovery/dns_endpoint_source.cpp
@@ -9,12 +9,12 @@
 namespace gatetiller::discovery {
 namespace {
 
-constexpr std::size_t kIdBytes = 2;  // at the head of every message
+constexpr std::size_t kIdBytes = 2;  // message id at the start of the header
 constexpr std::size_t kMaxOpenPorts = 4;
 constexpr double kSrvWeightPerShare = 10;
-constexpr Micros kInjectedBackoffFactor = 6;  // times `backoff_poll_interval`
+constexpr Micros kInjectedBackoffFactor = 6;  // multiple of `backoff_poll_interval`
 
-// "key=value" of a TXT record; unknown keys are ignored.
+// Applies a "key=value" string of a TXT record; unknown keys are ignored.
 void apply_text(decide::DiscoveredEndpoint& endpoint, std::string_view text) {
     const std::size_t equals = text.find('=');
     if (equals == std::string_view::npos)
@@ -29,7 +29,7 @@
         endpoint.started_at = to_number<std::int64_t>(value).value_or(0) * kMillisecond;
 }
 
-// The endpoint of an SRV record; its target is "name.zone.domain".
+// Returns the endpoint of an SRV record, whose target is "name.zone.domain".
 Result<decide::DiscoveredEndpoint> endpoint_of(const dns::SrvRecord& service, const dns::Response& answer) {
     decide::DiscoveredEndpoint endpoint;
     const std::string& target = service.target;
@@ -53,7 +53,7 @@
     return endpoint;
 }
 
-// Fails where a service lacks its zone or its address.
+// Fails if a record lacks its zone or its address.
 Result<std::vector<decide::DiscoveredEndpoint>> endpoints_of(const dns::Response& answer) {
     std::vector<decide::DiscoveredEndpoint> endpoints;
     for (const auto& service : answer.srv_records) {
@@ -123,7 +123,7 @@
     while (!pending_polls_.empty() && pending_polls_.front().sent_at < now - settings_.response_lifetime)
         pending_polls_.pop_front();
     const bool port_is_due = unanswered_polls_ > 0 && unanswered_polls_ % settings_.attempts_per_port == 0;
-    // Where no descriptor is left for a new port, the old one stays in use.
+    // If no descriptor is left for a new port, the old one remains in use.
     if (port_is_due && settings_.renew_port)
         (void)open_port();
     close_old_ports();
@@ -144,18 +144,19 @@
     });
 }
 
-// Between two polls where the server responds. The growth with the size bounds what a long list costs.
+// Interval between polls while the server responds. Its growth with the response size bounds the traffic of
+// long lists.
 Micros DnsEndpointSource::steady_interval() const {
     const Micros by_size = settings_.poll_interval * static_cast<Micros>(response_bytes_) /
                            static_cast<Micros>(settings_.typical_response_bytes);
     const Micros usual = std::max(settings_.poll_interval, std::min(by_size, settings_.max_poll_interval));
-    // A silent server is not a slow one, whatever it was before.
+    // A server that no longer responds does not count as slow, even if its last round trip was long.
     const bool responds = loop_.now() - last_response_at_ <= round_trip_ + settings_.slow_poll_interval;
     const bool slow = round_trip_ > settings_.poll_interval && responds;
     return slow ? std::max(usual, settings_.slow_poll_interval) : usual;
 }
 
-// From a poll to the next one, where no response comes.
+// Delay until the next poll if this one is not answered.
 Micros DnsEndpointSource::delay_after_poll() const {
     if (settings_.back_off_after_every_poll)
         return kInjectedBackoffFactor * settings_.backoff_poll_interval;
@@ -200,14 +201,14 @@
     round_trip_ = last_response_at_ - poll.sent_at;
     unanswered_polls_ = 0;
     response_bytes_ = message.size();
-    // A response to an earlier poll says nothing of the latest one, which stays due.
+    // A response to an earlier poll doesn't answer the latest one, whose repetition stays scheduled.
     if (answers_latest_poll)
         schedule_poll(std::max<Micros>(0, poll.sent_at + steady_interval() - last_response_at_));
     if (update)
         events_.on_update(*update);
 }
 
-// Reports a malformed response and returns nothing for it.
+// Returns nothing for a malformed response, which is reported.
 std::optional<ReceivedUpdate> DnsEndpointSource::parse(const PendingPoll& poll, std::string_view message) {
     const auto answer = dns::parse_response(message, poll.id, service_name_);
     if (!answer) {
--- a/src/discovery/endpoint_cache.cpp
+++ b/src/discovery/endpoint_cache.cpp
@@ -7,7 +7,7 @@
 namespace gatetiller::discovery {
 namespace {
 
-// The names of the states in an engine list, as config::read_engine_list reads them.
+// Names of the states in an engine list, as parsed by config::read_engine_list.
 const char* list_name_of(EndpointState state) {
     switch (state) {
         case EndpointState::ready:
--- a/src/discovery/endpoint_cache.hpp
+++ b/src/discovery/endpoint_cache.hpp
@@ -1,6 +1,5 @@
-// The last endpoint list that a front received, cached in a file for its next start while the list's source
-// is unavailable. A front starts without it as well: a file that is missing, truncated or of another form is
-// an error for the log only.
+// Caches the last endpoint list that a front received in a file, for a start while the source of the list is
+// unavailable. A front also starts without it: a missing, truncated or malformed file is only logged.
 #pragma once
 
 #include <string>
@@ -10,11 +9,11 @@
 
 namespace gatetiller::discovery {
 
-// Replaces the file atomically, so that a kill at any moment leaves the old or the new list. Fails, with
-// errno as the code, where the file cannot be written.
+// Replaces the file atomically: if the process is killed, the file contains either the old or the new list.
+// Fails, with errno as the code, if the file can't be written.
 Result<bool> save_cached_endpoints(const std::string& file, const std::vector<config::EngineSettings>& list);
 
-// Fails where the file cannot be read or does not hold a complete list.
+// Fails if the file can't be read or doesn't contain a complete list.
 Result<std::vector<config::EngineSettings>> load_cached_endpoints(const std::string& file);
 
 }  // namespace gatetiller::discovery
--- a/src/discovery/endpoint_source.cpp
+++ b/src/discovery/endpoint_source.cpp
@@ -15,8 +15,8 @@
 constexpr int kStatusOk = 200;
 constexpr int kStatusNotModified = 304;
 
-// Reads the whole file at each poll: its time stamp does not show two replacements within the resolution of
-// the clock. A file that is being written fails to parse, and the last list stays in force.
+// Reads the complete file at each poll: its modification time doesn't distinguish two replacements within the
+// resolution of the clock. A file that is being written fails to parse, and the last list remains in effect.
 class FileEndpointSource final : public EndpointSource {
 public:
     FileEndpointSource(net::Loop& loop, std::string file, Micros poll_interval)
@@ -144,7 +144,7 @@
     std::string entity_tag_;
     Micros poll_interval_;
     bool available_ = true;
-    bool poll_requested_ = false;  // by poll(), which gets its answer whether or not the list changed
+    bool poll_requested_ = false;  // by poll(), which is answered even if the list is unchanged
     std::vector<config::EngineSettings> last_list_;
     Events events_;
     net::TimerId poll_timer_ = 0;
--- a/src/discovery/endpoint_source.hpp
+++ b/src/discovery/endpoint_source.hpp
@@ -1,5 +1,5 @@
-// Endpoint discovery of a front: from a watched file or from an HTTP list polled with entity tags. Each
-// source reports complete lists only; while it is unavailable, the last list stays in force.
+// Endpoint discovery of a front, from a watched file or from a list polled over HTTP with entity tags. A
+// source reports complete lists only; while it is unavailable, the last list remains in effect.
 #pragma once
 
 #include <functional>
@@ -16,23 +16,23 @@
 class EndpointSource {
 public:
     struct Events {
-        // The complete list: when it changed, when the source is available again, and as the answer to
+        // Receives the complete list when it changed, when the source is available again, and in response to
         // poll().
         std::function<void(std::vector<config::EngineSettings>)> on_list;
-        // The source became unavailable, and why: once until it is available again, and as the answer to
-        // poll().
+        // Receives the reason when the source becomes unavailable, once until it is available again, and in
+        // response to poll().
         std::function<void(std::string reason)> on_unavailable;
     };
 
     virtual ~EndpointSource() = default;
-    // Polls at once and then at the interval of the settings.
+    // Polls immediately and then at the configured interval.
     virtual void start(Events events) = 0;
-    // Polls now rather than when it is due. No effect while a poll is in flight.
+    // Polls immediately. No effect while a poll is in flight.
     virtual void poll() = 0;
 };
 
-// The source that the settings name, or null where they name none. `instance_name` is sent to an HTTP list as
-// part of the user agent. The loop outlives the source.
+// Creates the configured source, or returns null if none is configured. `instance_name` is part of the user
+// agent sent to an HTTP source. The loop must outlive the source.
 std::unique_ptr<EndpointSource> make_endpoint_source(net::Loop& loop, const config::RosterSettings& settings,
                                                      const std::string& instance_name);
 
--- a/src/dns/dns.cpp
+++ b/src/dns/dns.cpp
@@ -21,7 +21,8 @@
     return out;
 }
 
-// The records of one section, one call each; false where one can't be read.
+// Calls `take` for each record of a section. Returns false if a record can't be parsed or is rejected by
+// `take`.
 template <typename Take>
 bool each(ns_msg& message, ns_sect section, Take take) {
     for (int i = 0; i < ns_msg_count(message, section); ++i) {
@@ -47,7 +48,7 @@
     std::string out;
     put_big_endian(out, id, 2);
     for (const unsigned word : {0u, 1u, 0u, 0u, 0u})
-        put_big_endian(out, word, 2);  // a plain query with one question
+        put_big_endian(out, word, 2);  // flags and counts of a standard query with one question
     out += encode_name(name);
     put_big_endian(out, ns_t_srv, 2);
     put_big_endian(out, ns_c_in, 2);
--- a/src/dns/dns.hpp
+++ b/src/dns/dns.hpp
@@ -1,6 +1,6 @@
-// dns: the few messages of RFC 1035 and 2782 that a list of services needs: a question for SRV records and
-// its answer with SOA, A and TXT records. Reading is glibc's resolver library's (libresolv), which checks
-// every length and compressed name; nothing of the system's own resolver is asked.
+// The DNS messages needed for service discovery (RFC 1035, RFC 2782): a query for SRV records, and its
+// response with SOA, A and TXT records. Parsing uses glibc's resolver library (libresolv), which checks every
+// length and compressed name; the system's resolver is not queried.
 #pragma once
 
 #include <cstdint>
@@ -13,21 +13,21 @@
 
 namespace gatetiller::dns {
 
-std::string encode_name(std::string_view name);  // as labels, not compressed
+std::string encode_name(std::string_view name);  // as uncompressed labels
 std::string encode_srv_query(std::uint16_t id, const std::string& name);
 
 struct SrvRecord {
     std::uint16_t priority = 0, weight = 0, port = 0;
-    std::string target;  // lower case, without the last dot
+    std::string target;  // lower case, without the trailing dot
 };
 struct Response {
-    std::uint32_t serial = 0;  // of the SOA record in the authority section
+    std::uint32_t serial = 0;  // serial of the SOA record in the authority section
     std::vector<SrvRecord> srv_records;
-    std::map<std::string, std::string> addresses;           // A records by owner
-    std::map<std::string, std::vector<std::string>> texts;  // TXT records by owner
+    std::map<std::string, std::string> addresses;           // A records by owner name
+    std::map<std::string, std::vector<std::string>> texts;  // TXT records by owner name
 };
-// The answer to the question with that id and name. An error where it is another's, cut short, reports a
-// failure, lacks its serial or can't be read: it says nothing then.
+// Parses the response to the query with this id and name. Fails if the message answers another query, is
+// truncated or malformed, reports an error, or lacks the serial; its records are unusable then.
 Result<Response> parse_response(std::string_view message, std::uint16_t id, const std::string& name);
 
 }  // namespace gatetiller::dns
--- a/src/store/accounting_store.cpp
+++ b/src/store/accounting_store.cpp
@@ -37,7 +37,8 @@
     return query;
 }
 
-// Joins requests with events; both come in the order of incarnation and number, so that each is read once.
+// Merge join of requests and events: both are ordered by incarnation and request number, so each is read
+// once.
 class EntryJoin {
 public:
     EntryJoin(EventCursor& events, const std::function<void(const AccountEntry&)>& visit)
@@ -95,8 +96,8 @@
     AccountEntry entry_;
 };
 
-// An incarnation that was neither ended nor marked by a later one runs still, or was killed for good: what
-// came after its last commit is not here.
+// An incarnation that was neither ended nor marked as killed by a later one is still running, or was killed
+// and not restarted: requests after its last commit are missing.
 void add_open_gap(const Incarnation& incarnation, decide::IncarnationRecord& record) {
     const bool marked = std::any_of(record.gaps.begin(), record.gaps.end(), [](const LedgerGap& gap) {
         return gap.cause == StoreError::killed;
@@ -113,7 +114,7 @@
         return failure;
     if (read_only)
         return {};
-    // What is here can be collected again, so that a loss of power may cost the last chunks.
+    // The data can be collected again, so losing the last chunks in a power failure is acceptable.
     return ledger_.db().exec("PRAGMA synchronous=NORMAL; PRAGMA cache_size=-64000");
 }
 
@@ -144,7 +145,7 @@
     std::string line;
     for (std::int64_t number = 1; std::getline(lines, line); ++number) {
         if (lines.eof())
-            break;  // without its end
+            break;  // incomplete last line
         if (trimmed(line).empty())
             continue;
         const auto event = statement::read_completed(line);
@@ -188,7 +189,7 @@
             record->second->gaps.push_back(gap);
             continue;
         }
-        // Of the whole file: removed by age.
+        // A gap without an incarnation covers the whole file: rows that were removed by age.
         for (const auto& [row, record] : records)
             record->gaps.push_back(gap);
     }
--- a/src/store/accounting_store.hpp
+++ b/src/store/accounting_store.hpp
@@ -1,8 +1,7 @@
-// The accounts of many fronts: rows of their ledgers and the engines' journals, collected into one file of
-// the ledger's form.
+// Collects the ledgers of many fronts and the journals of the engines into one file with the ledger's schema.
 //
-// Collecting is idempotent: the same ledger, a copy of it, or a journal given twice changes nothing, whatever
-// the order; a row that says more replaces one that says less. Not for use by two threads at once.
+// Collecting is idempotent and independent of order: collecting a ledger, a copy of it or a journal twice
+// changes nothing, and a row in a later state replaces one in an earlier state. Not thread-safe.
 #pragma once
 
 #include <functional>
@@ -18,32 +17,32 @@
 
 namespace gatetiller::store {
 
-// A request with what the journals have of it, or one event that belongs to no known request.
+// A request with its journal events, or a single event that belongs to no known request.
 struct AccountEntry {
-    const RequestAccount* account = nullptr;  // none: events_by_attempt[0][0] is the event
-    // By attempt, as in account->attempts.
+    const RequestAccount* account = nullptr;  // null: the entry is the event events_by_attempt[0][0]
+    // Events of each attempt, with the indexes of account->attempts.
     std::vector<std::vector<decide::LoggedQuery>> events_by_attempt;
-    // Events of this request whose attempts the ledger lacks.
+    // Events of this request whose attempt is not in the ledger.
     std::vector<decide::LoggedQuery> unmatched_events;
 };
 
 class AccountingStore {
 public:
-    // Opens or creates the file (see Ledger::open). ":memory:" keeps it in memory.
+    // Opens or creates the file (see Ledger::open). ":memory:" opens a database in memory.
     StoreFailure open(const std::string& file, bool read_only = false);
 
     // See LedgerCollector::collect().
     Result<CollectResult> collect_ledger(const std::string& file);
-    // A journal: one query-completed event a line; `name` stands for it in `problems`. A last line without
-    // its end is left out: its engine was killed while writing it, or is writing it.
+    // Collects a journal, which has one query-completed event per line. `name` identifies it in `problems`. A
+    // last line without a newline is skipped: the engine was killed while writing it, or is still writing it.
     Result<CollectResult> collect_journal(const std::string& name, std::istream& lines);
 
-    // Gives every request in the order of incarnations' names and numbers, and every event that belongs to
-    // none; events that name no attempt come first. What can't be read is reported to `damaged`.
+    // Visits every request, ordered by incarnation name and request number, and every event that belongs to
+    // no request. Events without an attempt tag are visited first. Unreadable data is reported to `damaged`.
     StoreFailure for_each_entry(const std::function<void(const AccountEntry&)>& visit,
                                 const DamageReporter& damaged);
-    // What each incarnation's ledger says of its gaps, by the incarnation's name. One that was neither ended
-    // nor marked as killed gets an open gap behind its last commit.
+    // Adds the gaps and the clock slack of each incarnation to `to`, by incarnation name. An incarnation that
+    // was neither ended nor marked as killed gets an open gap after its last commit.
     StoreFailure incarnations(std::map<std::string, decide::IncarnationRecord>& to);
     Ledger& ledger() {
         return ledger_;
--- a/src/store/chunked_transaction.hpp
+++ b/src/store/chunked_transaction.hpp
@@ -1,12 +1,13 @@
-// A long series of writes as transactions of a bounded number of rows, so that the write-ahead log beside the
-// file stays small.
+// Splits a long series of writes into transactions with a bounded number of rows, which bounds the size of
+// the write-ahead log.
 #pragma once
 
 #include "store/db.hpp"
 
 namespace gatetiller::store {
 
-// Begins at once. What was not committed at its end is rolled back; earlier chunks stay.
+// Begins a transaction on construction. The destructor rolls back an uncommitted chunk; earlier chunks stay
+// committed.
 class ChunkedTransaction {
 public:
     explicit ChunkedTransaction(Db& db) : db_(db), failure_(db.exec("BEGIN IMMEDIATE")) {}
@@ -17,7 +18,7 @@
     ChunkedTransaction(const ChunkedTransaction&) = delete;
     ChunkedTransaction& operator=(const ChunkedTransaction&) = delete;
 
-    // After each row: commits a full chunk and begins the next.
+    // Called after each row. Commits a full chunk and begins the next one.
     StoreFailure on_row_written() {
         if (++rows_ % kRowsPerChunk != 0)
             return failure_;
--- a/src/store/db.cpp
+++ b/src/store/db.cpp
@@ -7,7 +7,7 @@
 namespace gatetiller::store {
 namespace {
 
-constexpr int kBusyTimeoutMilliseconds = 2000;  // while another process commits
+constexpr int kBusyTimeoutMilliseconds = 2000;  // wait for another process to commit
 
 StoreError error_of(int code) {
     switch (code & 0xff) {
@@ -177,7 +177,7 @@
     if (!backup)
         return to.to_failure(sqlite3_errcode(to.handle_));
     int code = SQLITE_OK;
-    // In portions, so that a writer waits for one of them at most.
+    // A writer waits for one step at most.
     do
         code = sqlite3_backup_step(backup, pages_at_once);
     while (code == SQLITE_OK || code == SQLITE_BUSY || code == SQLITE_LOCKED);
--- a/src/store/db.hpp
+++ b/src/store/db.hpp
@@ -1,7 +1,7 @@
-// SQLite for the rest of the package: databases, prepared statements and transactions.
+// SQLite wrapper: databases, prepared statements and transactions.
 //
-// One connection belongs to one thread at a time. Nothing throws: operations return a StoreFailure, in which
-// SQLite's result code has become a StoreError. Source: the pages of SQLite 3.40 on its C interface.
+// A connection may be used by one thread at a time. Nothing throws: operations return a StoreFailure, with
+// SQLite's result code mapped to a StoreError. Source: the SQLite 3.40 documentation of the C interface.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +18,7 @@
 
 class Db;
 
-// A prepared statement. Parameters and columns count from 0. Not to be used after its Db is closed.
+// A prepared statement. Parameters and columns are numbered from 0. Must not be used after its Db is closed.
 class Statement {
 public:
     Statement() = default;
@@ -30,20 +30,20 @@
     // The text is copied.
     Statement& bind(int parameter, std::string_view text);
 
-    // True: it stands on a row, for column_int64() and column_text(). False: done or failed, as failure()
-    // says; it may be bound and stepped again.
+    // Returns true if a row is available to column_int64() and column_text(). Returns false if the statement
+    // is done or failed (see failure()); it can then be bound and stepped again.
     bool step();
-    // Steps to the end, for statements without rows.
+    // Runs a statement that returns no rows to completion.
     StoreFailure run();
-    // Of the last step(), or of Db::prepare().
+    // Failure of the last step(), or of Db::prepare().
     const StoreFailure& failure() const {
         return failure_;
     }
 
-    // A column of the row; 0 or an empty text for NULL.
+    // Value of a column of the current row; 0 or an empty string for NULL.
     std::int64_t column_int64(int column) const;
     std::string column_text(int column) const;
-    // Leaves the row before the end, so that the statement can be bound again.
+    // Resets the statement before its last row, so that it can be bound again.
     void reset();
 
 private:
@@ -57,7 +57,7 @@
 struct OpenOptions {
     bool read_only = false;
     bool create = true;
-    std::string vfs{};  // SQLite's file layer; empty: the system's
+    std::string vfs{};  // name of an SQLite VFS; empty: the default one
 };
 
 // A connection to one database file.
@@ -68,9 +68,10 @@
     Db& operator=(const Db&) = delete;
     ~Db();
 
-    // Errors: no_access where the file can't be opened, and those of its first reading.
+    // Errors: no_access if the file can't be opened, and those of the first read.
     StoreFailure open(const std::string& file, const OpenOptions& options);
-    // Statements are to be destroyed before. The last connection to a file folds its write-ahead log into it.
+    // Statements must be destroyed first. Closing the last connection to a file checkpoints its write-ahead
+    // log.
     void close();
     bool is_open() const {
         return handle_ != nullptr;
@@ -78,17 +79,17 @@
 
     // Runs statements without parameters.
     StoreFailure exec(const std::string& sql);
-    // A failure shows in the statement's failure() and at its step().
+    // A failure is returned by the statement's failure(), and its step() then returns false.
     Statement prepare(const std::string& sql);
-    // The first column of the first row; 0 or an empty text without a row.
+    // Returns the first column of the first row; 0 or an empty string if there is no row.
     Result<std::int64_t> query_int64(const std::string& sql);
     Result<std::string> query_text(const std::string& sql);
 
-    // The row of the last insertion, and the number of rows that the last statement changed.
+    // Row id of the last insertion, and number of rows that the last statement changed.
     std::int64_t last_insert_row() const;
     std::int64_t changed_rows() const;
 
-    // Copies the database, `pages_at_once` at a time, while others write.
+    // Copies the database, `pages_at_once` pages at a time, while other connections may write to it.
     StoreFailure copy_to(const std::string& file, int pages_at_once);
     const std::string& file() const {
         return file_;
@@ -103,7 +104,7 @@
     std::string file_;
 };
 
-// A transaction for writing; rolled back at its end unless it was committed.
+// A write transaction. The destructor rolls it back unless it was committed.
 class Transaction {
 public:
     explicit Transaction(Db& db) : db_(db), begin_failure_(db.exec("BEGIN IMMEDIATE")) {}
@@ -114,7 +115,8 @@
     Transaction(const Transaction&) = delete;
     Transaction& operator=(const Transaction&) = delete;
 
-    // Whether it could not begin: locked where another connection writes for long.
+    // Failure of BEGIN, for example locked if another connection holds the write lock beyond the busy
+    // timeout.
     const StoreFailure& begin_failure() const {
         return begin_failure_;
     }
--- a/src/store/event_cursor.hpp
+++ b/src/store/event_cursor.hpp
@@ -1,4 +1,4 @@
-// Reads the events of the engines' journals (one event a completed query) in the order of their attempts.
+// Reads the events of the engines' journals (one per completed query) in the order of their attempts.
 #pragma once
 
 #include "decide/settlement.hpp"
@@ -6,13 +6,13 @@
 
 namespace gatetiller::store {
 
-// Stands on the first event when it is made. Events that name no attempt come first; then the order is that
-// of incarnation, request and attempt.
+// Positioned on the first event after construction. Events without an attempt tag come first; the others are
+// ordered by incarnation, request and attempt.
 class EventCursor {
 public:
     explicit EventCursor(Db& db);
 
-    // Whether the cursor stands on an event.
+    // Returns whether the cursor is on an event.
     bool valid() const {
         return valid_;
     }
--- a/src/store/failure.hpp
+++ b/src/store/failure.hpp
@@ -1,7 +1,7 @@
-// What a store's operation can fail with, and the texts for it.
+// Failures of store operations, and their messages.
 //
-// `StoreError` (decide/ledger_state.hpp) is what callers decide by; the text is for people: it begins with
-// the file's name, and says what to do where the operator has a choice.
+// Callers decide by `StoreError` (decide/ledger_state.hpp). The text is for operators: it begins with the
+// file name and says what to do if there is a remedy.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 using decide::StoreError;
 
-// Success (`error` is none) or a failure. Converts to true for a failure.
+// Success (`error` is none) or a failure. Converts to true if it is a failure.
 struct StoreFailure {
     StoreError error = StoreError::none;
     std::string text;
@@ -25,17 +25,17 @@
 
 // An operation on a database that is not open: no_access.
 StoreFailure not_open(const std::string& file);
-// A database of another program: foreign.
+// The file is a database of another program: foreign.
 StoreFailure foreign_database(const std::string& file);
-// A ledger of a later schema version than `known`: foreign.
+// The ledger has a schema version later than `known`: foreign.
 StoreFailure unknown_version(const std::string& file, std::int64_t version, std::int64_t known);
-// A file without tables that may not be written: foreign.
+// The file has no tables and was opened read-only: foreign.
 StoreFailure empty_file(const std::string& file);
-// A ledger whose lock another process holds: locked.
+// Another process holds the lock of the ledger: locked.
 StoreFailure locked_by_another(const std::string& file);
-// The lock file can't be opened, for the reason of `error_number` (errno): read_only or no_access.
+// The lock file can't be opened, for the reason in `error_number` (errno): read_only or no_access.
 StoreFailure lock_unavailable(const std::string& lock_file, int error_number);
-// A damaged file that can't be moved away: io.
+// A corrupt file can't be renamed: io.
 StoreFailure quarantine_failed(const std::string& file, const std::string& reason);
 
 }  // namespace gatetiller::store
--- a/src/store/file_lock.hpp
+++ b/src/store/file_lock.hpp
@@ -1,4 +1,4 @@
-// The lock that keeps a second process off a ledger: an advisory lock (flock) on the file `FILE.lock`.
+// Excludes a second process from a ledger by an advisory lock (flock) on the file `FILE.lock`.
 #pragma once
 
 #include <string>
@@ -7,8 +7,8 @@
 
 namespace gatetiller::store {
 
-// Holds at most one lock, until release() or its end. The lock file stays: removing it would let two
-// processes hold locks on different files of one name.
+// Holds at most one lock, until release() or destruction. The lock file is never removed: otherwise two
+// processes could hold locks on different files with the same name.
 class FileLock {
 public:
     FileLock() = default;
@@ -18,8 +18,8 @@
         release();
     }
 
-    // Locks `file`, without waiting; a lock held before is released first. Errors: locked where another
-    // process has it; read_only or no_access where the lock file can't be opened.
+    // Locks `file` without waiting, after releasing any earlier lock. Errors: locked if another process holds
+    // the lock; read_only or no_access if the lock file can't be opened.
     StoreFailure acquire(const std::string& file);
     void release();
 
--- a/src/store/ledger.cpp
+++ b/src/store/ledger.cpp
@@ -8,8 +8,8 @@
 using decide::AttemptState;
 using decide::RequestState;
 
-// What an incarnation may take before it is committed: a flush, a commit, and steps of the clock that are too
-// small to be noticed.
+// Time for which requests may be uncommitted: a flush interval, a commit, and clock steps below the detection
+// threshold.
 constexpr Micros kUncommittedTail = 300 * kMillisecond;
 constexpr int kPagesFreedAtOnce = 1000;
 constexpr int kPagesCopiedAtOnce = 500;
@@ -20,7 +20,7 @@
     close();
     if (auto failure = db_.open(file, {options.read_only, !options.read_only, options.vfs}))
         return failure;
-    // synchronous=FULL: a batch that was committed is on the disk, whatever the machine does next.
+    // synchronous=FULL: a committed batch survives a power failure.
     if (!options.read_only)
         if (auto failure = db_.exec("PRAGMA auto_vacuum=INCREMENTAL; PRAGMA journal_mode=WAL; PRAGMA "
                                     "synchronous=FULL; PRAGMA temp_store=MEMORY;"
@@ -107,10 +107,10 @@
     return add_gap(earlier.back().row, *recovered.killed_gap);
 }
 
-// The checksum of a row covers its state, so that each row is read and written again.
+// The checksum of a row covers its state, so each row has to be read and rewritten.
 template <typename Row, typename State>
 StoreFailure Ledger::mark_interrupted(const char* select_open, State interrupted, std::int64_t& marked) {
-    std::vector<std::pair<std::int64_t, Row>> rows;  // with the incarnation's row
+    std::vector<std::pair<std::int64_t, Row>> rows;  // keyed by the incarnation's row
     auto open = db_.prepare(select_open);
     while (open.step()) {
         const std::int64_t key = open.column_int64(0);
@@ -190,11 +190,11 @@
     if (auto failure = transaction.commit())
         return failure;
     removed = gap.requests;
-    // Freed pages go back to the disk in portions, so that no batch waits long for it.
+    // Freed pages are returned to the file system in small steps, so that no batch waits long.
     return db_.exec("PRAGMA incremental_vacuum(" + std::to_string(kPagesFreedAtOnce) + ")");
 }
 
-// Rows stand in the order of taking, so the oldest come first.
+// Row keys follow the order of receipt, so the oldest requests come first.
 StoreFailure Ledger::select_expired(Micros wall, int max_requests, std::int64_t& last_key, LedgerGap& gap) {
     auto oldest = db_.prepare("SELECT row, taken, state FROM requests ORDER BY row LIMIT ?");
     oldest.bind(0, max_requests);
@@ -222,7 +222,7 @@
     return {};
 }
 
-// One gap, of no incarnation and with no cause, stands for all that was removed by age.
+// A single gap, without incarnation and with cause none, covers all requests removed by age.
 StoreFailure Ledger::grow_expired_gap(const LedgerGap& gap) {
     auto grow = db_.prepare(
         "UPDATE gaps SET since=min(since,?), until=max(until,?), requests=requests+? "
--- a/src/store/ledger.hpp
+++ b/src/store/ledger.hpp
@@ -1,13 +1,12 @@
-// The ledger in its file: every request's account as rows, written in batches, each of which is in the file
-// completely or not at all.
+// The ledger file: rows for every request and its attempts, written in atomic batches.
 //
-// The same file form serves a front (one incarnation after another) and the accounting store (rows of many
-// fronts and the engines' journals, see accounting_store.hpp). An incarnation is one run of a front, from its
-// start to its end or its killing; a request is known by its incarnation and its number in it.
+// A front (one incarnation after another) and the accounting store (rows of many fronts and the engines'
+// journals, see accounting_store.hpp) use the same schema. An incarnation is one run of a front, from its
+// start until it ends or is killed; a request is identified by its incarnation and its number within it.
 //
-// Times are Micros of the wall clock since 1970 unless they are called spans. Operations return a
-// StoreFailure (failure.hpp) and leave the file as it was before a failed one. Not for use by two threads at
-// once; other processes may read while one writes.
+// Times are microseconds of the wall clock since 1970 unless they are called durations. Operations return a
+// StoreFailure (failure.hpp); a failed one leaves the file unchanged. Not thread-safe; other processes may
+// read while one writes.
 #pragma once
 
 #include <functional>
@@ -29,14 +28,14 @@
 
 using decide::LedgerGap;
 
-// What one commit holds.
+// Contents of one commit.
 struct Batch {
-    // Of the rows of one key the last one counts.
+    // The last row of a key takes effect.
     std::vector<std::variant<RequestRow, AttemptRow>> rows;
     std::vector<LedgerGap> gaps;
-    // Steps of the wall clock: when (after the step), and by what span.
+    // Steps of the wall clock: the time after the step, and its size.
     std::vector<std::pair<Micros, Micros>> clock_steps;
-    // Everything until this time is in this batch or in one before.
+    // All updates until this time (wall clock) are in this batch or an earlier one.
     Micros complete_until = 0;
 };
 
@@ -45,19 +44,19 @@
     std::string name;  // 16 hex digits
     std::string front;
     Micros started_at = 0;
-    Micros last_commit_at = 0;  // of the last commit
-    Micros ended_at = 0;        // 0: running, or killed
+    Micros last_commit_at = 0;
+    Micros ended_at = 0;  // 0: still running, or killed
 };
 
-// What a new incarnation finds of those before it.
+// What a new incarnation recovered from earlier ones.
 struct RecoveredState {
     std::int64_t requests_interrupted = 0;
     std::int64_t attempts_interrupted = 0;
-    // Where the last one was killed: the time at its end in which requests may be missing.
+    // Set if the previous incarnation was killed: the interval at its end in which requests may be missing.
     std::optional<LedgerGap> killed_gap;
 };
 
-// A request with its attempts, in the order of their numbers.
+// A request with its attempts, ordered by attempt number.
 struct RequestAccount {
     const Incarnation* incarnation = nullptr;
     RequestRow request;
@@ -65,7 +64,7 @@
 };
 
 struct LedgerOptions {
-    std::string vfs{};  // SQLite's file layer; empty: the system's
+    std::string vfs{};  // name of an SQLite VFS; empty: the default one
     bool read_only = false;
 };
 
@@ -75,57 +74,58 @@
     Ledger(const Ledger&) = delete;
     Ledger& operator=(const Ledger&) = delete;
 
-    // Opens or creates the file and migrates an older version of it (not with read_only). Errors: those of
-    // migrate_schema() and of Db::open().
+    // Opens or creates the file and migrates it from an older schema version (unless read_only). Errors:
+    // those of migrate_schema() and Db::open().
     StoreFailure open(const std::string& file, const LedgerOptions& options);
     void close();
     bool is_open() const {
         return db_.is_open();
     }
 
-    // Begins an incarnation, to which write() adds from then on. Whatever earlier ones had in flight is
-    // marked as interrupted, and the gap of a killed one is added. An existing name is continued, for example
-    // after a front could not reach its file for a while.
+    // Begins the incarnation to which write() adds rows. Requests and attempts that earlier incarnations had
+    // in flight are marked as interrupted, and a gap is added for a killed one. An existing name continues
+    // that incarnation, for example after the file was temporarily inaccessible.
     StoreFailure begin_incarnation(const std::string& name, const std::string& front, Micros wall,
                                    RecoveredState& recovered);
     StoreFailure end_incarnation(Micros wall);
     StoreFailure write(const Batch& batch);
 
-    // Removes the oldest closed requests, taken before `wall`, `max_requests` at most, and adds them to the
-    // gap of what was removed. An open one keeps those behind it. `removed` is 0 once none is left.
+    // Removes at most `max_requests` of the oldest closed requests received before `wall`, and adds them to
+    // the gap of expired requests. Stops at an open request, so later ones are retained. `removed` is 0 once
+    // none is left.
     StoreFailure expire(Micros wall, int max_requests, std::int64_t& removed);
 
-    // The work of one requester in one step of time.
+    // Work of one requester in one interval.
     struct WorkSample {
         std::shared_ptr<const decide::Requester> requester;
-        Micros interval_start = 0;  // begin of the step
-        Micros work = 0;            // span of processor time
+        Micros interval_start = 0;
+        Micros work = 0;  // CPU time
     };
-    // The work of all requests taken since `wall`, by requester and by `step` (a span).
+    // Adds the work of all requests received since `wall` to `to`, by requester and by intervals of `step`.
     StoreFailure work_samples_since(Micros wall, Micros step, std::vector<WorkSample>& to);
 
-    // Copies the file while others write.
+    // Copies the file; other processes may write to it meanwhile.
     StoreFailure snapshot(const std::string& file);
 
-    // Gives all requests in the order of their incarnations' names and their numbers. What can't be read (a
-    // damaged page, a row that doesn't match its checksum) is left out and reported to `damaged`.
+    // Visits all requests, ordered by incarnation name and request number. Unreadable data (a damaged page, a
+    // row that doesn't match its checksum) is skipped and reported to `damaged`.
     StoreFailure for_each_request(const std::function<void(const RequestAccount&)>& visit,
                                   const DamageReporter& damaged);
-    // Gives the requests that have a key and its window, without their attempts.
+    // Visits the requests that have an idempotency key with a window, without their attempts.
     StoreFailure for_each_request_with_key(
         const std::function<void(const Incarnation&, const RequestRow&)>& visit);
 
-    // Each of these adds to `to`: incarnations in the order of their rows,
+    // Adds the incarnations to `to`, ordered by row.
     StoreFailure incarnations(std::vector<Incarnation>& to);
-    // gaps in the order of time, with the front's name,
+    // Adds the gaps to `to`, ordered by time, each with the name of its front.
     StoreFailure gaps(std::vector<std::pair<std::string, LedgerGap>>& to);
-    // and steps of the clock in the order of time, as in Batch.
+    // Adds the steps of the wall clock to `to`, ordered by time, as in Batch.
     StoreFailure clock_steps(std::vector<std::pair<Micros, Micros>>& to);
 
-    // For the accounting store: adds an incarnation of another ledger or extends the known one, and gives its
-    // row here.
+    // For the accounting store: inserts an incarnation of another ledger or extends the existing one, and
+    // sets `row` to its row in this file.
     StoreFailure upsert_incarnation(const Incarnation& incarnation, std::int64_t& row);
-    // Replaces a row, within the caller's transaction.
+    // Inserts or replaces a row within the caller's transaction.
     StoreFailure put(std::int64_t incarnation_row, const RequestRow& request) {
         return codec_.write(incarnation_row, request);
     }
--- a/src/store/ledger_collector.cpp
+++ b/src/store/ledger_collector.cpp
@@ -11,7 +11,7 @@
 Result<CollectResult> LedgerCollector::collect() {
     if (auto failure = from_.open(file_, {"", true}))
         return Error{failure.text};
-    // One view of the ledger for all that follows, while its front goes on writing.
+    // One consistent snapshot for all reads, while the front continues to write.
     if (auto failure = from_.db().exec("BEGIN"))
         return Error{failure.text};
     if (auto failure = from_.incarnations(incarnations_))
@@ -98,7 +98,7 @@
     auto remove_expired = to_.db().prepare("DELETE FROM gaps WHERE cause=0 AND since=?");
     auto gaps = from_.db().prepare("SELECT life,cause,since,until,requests,updates FROM gaps");
     while (gaps.step()) {
-        // The gap of what was removed by age: the same one as at an earlier collection, grown.
+        // The gap of requests removed by age replaces the smaller one of an earlier collection.
         if (gaps.column_int64(1) == static_cast<int>(StoreError::none)) {
             remove_expired.bind(0, gaps.column_int64(2));
             if (auto failure = remove_expired.run())
@@ -114,7 +114,7 @@
     return {};
 }
 
-// Where rows could not be read, any request of the ledger may be missing.
+// If rows are unreadable, any request of the ledger may be missing.
 StoreFailure LedgerCollector::add_damage_gaps() {
     if (result_.problems.empty())
         return {};
--- a/src/store/ledger_collector.hpp
+++ b/src/store/ledger_collector.hpp
@@ -1,5 +1,5 @@
-// Takes one ledger into another file of the ledger's form, by what is known: a row that says more replaces
-// one that says less, so that collecting a ledger twice, or a copy of it, changes nothing.
+// Merges one ledger into another file with the same schema. A row in a later state replaces one in an earlier
+// state, so collecting a ledger twice, or a copy of it, changes nothing.
 #pragma once
 
 #include <cstdint>
@@ -13,24 +13,24 @@
 
 namespace gatetiller::store {
 
-// What a collection came to.
+// Counts and problems of one collection.
 struct CollectResult {
-    std::int64_t requests = 0;        // new ones, and known ones that say more now
-    std::int64_t attempts = 0;        // the same
-    std::int64_t known_requests = 0;  // requests that were there already
+    std::int64_t requests = 0;        // new ones, and known ones in a later state
+    std::int64_t attempts = 0;        // likewise
+    std::int64_t known_requests = 0;  // requests that were already collected
     std::int64_t events = 0;
     std::int64_t known_events = 0;
-    std::vector<std::string> problems;  // rows and lines that could not be read, each with its place
+    std::vector<std::string> problems;  // unreadable rows and lines, each with its location
 };
 
-// For one collection of `file` into `to`.
+// Collects `file` into `to`, once.
 class LedgerCollector {
 public:
     LedgerCollector(Ledger& to, std::string file) : to_(to), file_(std::move(file)) {}
 
-    // An Error where the ledger can't be opened or `to` can't be written. A damaged ledger is collected as
-    // far as it can be read: `problems` says what can't, and each of its incarnations gets a gap over its
-    // length.
+    // Fails if the ledger can't be opened or `to` can't be written. Of a damaged ledger the readable rows are
+    // collected: `problems` lists the unreadable ones, and each incarnation gets a gap over its whole
+    // duration.
     Result<CollectResult> collect();
 
 private:
@@ -47,7 +47,7 @@
     Ledger from_;
     CollectResult result_;
     std::vector<Incarnation> incarnations_;
-    std::map<std::int64_t, std::int64_t> rows_;  // of the incarnations: in `from_` -> in `to_`
+    std::map<std::int64_t, std::int64_t> rows_;  // rows of the incarnations: in `from_` -> in `to_`
     Statement find_request_;
     Statement find_attempt_;
     Statement put_gap_;
--- a/src/store/ledger_read.cpp
+++ b/src/store/ledger_read.cpp
@@ -1,4 +1,4 @@
-// The reading side of Ledger.
+// Read operations of Ledger.
 #include <algorithm>
 #include <map>
 
@@ -7,7 +7,7 @@
 namespace gatetiller::store {
 namespace {
 
-// "INCARNATION.NUMBER", as operators see a request.
+// "INCARNATION.NUMBER": the request name shown to operators.
 std::string request_name(const Incarnation& incarnation, std::int64_t key) {
     return incarnation.name + "." + std::to_string(request_number_of(key));
 }
@@ -52,7 +52,7 @@
 
 StoreFailure Ledger::work_samples_since(Micros wall, Micros step, std::vector<WorkSample>& to) {
     const Micros step_or_one = std::max<Micros>(1, step);
-    // Each row is selected by its own time: steps of the clock may have put rows out of the order of time.
+    // Selects by the time of each row: after clock steps, row keys may not follow the order of time.
     auto rows = db_.prepare(
         "SELECT who, taken/?2, sum(work) FROM requests JOIN attempts ON request=requests.row "
         "WHERE taken>=?1 GROUP BY 1, 2 ORDER BY 2, 1");
@@ -63,7 +63,8 @@
     return rows.failure();
 }
 
-// Takes the attempts of one request from the cursor; those before it have no request and are reported.
+// Reads the attempts of one request from the cursor. Attempts before them belong to no request and are
+// reported.
 std::vector<AttemptRow> Ledger::read_attempts(TableCursor& attempts, const Incarnation& incarnation,
                                               std::int64_t request, const DamageReporter& damaged) {
     std::vector<AttemptRow> found;
@@ -127,7 +128,7 @@
         if (codec_.read(rows, request) && incarnation != by_row.end())
             visit(*incarnation->second, request);
     }
-    // Damaged pages are reported by for_each_request(), which reads past them.
+    // Damaged pages are reported by for_each_request(), which skips them.
     return rows.failure().error == StoreError::corrupt ? StoreFailure{} : rows.failure();
 }
 
--- a/src/store/ledger_writer.cpp
+++ b/src/store/ledger_writer.cpp
@@ -14,11 +14,11 @@
 namespace gatetiller::store {
 namespace {
 
-// How often an empty batch is written, so that an idle incarnation's last commit stays recent.
+// Interval at which empty batches are written, so that the last commit of an idle incarnation stays recent.
 constexpr Micros kIdleWriteInterval = kSecondMicros;
 constexpr int kExpireAtOnce = 2000;   // requests
-constexpr int kThreadNice = 10;       // statements come before rows where cores are short
-constexpr Micros kHistorySteps = 60;  // of the history window
+constexpr int kThreadNice = 10;       // statements take precedence over the ledger when CPU is scarce
+constexpr Micros kHistorySteps = 60;  // intervals in the history window
 
 template <typename Row>
 void append(std::vector<Row>& to, std::vector<Row>& from) {
@@ -125,7 +125,8 @@
 }
 
 void LedgerWriter::start_thread() {
-    // Signals belong to the loop's thread: a thread that doesn't block them could receive them in its place.
+    // Signals must be delivered to the event loop's thread: a thread that doesn't block them could receive
+    // them instead.
     sigset_t all;
     sigset_t before;
     sigfillset(&all);
@@ -149,7 +150,8 @@
 std::vector<std::string> LedgerWriter::finish(Micros now, Micros wall) {
     auto lines = poll(now, wall);
     stop_thread();
-    // With the thread gone both sides are the caller's. A failing store is tried without its pause.
+    // With the thread stopped, the caller may use the writer's state. A failing ledger is retried without
+    // waiting for the retry delay.
     write_pending(std::max(now, state_.retry_at()));
     if (!pending_.rows.empty()) {
         log(rows_lost_message(pending_.rows.size()));
@@ -207,8 +209,8 @@
     pending_.clock_steps.clear();
 }
 
-// Opens the file, or moves a damaged one away, until the ledger can be written. False: not before a later
-// poll().
+// Opens the file, and quarantines a corrupt one, until the ledger can be written. Returns false if that has
+// to wait for a later poll().
 bool LedgerWriter::prepare_to_write(Micros now) {
     using Step = decide::LedgerState::Step;
     for (;;) {
@@ -287,7 +289,7 @@
 }
 
 void LedgerWriter::on_failure(StoreFailure failure, Micros now) {
-    // Only a ledger may be moved away; any other file is the operator's to decide about.
+    // Only a ledger may be quarantined; any other file is left to the operator.
     if (failure.error == StoreError::corrupt && !has_ledger_header(settings_.file))
         failure.error = StoreError::foreign;
     if (state_.on_failed(failure.error, now))
--- a/src/store/ledger_writer.hpp
+++ b/src/store/ledger_writer.hpp
@@ -1,14 +1,14 @@
-// Keeps a front's ledger without holding up the front's event loop.
+// Writes a front's ledger without blocking the front's event loop.
 //
-// Two sides. The loop's side queues rows, which costs a copy, and hands them over at each poll(). The store's
-// side writes what was handed over, a batch at a time, on a thread of its own, or within poll() where no
-// thread was started (tests, virtual time). The store's side reads no clock: time comes with poll().
+// The event loop queues rows, at the cost of a copy, and hands them over at each poll(). The writer writes
+// the rows handed over, one batch at a time, on its own thread, or within poll() if no thread was started
+// (tests, virtual time). The writer reads no clock: poll() passes the time.
 //
-// Bounds: no more than `limits.max_queued_rows` rows wait. A row that doesn't fit is counted, and stands in
-// the ledger as a gap once the store writes again. A row is handed over within `flush_interval`; a killed
-// front loses what was not committed by then, and its next incarnation records that time as a gap.
+// Bounds: at most `limits.max_queued_rows` rows are queued. Rows that don't fit are counted and recorded in
+// the ledger as a gap once it can be written again. A row is handed over within `flush_interval`; a killed
+// front loses uncommitted rows, and its next incarnation records that interval as a gap.
 //
-// Errors never reach the caller: they are counted in status(), and poll() returns their texts for the log.
+// Errors are not returned to the caller: status() shows them, and poll() returns messages for the log.
 #pragma once
 
 #include <atomic>
@@ -25,12 +25,12 @@
 struct LedgerWriterSettings {
     std::string file;
     std::string front;
-    std::string incarnation;  // 16 hex digits that no other incarnation has
+    std::string incarnation;  // 16 hex digits, unique to this incarnation
     Micros flush_interval = 100 * kMillisecond;
-    Micros retention = 0;  // span after which closed requests are removed; 0: never
+    Micros retention = 0;  // age at which closed requests are removed; 0: never
     decide::LedgerLimits limits{};
-    std::string vfs{};          // SQLite's file layer; empty: the system's
-    Micros history_window = 0;  // span of earlier work that is read back at the start; 0: none
+    std::string vfs{};          // name of an SQLite VFS; empty: the default one
+    Micros history_window = 0;  // how much work history is read at the start; 0: none
 };
 
 struct LedgerWriterStatus {
@@ -45,7 +45,7 @@
 class LedgerWriter {
 public:
     explicit LedgerWriter(LedgerWriterSettings settings);
-    // Stops as a kill would: what is queued is not written. See finish().
+    // Stops without writing queued rows, as a kill would. See finish().
     ~LedgerWriter();
     LedgerWriter(const LedgerWriter&) = delete;
     LedgerWriter& operator=(const LedgerWriter&) = delete;
@@ -57,19 +57,19 @@
         return settings_.flush_interval;
     }
 
-    // Position in the queue of the last row of a request or an attempt. Until that row is handed over, a
-    // newer row replaces it, so that what begins and ends within one flush is one row.
+    // Position in the queue of the last row of a request or an attempt. A newer row replaces it until it is
+    // handed over, so that a request that begins and ends within one flush interval is written once.
     struct QueueSlot {
         std::uint64_t flush = 0;
         std::size_t index = 0;
     };
-    // Queues a new request and sets its number. False: the queue is full, the request will not be in the
-    // ledger, and no row of it may be given to update(). `wall`: now, by the wall clock.
+    // Queues a new request and sets its number. Returns false if the queue is full: the request will not be
+    // in the ledger, and update() must not be called for it. `wall`: current time of the wall clock.
     bool add_request(RequestRow& row, Micros wall, QueueSlot& slot);
-    // Queues the next state of a request that was added, or of an attempt of it.
+    // Queues the next state of an added request, or of one of its attempts.
     void update(RequestRow row, Micros wall, QueueSlot& slot);
     void update(AttemptRow row, Micros wall, QueueSlot& slot);
-    // The same as rows of their own, for callers that keep no slot.
+    // Overloads for callers that keep no slot: each call queues a separate row.
     bool add_request(RequestRow& row, Micros wall) {
         QueueSlot unused;
         return add_request(row, wall, unused);
@@ -80,36 +80,36 @@
         update(std::move(row), wall, unused);
     }
 
-    // Hands over what is queued; to be called each `flush_interval`. `now` is monotonic. Returns lines for
-    // the log.
+    // Hands the queued rows to the writer; called every `flush_interval`. `now` is monotonic time. Returns
+    // lines for the log.
     std::vector<std::string> poll(Micros now, Micros wall);
     LedgerWriterStatus status() const;
 
-    // The work of earlier incarnations within `history_window`, once, as soon as the ledger is open; empty
-    // before and after.
+    // Returns the work of earlier incarnations within `history_window` once, after the ledger was opened;
+    // empty before and afterwards.
     std::vector<Ledger::WorkSample> take_work_history();
 
     struct PreviousIncarnation {
-        bool known = false;  // false: the ledger is not open yet
-        // Until when (wall clock) the incarnation before had written, where it was killed.
+        bool known = false;  // false: the ledger has not been opened yet
+        // Wall-clock time of the last commit of the previous incarnation, if that was killed.
         std::optional<Micros> last_commit_before_kill;
     };
     PreviousIncarnation previous_incarnation() const;
 
-    // Starts the thread of the store's side.
+    // Starts the writer thread.
     void start_thread();
-    // Writes what is queued, marks the incarnation as ended, and closes and unlocks the file. A failing store
-    // gets one more try. Returns lines for the log, with what could not be written.
+    // Writes the queued rows, marks the incarnation as ended, and closes and unlocks the file. A failing
+    // ledger gets one more attempt. Returns lines for the log, including the number of rows that were lost.
     std::vector<std::string> finish(Micros now, Micros wall);
 
 private:
-    // The loop's side
+    // Event loop
     template <typename Row>
     void enqueue(Row row, Micros wall, QueueSlot& slot);
     void hand_over(Micros now, Micros wall);
     void stop_thread();
 
-    // The store's side
+    // Writer
     void run_thread();
     void write_pending(Micros now);
     bool prepare_to_write(Micros now);
@@ -123,14 +123,14 @@
 
     LedgerWriterSettings settings_;
 
-    // The loop's side alone
+    // Event loop only
     decide::LedgerIntake intake_;
     decide::ClockStepDetector clock_;
     std::vector<std::variant<RequestRow, AttemptRow>> queue_;
     std::uint32_t last_number_ = 0;
     std::uint64_t flush_ = 1;
 
-    // Both sides, under the mutex
+    // Shared, guarded by mutex_
     mutable std::mutex mutex_;
     std::condition_variable handed_over_;
     Batch shared_;
@@ -146,10 +146,10 @@
     std::int64_t batches_ = 0;
     Micros written_until_ = 0;
 
-    // Rows in shared_ and pending_
+    // Number of rows in shared_ and pending_
     std::atomic<std::size_t> handed_over_rows_ = 0;
 
-    // The store's side alone
+    // Writer only
     decide::LedgerState state_;
     FileLock lock_;
     Ledger ledger_;
--- a/src/store/name_cache.cpp
+++ b/src/store/name_cache.cpp
@@ -5,7 +5,7 @@
 
 using decide::Requester;
 
-constexpr std::size_t kMaxCachedNames = 20'000;  // in each direction
+constexpr std::size_t kMaxCachedNames = 20'000;  // per direction
 
 std::string cache_key(const Requester& requester) {
     std::string key;
@@ -15,7 +15,7 @@
     return key;
 }
 
-// The row that `find` gives, or that `add` makes; both are bound already.
+// Returns the row found by `find`, or added by `add`; both are already bound.
 std::int64_t find_or_add(Db& db, Statement& find, Statement& add, StoreFailure& failure) {
     if (find.step()) {
         const std::int64_t row = find.column_int64(0);
--- a/src/store/name_cache.hpp
+++ b/src/store/name_cache.hpp
@@ -1,5 +1,5 @@
-// Requesters and endpoints in rows of their own, which requests and attempts refer to, and a cache of them in
-// both directions. Bounded: a direction that has grown too large is dropped and looked up again.
+// Tables of requesters and endpoints that requests and attempts refer to by row, with a cache in both
+// directions. The cache is bounded: a direction that has grown too large is cleared and looked up again.
 #pragma once
 
 #include <cstdint>
@@ -18,20 +18,21 @@
 public:
     explicit NameCache(Db& db) : db_(db) {}
 
-    // For writing: prepares its statements. Reading alone needs none.
+    // Prepares the statements for writing; not needed for reading.
     StoreFailure prepare();
-    // Before the database is closed.
+    // Must be called before the database is closed.
     void close();
-    // After a batch was rolled back: rows that it added are gone.
+    // Must be called after a rollback, which removes the rows that the batch added.
     void clear();
 
-    // The row of a requester or an endpoint, added where there is none. With a failure the row means nothing.
+    // Returns the row of a requester or an endpoint, which is added if missing. The result is meaningless if
+    // `failure` is set.
     std::int64_t requester_row(const decide::Requester& requester, StoreFailure& failure);
     std::int64_t endpoint_row(const std::string& name, const std::string& kind, StoreFailure& failure);
 
-    // What stands in a row; empty texts where the row is missing or can't be read.
+    // Returns the contents of a row; empty strings if the row is missing or unreadable.
     std::shared_ptr<const decide::Requester> requester_at(std::int64_t row);
-    // Name and kind of an endpoint; valid until the next call.
+    // Returns the name and kind of an endpoint; valid until the next call.
     const std::pair<std::string, std::string>& endpoint_at(std::int64_t row);
 
 private:
--- a/src/store/row_codec.cpp
+++ b/src/store/row_codec.cpp
@@ -12,7 +12,7 @@
 using decide::AttemptState;
 using decide::RequestState;
 
-// Stored with each row: a change to it makes all earlier rows look damaged.
+// Stored with each row: changing the algorithm makes all existing rows look damaged.
 std::int64_t checksum(std::initializer_list<std::int64_t> numbers,
                       std::initializer_list<std::string_view> texts) {
     static constexpr std::uint64_t kSeed = 0x9e3779b97f4a7c15ULL;
--- a/src/store/row_codec.hpp
+++ b/src/store/row_codec.hpp
@@ -1,8 +1,8 @@
-// Requests and attempts as rows of the tables `requests` and `attempts`, each with a checksum over its
-// columns, so that a row that was damaged in place is noticed.
+// Encodes requests and attempts as rows of the tables `requests` and `attempts`. Each row has a checksum over
+// its columns, which detects rows that were damaged in place.
 //
-// The key of a request's row is its incarnation's row in the upper 32 bits and its number in the lower ones,
-// so that rows stand in the order in which one incarnation took them.
+// The key of a request is the row of its incarnation in the upper 32 bits and its number in the lower 32
+// bits, so that rows of an incarnation are ordered by receipt.
 #pragma once
 
 #include "decide/account.hpp"
@@ -30,21 +30,21 @@
 public:
     explicit RowCodec(Db& db) : db_(db), names_(db) {}
 
-    // For writing: prepares its statements. Reading alone needs none.
+    // Prepares the statements for writing; not needed for reading.
     StoreFailure prepare();
-    // Before the database is closed.
+    // Must be called before the database is closed.
     void close();
-    // After a transaction with write() was rolled back.
+    // Must be called after a transaction with write() was rolled back.
     void on_rolled_back() {
         names_.clear();
     }
 
-    // Replaces the row of the same key.
+    // Inserts the row, or replaces the one with the same key.
     StoreFailure write(std::int64_t incarnation_row, const RequestRow& request);
     StoreFailure write(std::int64_t incarnation_row, const AttemptRow& attempt);
 
-    // Reads the row that `statement` (a SELECT * of the table) stands on. False: it doesn't match its
-    // checksum.
+    // Reads the current row of `statement` (a SELECT * of the table). Returns false if the row doesn't match
+    // its checksum.
     bool read(Statement& statement, RequestRow& request);
     bool read(Statement& statement, AttemptRow& attempt);
 
--- a/src/store/schema.cpp
+++ b/src/store/schema.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::int64_t kApplicationId = 0x67744c31;
 
-// Step n brings a file of version n to version n + 1.
+// Step n migrates a file from version n to version n + 1.
 constexpr std::array<const char*, kSchemaVersion> kMigrationSteps = {
     R"(CREATE TABLE lives(row INTEGER PRIMARY KEY, name TEXT NOT NULL UNIQUE, front TEXT NOT NULL,
          began INTEGER NOT NULL, last INTEGER NOT NULL, ended INTEGER NOT NULL);
@@ -37,7 +37,7 @@
 }  // namespace
 
 bool has_ledger_header(const std::string& file) {
-    // SQLite's file format: application_id stands at offset 68, big-endian.
+    // SQLite file format: application_id is stored at offset 68, big-endian.
     static constexpr std::size_t kIdOffset = 68;
     static constexpr std::size_t kIdEnd = 72;
     std::ifstream in(file, std::ios::binary);
--- a/src/store/schema.hpp
+++ b/src/store/schema.hpp
@@ -1,7 +1,7 @@
 // The schema of a ledger file, and its migration from earlier versions.
 //
-// A file names itself in SQLite's header: application_id says that it is a ledger, user_version is its schema
-// version. A migration step that was released never changes; a new version adds a step.
+// The SQLite header identifies a file: application_id marks it as a ledger, user_version is its schema
+// version. A released migration step never changes; a new version adds a step.
 #pragma once
 
 #include <string>
@@ -12,12 +12,12 @@
 
 constexpr int kSchemaVersion = 2;
 
-// Brings an open file to kSchemaVersion, in one transaction; a new file gets all tables. With `read_only` an
-// older version is left as it is. Errors: foreign for a database of another program, an empty file that may
-// not be written, or a later version; corrupt where the header can't be read.
+// Migrates an open file to kSchemaVersion in one transaction; a new file gets all tables. With `read_only` an
+// older version is left unchanged. Errors: foreign for a database of another program, an empty file opened
+// read-only, or a later version; corrupt if the header can't be read.
 StoreFailure migrate_schema(Db& db, bool read_only);
 
-// Whether the file's header says that it is a ledger, however damaged the rest of it is.
+// Returns whether the file header is that of a ledger, even if the rest of the file is corrupt.
 bool has_ledger_header(const std::string& file);
 
 }  // namespace gatetiller::store
--- a/src/store/table_cursor.hpp
+++ b/src/store/table_cursor.hpp
@@ -1,4 +1,4 @@
-// Reads the rows of one incarnation in a table of requests or attempts, past pages that can't be read.
+// Reads the rows of one incarnation from a table of requests or attempts, skipping unreadable pages.
 #pragma once
 
 #include <functional>
@@ -11,24 +11,24 @@
 
 struct Incarnation;
 
-// Reports a place that can't be read, as text for people.
+// Receives a description of unreadable data, for operators.
 using DamageReporter = std::function<void(std::string)>;
 
-// A cursor in the order of the key. After a read error it goes on behind the last key that was read, by a
-// step that doubles until a row comes again, and reports the range that was left out.
+// A cursor in key order. After a read error it seeks beyond the last key it read, doubling the distance until
+// a row can be read, and reports the skipped range.
 class TableCursor {
 public:
-    // `key_column` holds request keys (row_codec.hpp). `damaged` outlives the cursor.
+    // `key_column` contains request keys (row_codec.hpp). `damaged` must outlive the cursor.
     TableCursor(Db& db, std::string table, const std::string& key_column, const DamageReporter& damaged);
 
-    // Goes to the first row of an incarnation, which outlives the reading of its rows.
+    // Moves to the first row of `incarnation`, which must outlive the reading of its rows.
     void start(const Incarnation& incarnation);
     void next();
-    // Whether the cursor stands on a row.
+    // Returns whether the cursor is on a row.
     bool valid() const {
         return valid_;
     }
-    // The request key of the row.
+    // Request key of the current row.
     std::int64_t key() const {
         return key_;
     }
