--- a/tests/discovery/discovery_test.cpp
+++ b/tests/discovery/discovery_test.cpp
@@ -1,4 +1,4 @@
-// Endpoint sources whose lists change, come late, fail and return; and the cached list.
+// Endpoint sources whose lists change, become unavailable and return; and the cached list.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -54,7 +54,7 @@
         return lists_received == 1;
     }));
     EXPECT_EQ(last_list.size(), 2u);
-    write("{\"engines\": {\"a\"");  // as read while it is being written
+    write("{\"engines\": {\"a\"");  // as read while the file is being written
     ASSERT_TRUE(wait_until([&] {
         return times_unavailable == 1;
     }));
@@ -141,7 +141,8 @@
     EXPECT_EQ(back->at(1).state, EndpointState::draining);
     EXPECT_EQ(back->at(1).address, list[1].address);
     const std::string text = *config::whole_file(file);
-    for (std::size_t n = 0; n + 2 < text.size(); ++n) {  // the last brace and the line's end are not missed
+    // Without its last brace and newline the list is still accepted.
+    for (std::size_t n = 0; n + 2 < text.size(); ++n) {
         std::ofstream(file, std::ios::trunc) << text.substr(0, n);
         EXPECT_FALSE(load_cached_endpoints(file)) << n;
     }
--- a/tests/dns/dns_test.cpp
+++ b/tests/dns/dns_test.cpp
@@ -1,4 +1,4 @@
-// Answers of a name service: with compressed names as real ones send them, cut at each byte, changed.
+// DNS responses: with compressed names, truncated at every byte, and corrupted.
 #include "dns/dns.hpp"
 
 #include <gtest/gtest.h>
@@ -28,7 +28,8 @@
     return out + data;
 }
 
-// One service, its SOA, address and texts; names point back to the question and to the SRV's target.
+// A response with one SRV record, its SOA, A and TXT records; names are compressed to the question and to the
+// SRV target.
 std::string answer_message(std::uint16_t id, int flags = 0x8400) {
     std::string m;
     put(m, id, 2), put(m, static_cast<unsigned>(flags), 2);
@@ -68,11 +69,11 @@
 }
 
 TEST(Dns, WhatIsNoGoodAnswerSaysNothing) {
-    EXPECT_FALSE(parse_response(answer_message(77), 78, kName));          // another's
-    EXPECT_FALSE(parse_response(answer_message(77), 77, "_x._tcp.y"));    // to another question
-    EXPECT_FALSE(parse_response(answer_message(77, 0x0400), 77, kName));  // a question itself
-    EXPECT_FALSE(parse_response(answer_message(77, 0x8402), 77, kName));  // reports a failure
-    EXPECT_FALSE(parse_response(answer_message(77, 0x8600), 77, kName));  // says that it was cut
+    EXPECT_FALSE(parse_response(answer_message(77), 78, kName));          // another message id
+    EXPECT_FALSE(parse_response(answer_message(77), 77, "_x._tcp.y"));    // another question
+    EXPECT_FALSE(parse_response(answer_message(77, 0x0400), 77, kName));  // QR bit not set
+    EXPECT_FALSE(parse_response(answer_message(77, 0x8402), 77, kName));  // RCODE 2 (server failure)
+    EXPECT_FALSE(parse_response(answer_message(77, 0x8600), 77, kName));  // TC bit set
     EXPECT_FALSE(parse_response(encode_srv_query(77, kName), 77, kName));
     const std::string whole = answer_message(77);
     for (std::size_t n = 0; n < whole.size(); ++n)
@@ -89,7 +90,7 @@
             bad[12 + random.below(bad.size() - 12)] = static_cast<char>(random.next());
         read += static_cast<bool>(parse_response(bad, 77, kName));
     }
-    EXPECT_GT(read, 0);  // a changed letter or weight can't be told from a good one
+    EXPECT_GT(read, 0);  // a corrupted letter or weight is undetectable
 }
 
 }  // namespace
--- a/tests/store/accounting_store_test.cpp
+++ b/tests/store/accounting_store_test.cpp
@@ -1,4 +1,4 @@
-// Collecting ledgers and journals: in any order, several times over, from copies.
+// Collecting ledgers and journals in any order, repeatedly, and from copies.
 #include "store/accounting_store.hpp"
 
 #include <gtest/gtest.h>
@@ -20,7 +20,7 @@
 
 constexpr Micros kWall = 1'790'000'000'000'000;
 
-// Ledgers and journals, with what they come to.
+// Ledgers and journals, with the expected findings and totals.
 struct Collection {
     std::vector<std::string> ledgers, journals;
     std::map<SettlementFinding, int> expected;
@@ -28,7 +28,7 @@
     std::size_t requests = 0;
 };
 
-// Two fronts' ledgers and two engines' journals of which each finding is known beforehand.
+// Makes two fronts' ledgers and two engines' journals whose findings are known.
 Collection make_collection(const std::string& folder, Random& random) {
     Collection made;
     made.journals.resize(2);
@@ -93,7 +93,7 @@
                 (void)writer.poll(i, wall);
         }
         (void)writer.finish(0, kWall + 200 * kSecondMicros);
-        // Logged under a number that the ledger never gave.
+        // Logged under a request number that the ledger never assigned.
         log_event(incarnation, 5000, kWall, 7), ++made.expected[SettlementFinding::ledger_lacks];
     }
     log_event("", 0, kWall, 11), ++made.expected[SettlementFinding::direct];
@@ -177,7 +177,7 @@
     EXPECT_EQ(*store.ledger().db().query_int64("SELECT ended FROM events"), 1'793'491'200'000'000);
 }
 
-// Kept by what is known of the row, not by who came last.
+// The later state is kept, whatever the order of collection.
 TEST(AccountingStore, RowThatSaysMoreReplacesTheOther) {
     const std::string folder = ::testing::TempDir() + "books-more-" + std::to_string(::getpid());
     std::filesystem::remove_all(folder);
@@ -197,7 +197,7 @@
         writer.update(r, kWall);
         (void)writer.finish(1, kWall);
     }
-    {  // the copy is taken by another incarnation, which marks the request as interrupted
+    {  // another incarnation continues the copy and marks the request as interrupted
         LedgerWriter writer({copy, "f", "0000000000000002", 100 * kMillisecond});
         (void)writer.poll(0, kWall);
         (void)writer.finish(1, kWall);
--- a/tests/store/fault_vfs.hpp
+++ b/tests/store/fault_vfs.hpp
@@ -1,6 +1,5 @@
-// A layer under SQLite that fails the n-th write, sync, truncation or deletion, or "loses power" there: the
-// write in progress is torn, nothing more gets through, and what was never synced may be gone, in part, in
-// any order.
+// An SQLite VFS that fails the n-th write, sync, truncation or deletion, or simulates a power failure there:
+// the write in progress is torn, later operations fail, and any subset of the unsynced writes may be lost.
 #pragma once
 
 #include <sqlite3.h>
@@ -42,7 +41,8 @@
     FaultVfs(const FaultVfs&) = delete;
     FaultVfs& operator=(const FaultVfs&) = delete;
 
-    // After all connections are closed: what was written since a file's last sync is there or not.
+    // Undoes a random subset of the writes since each file's last sync. Call after all connections are
+    // closed.
     void lose_unsynced() {
         for (auto& [file, undo] : unsynced_) {
             std::fstream f(file, std::ios::in | std::ios::out | std::ios::binary);
@@ -64,8 +64,8 @@
     }
 
     long operations = 0;
-    long fail_at = -1;  // from this operation on ...
-    int failures = 0;   // ... so many fail
+    long fail_at = -1;  // first operation that fails; -1: none
+    int failures = 0;   // number of operations that fail
     int code = SQLITE_IOERR_WRITE;
     long crash_at = -1;
     bool crashed = false;
@@ -91,8 +91,8 @@
         return *reinterpret_cast<File*>(f);
     }
 
-    // One operation that changes something. Not SQLITE_OK: it fails so. Sets `torn` where power is lost in
-    // it.
+    // Counts one modifying operation. Returns the code with which it fails, or SQLITE_OK. Sets `torn` if
+    // power is lost during it.
     int count(bool& torn) {
         if (crashed)
             return SQLITE_IOERR;
@@ -139,7 +139,8 @@
         sqlite3_int64 length = 0;
         mine.real()->pMethods->xFileSize(mine.real(), &length);
         const auto old = static_cast<int>(std::clamp<sqlite3_int64>(length - at, 0, n));
-        Undo u{at, std::string(static_cast<std::size_t>(n), '\0')};  // beyond the end: zeros, as a hole reads
+        // Beyond the end of the file the old contents are zeros, as a hole reads.
+        Undo u{at, std::string(static_cast<std::size_t>(n), '\0')};
         if (old > 0)
             mine.real()->pMethods->xRead(mine.real(), u.before.data(), old, at);
         me.unsynced_[mine.name].push_back(std::move(u));
--- a/tests/store/ledger_contents.hpp
+++ b/tests/store/ledger_contents.hpp
@@ -1,4 +1,4 @@
-// What the tests of the store share: rows with drawn contents, and reading a ledger back.
+// Shared by the store tests: rows with random contents, and reading a ledger back.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -19,9 +19,9 @@
 
 inline const std::string kFirstIncarnation = "00000000000000a1";
 inline const std::string kSecondIncarnation = "00000000000000a2";
-constexpr Micros kWall = 1'790'000'000'000'000;  // when the tests begin, by the wall clock
+constexpr Micros kWall = 1'790'000'000'000'000;  // wall-clock time at the start of a test
 
-// A file's name in a folder of its own, which is removed at the end.
+// A file path in a folder of its own, which is removed on destruction.
 struct TempLedgerFile {
     std::string folder, file;
     explicit TempLedgerFile(const std::string& name)
--- a/tests/store/ledger_test.cpp
+++ b/tests/store/ledger_test.cpp
@@ -1,4 +1,4 @@
-// The ledger's file through a loss of power. Seeds are printed with every failure.
+// The ledger file after a power failure. Seeds are printed with every test failure.
 #include "store/ledger.hpp"
 
 #include <gtest/gtest.h>
@@ -11,7 +11,7 @@
 
 using testing::FaultVfs;
 
-// What a ledger should hold after a number of batches, of which the last may have failed.
+// Expected contents of a ledger after a number of batches, of which the last may have failed.
 struct ExpectedLedger {
     std::map<std::uint32_t, std::pair<RequestState, Micros>> requests, with_last;
     std::map<std::uint32_t, Micros> work, work_with_last;
@@ -49,8 +49,8 @@
     }
 };
 
-// Power lost at a drawn write, 200 times: what was committed is there to the row, what was not is there whole
-// or not at all, and nothing is there twice.
+// Loses power at a random write, 200 times: committed batches are complete, an uncommitted one is complete or
+// absent, and no row is duplicated.
 TEST(LedgerCrash, CommittedRowsSurviveALossOfPowerAtAnyWrite) {
     int hit = 0, torn_kept = 0;
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
@@ -68,7 +68,8 @@
             vfs.crash_at = vfs.operations + static_cast<long>(random.below(120));
             std::uint32_t next = 0;
             for (int i = 0; i < 30 && last; ++i) {
-                // A checkpoint now and then, so that the file itself is also caught half written.
+                // Occasional checkpoints, so that power is also lost while the database file itself is
+                // written.
                 if (random.chance(0.2))
                     (void)ledger.db().exec("PRAGMA wal_checkpoint(TRUNCATE)");
                 last = !ledger.write(model.draw(random, next));
--- a/tests/store/ledger_writer_test.cpp
+++ b/tests/store/ledger_writer_test.cpp
@@ -1,4 +1,4 @@
-// The writer through failing disks, kills and damage. Seeds are printed with every failure.
+// LedgerWriter with failing disks, kills and corrupt files. Seeds are printed with every test failure.
 #include "store/ledger_writer.hpp"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,8 @@
 
 using testing::FaultVfs;
 
-// Every single I/O fails once, in turn: the writer tries again, and nothing is missing or doubled.
+// Fails two consecutive I/O operations, starting at every third one in turn: the writer retries, and no row
+// is missing or duplicated.
 TEST(LedgerWriterFailures, FailureAtAnyWriteDelaysAndLosesNothing) {
     for (const int code : {SQLITE_IOERR_WRITE, SQLITE_FULL, SQLITE_IOERR_FSYNC})
         for (long n = 0;; n += 3) {
@@ -105,7 +106,7 @@
     }
     poll(*first);
     const Micros committed = kWall + now;
-    add_request(*first);  // never handed over
+    add_request(*first);  // never handed to the writer
     first.reset();        // killed
     now += 3 * kSecondMicros;
     auto second = open(kSecondIncarnation);
@@ -187,8 +188,8 @@
     EXPECT_NE(poll(*writer, 2).find("another program"), std::string::npos);
 }
 
-// A page of the requests' table is overwritten. The front goes on with a new file; the old one is read as far
-// as it can be, and what can't is told.
+// Pages of the file are overwritten. The front continues with a new file; the readable rows of the old one
+// are read, and unreadable ranges are reported.
 TEST_F(LedgerWriterTest, DamagedFileIsQuarantinedAndReadAroundTheDamage) {
     auto writer = open(kFirstIncarnation);
     for (int i = 0; i < 900; ++i)
@@ -202,7 +203,7 @@
         ASSERT_FALSE(db.open(temp.file, {}));
         page = *db.query_int64("SELECT rootpage FROM sqlite_master WHERE name='requests'");
     }
-    // Every page but the first few is spoilt in its head, as a torn block would leave some of them.
+    // Corrupts the header of every fifth page except the first ones, like torn blocks.
     const auto size = static_cast<std::int64_t>(std::filesystem::file_size(temp.file));
     {
         std::fstream f(temp.file, std::ios::in | std::ios::out | std::ios::binary);
@@ -225,7 +226,7 @@
     log_lines += poll(*writer, 20);
     EXPECT_EQ(writer->status().error, StoreError::none) << log_lines;
     writer->finish(now, kWall + now);
-    // Whether the writing met the damage or not, every new row is there.
+    // Every new row is present, whether or not a write met the damage.
     const auto after = read_ledger(temp.file);
     EXPECT_EQ(std::count_if(after.accounts.begin(), after.accounts.end(),
                             [](const auto& row) {
@@ -301,7 +302,7 @@
     add_request(*writer);
     poll(*writer);
     EXPECT_EQ(read_ledger(temp.folder + "/copy", false).accounts.size(), 50u);
-    // Restored: the copy in its place, and the next incarnation goes on with it.
+    // Restore: the copy replaces the file, and the next incarnation continues with it.
     writer.reset();
     reader.close();
     for (const char* part : {"", "-wal", "-shm"})
@@ -320,7 +321,8 @@
     }
     Db db;
     ASSERT_FALSE(db.open(temp.file, {}));
-    ASSERT_FALSE(db.exec("DROP TABLE events; DROP TABLE versions; PRAGMA user_version=1"));  // as version 1
+    // The schema of version 1.
+    ASSERT_FALSE(db.exec("DROP TABLE events; DROP TABLE versions; PRAGMA user_version=1"));
     db.close();
     EXPECT_EQ(read_ledger(temp.file, false).accounts.size(), 1u);
     ASSERT_FALSE(db.open(temp.file, {}));
--- a/tests/store/stored_data_test.cpp
+++ b/tests/store/stored_data_test.cpp
@@ -1,4 +1,4 @@
-// Files that earlier versions of the program wrote stay readable, to the row. See data/README.md.
+// Files written by earlier versions of the program stay completely readable. See data/README.md.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -19,11 +19,11 @@
 
 const std::string kKilledIncarnation = "2e95bf413e434afd";
 const std::string kEndedIncarnation = "53b015b7d3eb7a74";
-constexpr Micros kKilledFrom = 1'796'286'848'438'133;  // wall clock, of the last commit
+constexpr Micros kKilledFrom = 1'796'286'848'438'133;  // wall clock, last commit
 constexpr Micros kNextBegan = 1'796'286'848'954'054;   // wall clock
 constexpr Micros kOrderlyEnd = 1'796'286'850'615'812;  // wall clock
 
-// What a ledger file says of its requests and attempts.
+// Requests and attempts of a ledger file.
 struct LedgerContents {
     std::map<RequestState, int> requests;
     std::map<AttemptState, int> attempts;
