--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -252,8 +252,8 @@
 void read_budgets(Reader& r, const PolicySettings& m, BudgetSettings& b) {
     r.required({"teams"});
     r.span("window", b.quota.window);
-    r.span("stay", b.quota.stay);
-    r.number("back_at", b.quota.back_at, 0.1, 1);
+    r.span("stay", b.quota.min_state_duration);
+    r.number("back_at", b.quota.exit_fraction, 0.1, 1);
     r.text("over", b.over);
     if (b.quota.window < kSecondMicros)
         r.wrong("window", "must be at least 1s");
--- a/src/decide/account.cpp
+++ b/src/decide/account.cpp
@@ -29,24 +29,25 @@
 }
 
 const char* name_of(WastedWork w) {
-    static constexpr const char* kNames[kWastes] = {"none", "failed",    "lost", "late",        "called_off",
-                                                    "left", "unfetched", "cut",  "interrupted", "unrecorded"};
+    static constexpr const char* kNames[kWastedWorkKinds] = {"none",        "failed",    "lost",      "late",
+                                                             "called_off",  "left",      "unfetched", "cut",
+                                                             "interrupted", "unrecorded"};
     return kNames[static_cast<int>(w)];
 }
 
-std::string tags_without(std::vector<std::string> tags, const std::string& key) {
+std::string join_tags_without_key(std::vector<std::string> tags, const std::string& key) {
     std::sort(tags.begin(), tags.end());
     std::string out;
     for (const auto& tag : tags)
-        if ((key.empty() || !tag.ends_with("=" + key)) && !tag.starts_with(kAttemptTag))
+        if ((key.empty() || !tag.ends_with("=" + key)) && !tag.starts_with(kAttemptTagPrefix))
             out += (out.empty() ? "" : ",") + tag;
     return out;
 }
 
-bool further(RequestState a, RequestState b) {
+bool supersedes(RequestState a, RequestState b) {
     return knowledge(a) > knowledge(b);
 }
-bool further(AttemptState a, AttemptState b) {
+bool supersedes(AttemptState a, AttemptState b) {
     return knowledge(a) > knowledge(b);
 }
 
@@ -56,13 +57,13 @@
     switch (f.outcome) {
         case AttemptOutcome::succeeded:
         case AttemptOutcome::failed:
-            return f.document ? AttemptState::error : AttemptState::connection_lost;
+            return f.ended_by_document ? AttemptState::error : AttemptState::connection_lost;
         case AttemptOutcome::rejected:
             return AttemptState::rejected;
         case AttemptOutcome::connection_refused:
             return AttemptState::unreachable;
         case AttemptOutcome::connection_reset:
-            return f.document ? AttemptState::error : AttemptState::connection_lost;
+            return f.ended_by_document ? AttemptState::error : AttemptState::connection_lost;
         case AttemptOutcome::timed_out:
             return f.connected ? AttemptState::timed_out : AttemptState::unreachable;
         case AttemptOutcome::cancelled:
@@ -99,12 +100,13 @@
     return WastedWork::failed;
 }
 
-std::string tag_of(const AttemptTag& n) {
-    return kAttemptTag + n.life + "." + std::to_string(n.request) + "." + std::to_string(n.attempt);
+std::string format_attempt_tag(const AttemptTag& n) {
+    return kAttemptTagPrefix + n.incarnation + "." + std::to_string(n.request) + "." +
+           std::to_string(n.attempt);
 }
 
-std::optional<AttemptTag> attempt_of_tag(std::string_view tag) {
-    const std::string_view prefix = kAttemptTag;
+std::optional<AttemptTag> parse_attempt_tag(std::string_view tag) {
+    const std::string_view prefix = kAttemptTagPrefix;
     if (!tag.starts_with(prefix))
         return std::nullopt;
     const auto parts = split(tag.substr(prefix.size()), '.');
--- a/src/decide/account.hpp
+++ b/src/decide/account.hpp
@@ -51,15 +51,15 @@
 };
 
 // A client's tags as one text, sorted; the one that carries its key is left out, as each request has its own.
-std::string tags_without(std::vector<std::string> tags, const std::string& key);
+std::string join_tags_without_key(std::vector<std::string> tags, const std::string& key);
 
 // A request is known everywhere by the life of the front that took it and its number in that life.
 struct RequestRow {
     std::uint32_t number = 0;  // 1 and up, in the order of taking
-    std::shared_ptr<const Requester> who;
-    std::string id, key;    // the statement's id; the client's key, empty: none
-    Micros key_window = 0;  // so long its repeats are dropped; 0: not by key
-    Micros taken = 0;       // wall clock, since 1970
+    std::shared_ptr<const Requester> requester;
+    std::string id, key;     // the statement's id; the client's key, empty: none
+    Micros key_window = 0;   // so long its repeats are dropped; 0: not by key
+    Micros received_at = 0;  // wall clock, since 1970
     RequestState state = RequestState::open;
     bool error = false;  // served with an error of the statement's own
     std::uint32_t attempts = 0;
@@ -76,18 +76,18 @@
     // What the engine had told of it when last it was heard of.
     Micros work = 0;  // of cores
     std::int64_t peak_bytes = 0, spilled_bytes = 0, row_bytes = 0;
-    bool whole = false;  // its last document came: the figures are final
+    bool is_final = false;  // its last document came: the figures are final
 };
 
-bool further(RequestState a, RequestState b);  // a tells more than b, of the same request
-bool further(AttemptState a, AttemptState b);
+bool supersedes(RequestState a, RequestState b);  // a tells more than b, of the same request
+bool supersedes(AttemptState a, AttemptState b);
 
 // How an attempt's end is written down.
 struct AttemptEndRecord {
     AttemptOutcome outcome = AttemptOutcome::succeeded;
-    bool for_client = false;  // its document was the client's answer
-    bool document = false;    // it ended by a document of the engine
-    bool connected = true;    // false: it never got to the engine
+    bool for_client = false;         // its document was the client's answer
+    bool ended_by_document = false;  // it ended by a document of the engine
+    bool connected = true;           // false: it never got to the engine
 };
 AttemptState state_of(const AttemptEndRecord& facts);
 
@@ -104,18 +104,18 @@
     interrupted,          // its front died
     unrecorded,           // no front's ledger has it
 };
-constexpr int kWastes = 10;
+constexpr int kWastedWorkKinds = 10;
 const char* name_of(WastedWork waste);
 WastedWork classify_waste(const RequestRow& request, const AttemptRow& attempt);
 
 // What one attempt's name is in the tag that engines write into their journals.
 struct AttemptTag {
-    std::string life;  // 16 hex digits
+    std::string incarnation;  // 16 hex digits
     std::uint32_t request = 0, attempt = 0;
     friend bool operator==(const AttemptTag&, const AttemptTag&) = default;
 };
-constexpr const char* kAttemptTag = "gatetiller-attempt=";
-std::string tag_of(const AttemptTag& name);
-std::optional<AttemptTag> attempt_of_tag(std::string_view tag);
+constexpr const char* kAttemptTagPrefix = "gatetiller-attempt=";
+std::string format_attempt_tag(const AttemptTag& name);
+std::optional<AttemptTag> parse_attempt_tag(std::string_view tag);
 
 }  // namespace gatetiller::decide
--- a/src/decide/ledger_state.cpp
+++ b/src/decide/ledger_state.cpp
@@ -28,13 +28,14 @@
 }
 
 bool LedgerIntake::admit(std::size_t waiting, Micros wall) {
-    if (static_cast<double>(waiting) < limits_.new_share * static_cast<double>(limits_.max_queued_rows))
+    if (static_cast<double>(waiting) <
+        limits_.new_request_share * static_cast<double>(limits_.max_queued_rows))
         return true;
     lose(wall, true);
     return false;
 }
 
-bool LedgerIntake::update(std::size_t waiting, Micros wall) {
+bool LedgerIntake::admit_update(std::size_t waiting, Micros wall) {
     if (waiting < limits_.max_queued_rows)
         return true;
     lose(wall, false);
@@ -52,10 +53,10 @@
     return g;
 }
 
-LedgerState::Step LedgerState::next(Micros now) const {
-    if (trouble_ == StoreError::corrupt || trouble_ == StoreError::foreign) {
+LedgerState::Step LedgerState::next_step(Micros now) const {
+    if (error_ == StoreError::corrupt || error_ == StoreError::foreign) {
         // A file of something else is never moved: only a ledger that broke.
-        if (trouble_ == StoreError::corrupt && now >= again_at_)
+        if (error_ == StoreError::corrupt && now >= again_at_)
             return Step::quarantine;
         return now >= again_at_ ? Step::open : Step::wait;
     }
@@ -69,16 +70,16 @@
 }
 
 void LedgerState::on_written() {
-    trouble_ = StoreError::none;
+    error_ = StoreError::none;
     pause_ = limits_.retry_delay;
     again_at_ = said_at_ = 0;
 }
 
-bool LedgerState::on_failed(StoreError trouble, Micros now) {
-    const bool aloud = trouble != trouble_ || now - said_at_ >= limits_.log_interval;
-    trouble_ = trouble;
+bool LedgerState::on_failed(StoreError error, Micros now) {
+    const bool aloud = error != error_ || now - said_at_ >= limits_.log_interval;
+    error_ = error;
     // What may have changed under the open file is looked at anew.
-    if (trouble != StoreError::full)
+    if (error != StoreError::full)
         open_ = false;
     again_at_ = now + pause_;
     pause_ = std::min(pause_ * 2, limits_.max_retry_delay);
@@ -88,7 +89,7 @@
 }
 
 void LedgerState::on_quarantined() {
-    trouble_ = StoreError::io;  // until a new one is open and written
+    error_ = StoreError::io;  // until a new one is open and written
     open_ = false, again_at_ = 0;
 }
 
--- a/src/decide/ledger_state.hpp
+++ b/src/decide/ledger_state.hpp
@@ -23,7 +23,7 @@
     killed,     // the front ended without closing it (only in gaps)
     foreign,    // the file is not a ledger, or one of a later version
 };
-const char* name_of(StoreError trouble);
+const char* name_of(StoreError error);
 
 // A stretch of time in which the ledger is not whole.
 struct LedgerGap {
@@ -40,7 +40,7 @@
 
 struct LedgerLimits {
     std::size_t max_queued_rows = 200'000;  // rows in the queue or in a batch that is being tried
-    double new_share = 0.75;  // of it for new requests; the rest is for what written ones come to
+    double new_request_share = 0.75;  // of it for new requests; the rest is for what written ones come to
     Micros retry_delay = 250 * kMillisecond, max_retry_delay = 5 * kSecondMicros;
     Micros log_interval = 60 * kSecondMicros;  // a trouble that stays is told again after so long
 };
@@ -52,13 +52,13 @@
     // A new request. False: it is not in the ledger at all, and none of its rows may be offered.
     bool admit(std::size_t waiting, Micros wall);
     // A row of a request that was admitted.
-    bool update(std::size_t waiting, Micros wall);
+    bool admit_update(std::size_t waiting, Micros wall);
     // The store has caught up with everything that was admitted before: what was lost until here is over.
     std::optional<LedgerGap> take_gap(std::size_t waiting, StoreError cause);
-    bool losing() const {
+    bool has_gap() const {
         return gap_.has_value();
     }
-    std::int64_t lost() const {
+    std::int64_t lost_rows() const {
         return lost_;
     }  // rows in all
 
@@ -80,19 +80,19 @@
     };
     explicit LedgerState(LedgerLimits limits) : limits_(limits), pause_(limits.retry_delay) {}
 
-    Step next(Micros now) const;
+    Step next_step(Micros now) const;
     void on_opened();
     void on_written();  // a batch was committed
     // Opening or writing failed. True: to be said aloud now.
-    bool on_failed(StoreError trouble, Micros now);
+    bool on_failed(StoreError error, Micros now);
     void on_quarantined();  // the damaged file is out of the way
     // Whether rows that failed with this trouble are worth keeping for another try: always, except where the
     // rows themselves can't be written.
     StoreError error() const {
-        return trouble_;
+        return error_;
     }
     bool healthy() const {
-        return trouble_ == StoreError::none;
+        return error_ == StoreError::none;
     }
     Micros retry_at() const {
         return again_at_;
@@ -101,7 +101,7 @@
 private:
     LedgerLimits limits_;
     bool open_ = false;
-    StoreError trouble_ = StoreError::none;
+    StoreError error_ = StoreError::none;
     Micros pause_, again_at_ = 0, said_at_ = 0;
 };
 
--- a/src/decide/money.cpp
+++ b/src/decide/money.cpp
@@ -23,7 +23,7 @@
 
 std::string with_point(Exact units, int decimals) {
     const bool minus = units < 0;
-    std::string digits = whole_text(minus ? -units : units);
+    std::string digits = integer_text(minus ? -units : units);
     if (decimals > 0) {
         if (digits.size() <= static_cast<std::size_t>(decimals))
             digits.insert(0, static_cast<std::size_t>(decimals) + 1 - digits.size(), '0');
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-std::string whole_text(Exact n) {
+std::string integer_text(Exact n) {
     if (n == 0)
         return "0";
     std::string text;
@@ -47,7 +47,7 @@
     return text;
 }
 
-Result<std::int64_t> read_price(std::string_view text) {
+Result<std::int64_t> parse_price(std::string_view text) {
     const auto wrong = [&](const char* why) {
         return Error{"'" + std::string(text) + "' is not a price: " + why +
                      "; write a decimal such as '0.000125'"};
@@ -74,14 +74,15 @@
            u.used_byte_micros * r.gb_second_used + Exact{u.spilled_bytes} * r.gb_spilled * power_of_ten(6);
 }
 
-const Rates* PriceList::at(Micros taken, std::string_view kind) const {
+const Rates* PriceList::rates_at(Micros received_at, std::string_view kind) const {
     for (const Price& p : prices_)
-        if (taken >= p.from && (p.until == 0 || taken < p.until) && (p.kind.empty() || p.kind == kind))
+        if (received_at >= p.from && (p.until == 0 || received_at < p.until) &&
+            (p.kind.empty() || p.kind == kind))
             return &p.rates;
     return nullptr;
 }
 
-std::vector<std::string> rounded(const std::vector<Exact>& parts, int decimals) {
+std::vector<std::string> round_preserving_total(const std::vector<Exact>& parts, int decimals) {
     const Exact unit = power_of_ten(kAmountDecimals - decimals);
     Exact total = 0;
     Exact given = 0;
--- a/src/decide/money.hpp
+++ b/src/decide/money.hpp
@@ -18,7 +18,7 @@
 __extension__ typedef __int128 Exact;  // NOLINT(modernize-use-using): see above
 
 // "0.000125" as 125'000 billionths. More than nine decimals is an error: it could not be kept exactly.
-Result<std::int64_t> read_price(std::string_view text);
+Result<std::int64_t> parse_price(std::string_view text);
 
 struct Rates {  // billionths of the currency
     std::int64_t core_second = 0, gb_second_granted = 0, gb_second_used = 0,
@@ -42,7 +42,7 @@
 public:
     explicit PriceList(std::vector<Price> prices) : prices_(std::move(prices)) {}
     // The first that fits, in the order given. None: nothing was agreed on for that time and kind.
-    const Rates* at(Micros taken, std::string_view kind) const;
+    const Rates* rates_at(Micros received_at, std::string_view kind) const;
 
 private:
     std::vector<Price> prices_;
@@ -50,8 +50,8 @@
 
 // Amounts as decimal text with so many decimals, rounded so that the parts sum to the rounded total: each is
 // rounded down, and the smallest units missing go to those that lost most by it.
-std::vector<std::string> rounded(const std::vector<Exact>& parts, int decimals);
+std::vector<std::string> round_preserving_total(const std::vector<Exact>& parts, int decimals);
 std::string decimal_text(Exact amount, int decimals);  // one alone, rounded half up
-std::string whole_text(Exact number);
+std::string integer_text(Exact number);
 
 }  // namespace gatetiller::decide
--- a/src/decide/quota.cpp
+++ b/src/decide/quota.cpp
@@ -67,7 +67,7 @@
         if (budget <= 0)
             return false;
         const double at =
-            in_state ? settings_.back_at * static_cast<double>(budget) : static_cast<double>(budget);
+            in_state ? settings_.exit_fraction * static_cast<double>(budget) : static_cast<double>(budget);
         return static_cast<double>(t.sum) >= at;
     };
     if (over(t.budget.hard_limit, t.state == QuotaState::over_hard_limit))
@@ -89,7 +89,7 @@
     expire_slots(*t, now);
     const QuotaState next = target_state(*t);
     // Up at once, down only after a while: a team at the brim must not flicker.
-    if (next > t->state || (next < t->state && now - t->since >= settings_.stay))
+    if (next > t->state || (next < t->state && now - t->since >= settings_.min_state_duration))
         enter(*t, next, now);
     return t->state;
 }
@@ -97,18 +97,19 @@
 Micros Quota::retry_after(const std::string& team, Micros now) const {
     const Team* t = find(team);
     if (!t || t->budget.hard_limit <= 0)
-        return settings_.stay;
-    const auto open_at = static_cast<Micros>(settings_.back_at * static_cast<double>(t->budget.hard_limit));
+        return settings_.min_state_duration;
+    const auto open_at =
+        static_cast<Micros>(settings_.exit_fraction * static_cast<double>(t->budget.hard_limit));
     Micros sum = t->sum;
     Micros after = 0;
     for (std::int64_t slot = t->newest - kSlots + 1; slot <= t->newest && sum >= open_at; ++slot) {
         sum -= t->slots[static_cast<std::size_t>((slot % kSlots + kSlots) % kSlots)];
         after = (slot + kSlots) * slot_ - now;  // it has left the window then
     }
-    return std::max(after, settings_.stay);
+    return std::max(after, settings_.min_state_duration);
 }
 
-Micros Quota::use(const std::string& team, Micros now) const {
+Micros Quota::usage(const std::string& team, Micros now) const {
     const Team* t = find(team);
     if (!t)
         return 0;
--- a/src/decide/quota.hpp
+++ b/src/decide/quota.hpp
@@ -38,15 +38,15 @@
 struct QuotaSettings {
     Micros window = Micros{24} * 3600 * kSecondMicros;
     int fronts = 1;
-    double back_at = 0.9;              // of a budget: below this the state is left again
-    Micros stay = 10 * kSecondMicros;  // and not before so long in it
+    double exit_fraction = 0.9;                      // of a budget: below this the state is left again
+    Micros min_state_duration = 10 * kSecondMicros;  // and not before so long in it
 };
 
 class Quota {
 public:
     Quota(QuotaSettings settings, std::vector<Budget> budgets);
 
-    bool any() const {
+    bool has_budgets() const {
         return !teams_.empty();
     }
     // Work of an attempt that ended at `now`. Teams without a budget are passed over.
@@ -57,7 +57,7 @@
     QuotaState state(const std::string& team, Micros now);
     // Until the hard budget would be open again if nothing more were used: never less than the stay.
     Micros retry_after(const std::string& team, Micros now) const;
-    Micros use(const std::string& team, Micros now) const;
+    Micros usage(const std::string& team, Micros now) const;
 
 private:
     static constexpr int kSlots = 60;
--- a/src/decide/routing.cpp
+++ b/src/decide/routing.cpp
@@ -7,13 +7,13 @@
 namespace gatetiller::decide {
 namespace {
 
-bool matches(const Route& route, const Traits& traits) {
-    return pattern_fits(route.user, traits.user) && pattern_fits(route.source, traits.source) &&
-           pattern_fits(route.catalog, traits.catalog) && pattern_fits(route.schema, traits.schema) &&
-           patterns_fit(route.tags, traits.tags);
+bool matches(const Route& route, const StatementTraits& traits) {
+    return pattern_matches(route.user, traits.user) && pattern_matches(route.source, traits.source) &&
+           pattern_matches(route.catalog, traits.catalog) && pattern_matches(route.schema, traits.schema) &&
+           tags_match(route.tags, traits.tags);
 }
 
-std::string value_of(const std::string& from, const Traits& t) {
+std::string value_of(const std::string& from, const StatementTraits& t) {
     if (from == "user")
         return t.user;
     if (from == "source")
@@ -43,14 +43,14 @@
 Router::Router(std::vector<Route> routes, std::vector<std::string> tenants)
     : routes_(std::move(routes)), tenants_(std::move(tenants)) {}
 
-std::optional<Routed> Router::route(const Traits& traits) const {
+std::optional<RoutingResult> Router::route(const StatementTraits& traits) const {
     const auto found = std::find_if(routes_.begin(), routes_.end(), [&](const Route& candidate) {
         return matches(candidate, traits);
     });
     if (found == routes_.end())
         return std::nullopt;
-    Routed to{found->cls, found->tenant, value_of(found->key_from, traits),
-              group_number(value_of(found->group_from, traits))};
+    RoutingResult to{found->cls, found->tenant, value_of(found->key_from, traits),
+                     group_number(value_of(found->group_from, traits))};
     if (to.tenant.empty())
         to.tenant = value_of(found->tenant_from, traits);
     if (!tenants_.empty() && std::find(tenants_.begin(), tenants_.end(), to.tenant) == tenants_.end())
--- a/src/decide/routing.hpp
+++ b/src/decide/routing.hpp
@@ -13,7 +13,7 @@
 namespace gatetiller::decide {
 
 // What a client sent with a statement.
-struct Traits {
+struct StatementTraits {
     std::string user, source, catalog, schema, trace_token;
     std::vector<std::string> tags;
 };
@@ -31,7 +31,7 @@
 };
 
 // The verdict of a Router.
-struct Routed {
+struct RoutingResult {
     std::string cls, tenant, key;
     // A hash of the group's name, the same at every gateway; 0: no group.
     std::int64_t group = 0;
@@ -42,7 +42,7 @@
     Router(std::vector<Route> routes, std::vector<std::string> tenants);
     // By the first route that matches; nothing where none does. A tenant that is not one of `tenants` is
     // replaced by the last of them, the default tenant.
-    std::optional<Routed> route(const Traits& traits) const;
+    std::optional<RoutingResult> route(const StatementTraits& traits) const;
 
 private:
     std::vector<Route> routes_;
--- a/src/decide/teams.cpp
+++ b/src/decide/teams.cpp
@@ -12,10 +12,10 @@
 const std::string kNoTeam;
 
 bool fits(const TeamRule& r, const Requester& w) {
-    if (!pattern_fits(r.tenant, w.tenant) || !pattern_fits(r.user, w.user) ||
-        !pattern_fits(r.source, w.source))
+    if (!pattern_matches(r.tenant, w.tenant) || !pattern_matches(r.user, w.user) ||
+        !pattern_matches(r.source, w.source))
         return false;
-    return patterns_fit(r.tags, split(w.tags, ','));
+    return tags_match(r.tags, split(w.tags, ','));
 }
 
 }  // namespace
@@ -23,7 +23,7 @@
 Teams::Teams(std::vector<TeamRule> rules, std::map<std::string, std::vector<TeamName>> names)
     : rules_(std::move(rules)), names_(std::move(names)) {}
 
-std::vector<Teams::Stretch> Teams::stretches_of(const Requester& who) const {
+std::vector<Teams::Interval> Teams::intervals_of(const Requester& who) const {
     std::vector<const TeamRule*> fitting;
     std::vector<Micros> changes{std::numeric_limits<Micros>::min()};
     for (const TeamRule& r : rules_)
@@ -35,17 +35,17 @@
         }
     std::sort(changes.begin(), changes.end());
     changes.erase(std::unique(changes.begin(), changes.end()), changes.end());
-    std::vector<Stretch> stretches;
+    std::vector<Interval> intervals;
     for (const Micros at : changes) {
         const auto rule = std::find_if(fitting.begin(), fitting.end(), [&](const TeamRule* r) {
             return at >= r->from && (r->until == 0 || at < r->until);
         });
-        stretches.push_back({at, rule == fitting.end() ? kNoTeam : (*rule)->team});
+        intervals.push_back({at, rule == fitting.end() ? kNoTeam : (*rule)->team});
     }
-    return stretches;
+    return intervals;
 }
 
-const std::string& Teams::of(const Requester& who, Micros taken) {
+const std::string& Teams::team_of(const Requester& who, Micros received_at) {
     std::string key;
     for (const std::string* part : {&who.tenant, &who.user, &who.source, &who.tags})
         (key += *part) += '\0';
@@ -53,12 +53,13 @@
     if (found == known_.end()) {
         if (known_.size() >= kKnown)
             known_.clear();
-        found = known_.emplace(std::move(key), stretches_of(who)).first;
+        found = known_.emplace(std::move(key), intervals_of(who)).first;
     }
     const auto& s = found->second;
-    const auto after = std::upper_bound(s.begin(), s.end(), taken, [](Micros at, const Stretch& stretch) {
-        return at < stretch.from;
-    });
+    const auto after =
+        std::upper_bound(s.begin(), s.end(), received_at, [](Micros at, const Interval& interval) {
+            return at < interval.from;
+        });
     return std::prev(after)->team;
 }
 
@@ -71,7 +72,7 @@
     return name;
 }
 
-std::vector<std::string> Teams::formerly(const std::string& team, Micros from, Micros until) const {
+std::vector<std::string> Teams::former_names(const std::string& team, Micros from, Micros until) const {
     std::vector<std::string> before;
     const auto names = names_.find(team);
     if (names == names_.end())
--- a/src/decide/teams.hpp
+++ b/src/decide/teams.hpp
@@ -30,21 +30,21 @@
 
     // The first rule that fits at that time decides; empty where none does. The same requester's answers are
     // remembered as long as `who` lives elsewhere or not: by its content.
-    const std::string& of(const Requester& who, Micros taken);
+    const std::string& team_of(const Requester& who, Micros received_at);
     std::string name_at(const std::string& team, Micros at) const;
     // Names that it bore in [from, until) beside the last one, in the order of time.
-    std::vector<std::string> formerly(const std::string& team, Micros from, Micros until) const;
+    std::vector<std::string> former_names(const std::string& team, Micros from, Micros until) const;
 
 private:
-    struct Stretch {
+    struct Interval {
         Micros from = 0;
         std::string team;
     };
-    std::vector<Stretch> stretches_of(const Requester& who) const;
+    std::vector<Interval> intervals_of(const Requester& who) const;
 
     std::vector<TeamRule> rules_;
     std::map<std::string, std::vector<TeamName>> names_;
-    std::unordered_map<std::string, std::vector<Stretch>> known_;
+    std::unordered_map<std::string, std::vector<Interval>> known_;
 };
 
 }  // namespace gatetiller::decide
--- a/src/front/active_statement.hpp
+++ b/src/front/active_statement.hpp
@@ -78,7 +78,7 @@
 struct ActiveStatement {
     std::string id;
     statement::Submission submission;
-    decide::Routed route;
+    decide::RoutingResult route;
     std::string team;  // whose budget it counts on; empty: none
     // Times of the loop; 0: not yet.
     Micros arrived_at = 0;
--- a/src/front/engine_responses.cpp
+++ b/src/front/engine_responses.cpp
@@ -115,7 +115,7 @@
                                   statement::Document document, const http::Headers& headers) {
     ActiveStatement& statement = attempt.statement;
     const auto verdict = decide::classify_attempt_end(end);
-    attempt.end_record.document = end.kind == decide::AttemptEnd::Kind::answered;
+    attempt.end_record.ended_by_document = end.kind == decide::AttemptEnd::Kind::answered;
     attempt.end_record.connected = was_connected(end.kind);
     if (document.error)
         statement.last_error = document.error->message;
--- a/src/front/ledger_recorder.cpp
+++ b/src/front/ledger_recorder.cpp
@@ -40,15 +40,15 @@
     const auto& context = statement.submission.context;
     const auto& route = statement.route;
     decide::RequestRow row;
-    row.who = std::make_shared<const decide::Requester>(
-        decide::Requester{context.user, context.source, decide::tags_without(context.tags, route.key),
-                          route.cls, route_tenant});
+    row.requester = std::make_shared<const decide::Requester>(
+        decide::Requester{context.user, context.source,
+                          decide::join_tags_without_key(context.tags, route.key), route.cls, route_tenant});
     row.id = statement.id;
     row.key = route.key;
-    row.taken = loop_.wall();
+    row.received_at = loop_.wall();
     if (class_settings.idempotency == Idempotency::keyed)
         row.key_window = class_settings.key_window;
-    statement.in_ledger = writer_->add_request(row, row.taken, statement.ledger_slot);
+    statement.in_ledger = writer_->add_request(row, row.received_at, statement.ledger_slot);
     statement.ledger_number = row.number;
     statement.ledger_row = std::move(row);
 }
@@ -72,7 +72,7 @@
     row.peak_bytes = attempt.stats.peak_memory_bytes;
     row.spilled_bytes = attempt.stats.spilled_bytes;
     row.row_bytes = attempt.row_bytes;
-    row.whole = attempt.end_record.document;
+    row.is_final = attempt.end_record.ended_by_document;
     writer_->update(std::move(row), loop_.wall(), attempt.ledger_slot);
 }
 
@@ -92,8 +92,8 @@
 std::string LedgerRecorder::attempt_tag(const StatementAttempt& attempt) const {
     if (!writer_)
         return "";
-    return decide::tag_of({writer_->incarnation(), attempt.statement.ledger_number,
-                           static_cast<std::uint32_t>(attempt.number)});
+    return decide::format_attempt_tag({writer_->incarnation(), attempt.statement.ledger_number,
+                                       static_cast<std::uint32_t>(attempt.number)});
 }
 
 std::string LedgerRecorder::status_member() const {
--- a/src/front/statement_intake.cpp
+++ b/src/front/statement_intake.cpp
@@ -57,10 +57,11 @@
             "no route takes this statement: user '" + context.user + "', source '" + context.source + "'"};
     AcceptedStatement accepted;
     accepted.route_tenant = route->tenant;
-    if (quota_.any()) {
-        accepted.team = teams_.of(
-            {context.user, context.source, decide::tags_without(context.tags, route->key), "", route->tenant},
-            0);
+    if (quota_.has_budgets()) {
+        accepted.team =
+            teams_.team_of({context.user, context.source,
+                            decide::join_tags_without_key(context.tags, route->key), "", route->tenant},
+                           0);
         const auto state = quota_.state(accepted.team, loop_.now());
         if (state == decide::QuotaState::over_hard_limit)
             return Rejection{RejectionReason::over_budget, kStatusTooManyRequests,
@@ -89,7 +90,8 @@
 }
 
 void StatementIntake::restore_use(const decide::Requester& requester, Micros ago, Micros core_time) {
-    const auto& team = teams_.of({requester.user, requester.source, requester.tags, "", requester.tenant}, 0);
+    const auto& team =
+        teams_.team_of({requester.user, requester.source, requester.tags, "", requester.tenant}, 0);
     quota_.restore(team, loop_.now(), ago, core_time);
 }
 
--- a/src/front/statement_intake.hpp
+++ b/src/front/statement_intake.hpp
@@ -15,9 +15,9 @@
 namespace gatetiller::front {
 
 struct AcceptedStatement {
-    decide::Routed route;      // its tenant is the one that the policy counts
-    std::string route_tenant;  // by the route alone; another one over a soft budget
-    std::string team;          // whose budget it counts on; empty: none
+    decide::RoutingResult route;  // its tenant is the one that the policy counts
+    std::string route_tenant;     // by the route alone; another one over a soft budget
+    std::string team;             // whose budget it counts on; empty: none
     const ClassSettings* class_settings = nullptr;
     Micros time_left = 0;  // until its deadline
 };
--- a/src/lab/books.cpp
+++ b/src/lab/books.cpp
@@ -144,8 +144,8 @@
             const Micros at = from_ + n * step_;
             const bool in_hand = n > o_.requests - o_.in_hand;
             decide::RequestRow r;
-            r.number = static_cast<std::uint32_t>(n), r.taken = at;
-            r.who = who_[random_.below(who_.size())];
+            r.number = static_cast<std::uint32_t>(n), r.received_at = at;
+            r.requester = who_[random_.below(who_.size())];
             r.id = "20261101_000000_" + std::to_string(n) + "_month";
             r.state = in_hand ? decide::RequestState::open : decide::RequestState::served;
             r.attempts = random_.chance(0.1) ? 2 : 1;
@@ -159,7 +159,7 @@
                 a.work = static_cast<Micros>(random_.below(2'000'000)), a.peak_bytes = 64 << 20;
                 a.ended_after = 200'000, a.grant_bytes = 128 << 20;
                 const bool lost = i + 1 < r.attempts;
-                a.whole = !lost && !in_hand;
+                a.is_final = !lost && !in_hand;
                 a.state = in_hand ? decide::AttemptState::in_flight
                           : lost  ? decide::AttemptState::connection_lost
                                   : decide::AttemptState::answered;
@@ -167,8 +167,9 @@
                 if (o_.journal) {
                     const double t = seconds_now();
                     statement::Completed c;
-                    c.id = a.engine_id, c.state = "FINISHED", c.user = r.who->user, c.source = r.who->source;
-                    c.tags = {decide::tag_of({life, r.number, i}), r.who->tags};
+                    c.id = a.engine_id, c.state = "FINISHED", c.user = r.requester->user,
+                    c.source = r.requester->source;
+                    c.tags = {decide::format_attempt_tag({life, r.number, i}), r.requester->tags};
                     c.server = a.engine, c.cpu = a.work, c.peak_memory_bytes = a.peak_bytes;
                     c.created = at, c.ended = at + 200'000;
                     journal << statement::write_completed(c) << '\n';
--- a/src/lab/virtual_day.cpp
+++ b/src/lab/virtual_day.cpp
@@ -312,7 +312,7 @@
             return Error{r.error()};
         result_.report = report::to_json(*r).dump();
         for (const auto& [key, line] : r->lines)
-            result_.charged += line.all_work();
+            result_.charged += line.total_work();
         result_.charged -= r->findings[static_cast<std::size_t>(decide::SettlementFinding::unlogged)].work;
         for (const auto& [front, gap] : r->gaps)
             result_.longest_gap = std::max(result_.longest_gap, gap.to - gap.from);
--- a/src/report/render.cpp
+++ b/src/report/render.cpp
@@ -7,7 +7,7 @@
 namespace gatetiller::report {
 namespace {
 
-using decide::Line;
+using decide::ChargeLine;
 using decide::RequestState;
 using decide::WastedWork;
 
@@ -15,13 +15,13 @@
 
 struct Row {
     std::vector<std::string> group;
-    Line line;
+    ChargeLine line;
 };
 
 // Lines summed by the columns asked for, in the order of their texts; the last row is the total.
 std::vector<Row> rows_of(const Report& r, const std::vector<std::string>& by) {
-    std::map<std::vector<std::string>, Line> sums;
-    Line total;
+    std::map<std::vector<std::string>, ChargeLine> sums;
+    ChargeLine total;
     for (const auto& [key, line] : r.lines) {
         std::vector<std::string> group;
         for (const auto& column : by)
@@ -58,7 +58,7 @@
     std::vector<decide::Exact> parts;
     for (std::size_t i = 0; i + 1 < rows.size(); ++i)
         parts.insert(parts.end(), {rows[i].line.amount[0], rows[i].line.amount[1]});
-    auto texts = decide::rounded(parts, r.decimals);
+    auto texts = decide::round_preserving_total(parts, r.decimals);
     // The total's cells are the sums of what stands above them.
     decide::Exact sums[2] = {0, 0};
     const auto as_units = [](const std::string& text) {
@@ -77,7 +77,7 @@
         texts.push_back(decide::decimal_text(sum * scale, r.decimals));
     std::vector<std::vector<std::string>> all;
     for (std::size_t i = 0; i < rows.size(); ++i) {
-        const Line& l = rows[i].line;
+        const ChargeLine& l = rows[i].line;
         const auto count = [&](RequestState s) {
             return l.requests[static_cast<std::size_t>(s)];
         };
@@ -90,9 +90,9 @@
              {requests, count(RequestState::served), l.errors, count(RequestState::shed),
               count(RequestState::failed), count(RequestState::truncated), count(RequestState::cancelled),
               count(RequestState::abandoned), count(RequestState::interrupted) + count(RequestState::open),
-              l.repeats, l.attempts, l.further})
+              l.repeats, l.attempts, l.additional_attempts})
             cells.push_back(std::to_string(n));
-        for (const Micros t : {served, l.all_work() - served, l.after_leaving})
+        for (const Micros t : {served, l.total_work() - served, l.work_after_disconnect})
             cells.push_back(seconds_text(t));
         cells.push_back(gb_seconds_text(l.granted_byte_micros));
         cells.push_back(gb_seconds_text(l.used_byte_micros));
@@ -218,18 +218,18 @@
         const auto& f = r.findings[static_cast<std::size_t>(i)];
         const auto finding = static_cast<decide::SettlementFinding>(i);
         if (f.queries > 0)
-            rows.push_back({name_of(finding), explained(finding) ? "" : "UNEXPLAINED",
+            rows.push_back({name_of(finding), is_explained(finding) ? "" : "UNEXPLAINED",
                             std::to_string(f.queries), seconds_text(f.work)});
     }
     return rows;
 }
 
 std::vector<std::vector<std::string>> waste_rows(const Report& r) {
-    Line total;
+    ChargeLine total;
     for (const auto& [key, line] : r.lines)
         total += line;
     std::vector<std::vector<std::string>> rows;
-    for (int i = 1; i < decide::kWastes; ++i)
+    for (int i = 1; i < decide::kWastedWorkKinds; ++i)
         if (const Micros t = total.work[static_cast<std::size_t>(i)]; t > 0)
             rows.push_back({name_of(static_cast<WastedWork>(i)), seconds_text(t)});
     return rows;
@@ -254,7 +254,7 @@
                                   statement::utc_text(at)));
     for (const auto& t : r.troubles)
         out.push_back("unreadable: " + t);
-    Line total;
+    ChargeLine total;
     for (const auto& [key, line] : r.lines)
         total += line;
     if (total.unpriced > 0)
@@ -341,7 +341,7 @@
     for (std::size_t i = 0; i + 1 < teams.size(); ++i) {
         team_labels.push_back(teams[i].group[0]);
         by_team.push_back({core_seconds(teams[i].line.work[0]),
-                           core_seconds(teams[i].line.all_work() - teams[i].line.work[0])});
+                           core_seconds(teams[i].line.total_work() - teams[i].line.work[0])});
     }
     std::map<std::string, std::size_t> place;
     for (std::size_t i = 0; i < team_labels.size(); ++i)
@@ -349,7 +349,7 @@
     by_day.assign(dates.size(), std::vector<double>(team_labels.size(), 0));
     for (const auto& [key, line] : r.lines)
         by_day[static_cast<std::size_t>(key.day)][place[r.team_names.at(key.team)]] +=
-            core_seconds(line.all_work());
+            core_seconds(line.total_work());
     std::string out = fmt::format(
         "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>Charge-back {0} to "
         "{1}</title>\n"
--- a/src/report/report.cpp
+++ b/src/report/report.cpp
@@ -6,8 +6,8 @@
 namespace gatetiller::report {
 namespace {
 
-using decide::Line;
-using decide::LineKey;
+using decide::ChargeLine;
+using decide::ChargeLineKey;
 using decide::SettlementFinding;
 using Json = nlohmann::ordered_json;
 
@@ -28,24 +28,24 @@
     return kinds;
 }
 
-Json line_json(const Line& l) {
+Json line_json(const ChargeLine& l) {
     Json requests = Json::object(), work = Json::object();
     for (int i = 0; i < decide::kRequestStates; ++i)
         requests[name_of(static_cast<decide::RequestState>(i))] = l.requests[static_cast<std::size_t>(i)];
-    for (int i = 0; i < decide::kWastes; ++i)
+    for (int i = 0; i < decide::kWastedWorkKinds; ++i)
         work[i == 0 ? "served" : name_of(static_cast<decide::WastedWork>(i))] =
             l.work[static_cast<std::size_t>(i)];
     return {{"requests", std::move(requests)},
             {"errors", l.errors},
             {"repeats", l.repeats},
             {"attempts", l.attempts},
-            {"further_attempts", l.further},
+            {"further_attempts", l.additional_attempts},
             {"unlogged_attempts", l.unlogged},
             {"unpriced_attempts", l.unpriced},
             {"core_microseconds", std::move(work)},
-            {"core_microseconds_after_leaving", l.after_leaving},
-            {"byte_microseconds_granted", decide::whole_text(l.granted_byte_micros)},
-            {"byte_microseconds_used", decide::whole_text(l.used_byte_micros)},
+            {"core_microseconds_after_leaving", l.work_after_disconnect},
+            {"byte_microseconds_granted", decide::integer_text(l.granted_byte_micros)},
+            {"byte_microseconds_used", decide::integer_text(l.used_byte_micros)},
             {"spilled_bytes", {{"served", l.spilled[0]}, {"wasted", l.spilled[1]}}},
             {"row_bytes", l.row_bytes},
             {"amount", {{"served", exact_text(l.amount[0])}, {"wasted", exact_text(l.amount[1])}}}};
@@ -79,7 +79,7 @@
             report.unended.emplace_back(l.front, l.last);
     }
 
-    decide::Repeats repeats;
+    decide::RepeatDetector repeats;
     if (auto f = ledger.for_each_keyed([&](const store::Incarnation& life, const store::RequestRow& r) {
             repeats.add(r, number_of_life[life.name]);
         }))
@@ -94,22 +94,22 @@
     const auto odd = [&](const decide::Settlement& s, const std::string& where, const std::string& engine,
                          const std::string& id, Micros at) {
         const bool asked = std::find(ask.list.begin(), ask.list.end(), s.finding) != ask.list.end();
-        if ((asked || !explained(s.finding)) && report.oddities.size() < ask.most)
-            report.oddities.push_back({s.finding, where, engine, id, at, s.work, s.seen});
+        if ((asked || !is_explained(s.finding)) && report.oddities.size() < ask.most)
+            report.oddities.push_back({s.finding, where, engine, id, at, s.work, s.observed_work});
     };
     const auto alone = [&](const decide::LoggedQuery& q) {
         if (!days.holds(q.created))
             return;
-        const auto record = q.name ? records.find(q.name->life) : records.end();
-        const auto s = settle_alone(q, record == records.end() ? nullptr : &record->second);
+        const auto record = q.attempt_tag ? records.find(q.attempt_tag->incarnation) : records.end();
+        const auto s = settle_unmatched(q, record == records.end() ? nullptr : &record->second);
         const auto kind = kinds.find(q.engine);
-        charges.add_alone({teams.of({q.user, q.source, q.tags, "", ""}, q.created), "(unrecorded)",
-                           kind == kinds.end() ? "-" : kind->second, days.day_of(q.created)},
-                          q, s);
+        charges.add_unmatched({teams.team_of({q.user, q.source, q.tags, "", ""}, q.created), "(unrecorded)",
+                               kind == kinds.end() ? "-" : kind->second, days.day_of(q.created)},
+                              q, s);
         odd(s,
-            q.name
-                ? q.name->life + "." + std::to_string(q.name->request) + "." + std::to_string(q.name->attempt)
-                : "-",
+            q.attempt_tag ? q.attempt_tag->incarnation + "." + std::to_string(q.attempt_tag->request) + "." +
+                                std::to_string(q.attempt_tag->attempt)
+                          : "-",
             q.engine, q.id, q.created);
     };
     std::vector<decide::Settlement> settled;
@@ -119,7 +119,7 @@
         for (const auto& q : e.unmatched)
             alone(q);
         const auto& r = e.account->request;
-        if (!days.holds(r.taken))
+        if (!days.holds(r.received_at))
             return;
         settled.clear();
         for (std::size_t i = 0; i < e.logged.size(); ++i) {
@@ -128,11 +128,12 @@
             odd(settled.back(),
                 e.account->incarnation->name + "." + std::to_string(r.number) + "." +
                     std::to_string(a.number),
-                a.engine, a.engine_id, r.taken);
+                a.engine, a.engine_id, r.received_at);
         }
-        charges.add({teams.of(*r.who, r.taken), r.who->cls, "", days.day_of(r.taken)}, r,
-                    repeats.repeat(number_of_life[e.account->incarnation->name], r.number),
-                    e.account->attempts, settled);
+        charges.add(
+            {teams.team_of(*r.requester, r.received_at), r.requester->cls, "", days.day_of(r.received_at)}, r,
+            repeats.is_repeat(number_of_life[e.account->incarnation->name], r.number), e.account->attempts,
+            settled);
     };
     if (auto f = books.for_each(take, [&](std::string text) {
             report.troubles.push_back(std::move(text));
@@ -154,7 +155,7 @@
         if (report.team_names.contains(key.team))
             continue;
         report.team_names[key.team] = teams.name_at(key.team, days.until() - 1);
-        if (auto before = teams.formerly(key.team, days.from(), days.until()); !before.empty())
+        if (auto before = teams.former_names(key.team, days.from(), days.until()); !before.empty())
             report.formerly[key.team] = std::move(before);
     }
     return report;
@@ -163,7 +164,7 @@
 Json to_json(const Report& r) {
     Json lines = Json::array(), findings = Json::object(), gaps = Json::array(), steps = Json::array(),
          teams = Json::object();
-    Line total;
+    ChargeLine total;
     for (const auto& [key, line] : r.lines) {
         Json j = {{"team", key.team},
                   {"class", key.cls},
@@ -178,7 +179,7 @@
         findings[name_of(static_cast<SettlementFinding>(i))] = {
             {"queries", f.queries},
             {"core_microseconds", f.work},
-            {"explained", explained(static_cast<SettlementFinding>(i))}};
+            {"explained", is_explained(static_cast<SettlementFinding>(i))}};
     }
     for (const auto& [front, g] : r.gaps)
         gaps.push_back({{"front", front},
@@ -214,7 +215,7 @@
 
 bool all_explained(const Report& r) {
     for (int i = 0; i < decide::kFindings; ++i)
-        if (!explained(static_cast<SettlementFinding>(i)) &&
+        if (!is_explained(static_cast<SettlementFinding>(i)) &&
             r.findings[static_cast<std::size_t>(i)].queries > 0)
             return false;
     return r.troubles.empty();
--- a/src/report/report.hpp
+++ b/src/report/report.hpp
@@ -21,7 +21,7 @@
     Calendar calendar;
     std::string currency;
     int decimals = 2;
-    std::map<decide::LineKey, decide::Line> lines;
+    std::map<decide::ChargeLineKey, decide::ChargeLine> lines;
     std::array<decide::FindingTotal, decide::kFindings> findings{};
     std::vector<Oddity> oddities;  // bounded; findings has the whole count
     std::vector<std::pair<std::string, decide::LedgerGap>>
--- a/src/report/settlement.cpp
+++ b/src/report/settlement.cpp
@@ -36,7 +36,7 @@
     r.text(key, text);
     if (text.empty())
         return;
-    const auto price = decide::read_price(text);
+    const auto price = decide::parse_price(text);
     if (price)
         to = *price;
     else
--- a/src/store/accounting_store.cpp
+++ b/src/store/accounting_store.cpp
@@ -17,8 +17,8 @@
     LoggedQuery query;
     std::vector<std::string> tags;
     for (const auto& tag : event.tags) {
-        if (auto name = decide::attempt_of_tag(tag))
-            query.name = std::move(name);
+        if (auto name = decide::parse_attempt_tag(tag))
+            query.attempt_tag = std::move(name);
         else
             tags.push_back(tag);
     }
@@ -26,7 +26,7 @@
     query.id = event.id;
     query.user = event.user;
     query.source = event.source;
-    query.tags = decide::tags_without(std::move(tags), "");
+    query.tags = decide::join_tags_without_key(std::move(tags), "");
     query.error = event.error_name;
     query.created = event.created;
     query.ended = event.ended;
@@ -44,7 +44,7 @@
         : events_(events), visit_(visit) {}
 
     void visit_unnamed_events() {
-        while (events_.valid() && !events_.event().name)
+        while (events_.valid() && !events_.event().attempt_tag)
             visit_event();
     }
     void visit_request(const RequestAccount& account) {
@@ -69,7 +69,7 @@
         return {account.incarnation->name, account.request.number};
     }
     RequestName name_of_event() const {
-        return {events_.event().name->life, events_.event().name->request};
+        return {events_.event().attempt_tag->incarnation, events_.event().attempt_tag->request};
     }
     void visit_event() {
         AccountEntry entry;
@@ -81,7 +81,7 @@
         const LoggedQuery& event = events_.event();
         const auto attempt =
             std::find_if(account.attempts.begin(), account.attempts.end(), [&](const AttemptRow& row) {
-                return row.number == event.name->attempt;
+                return row.number == event.attempt_tag->attempt;
             });
         if (attempt == account.attempts.end())
             entry_.unmatched.push_back(event);
@@ -121,8 +121,8 @@
 }
 
 StoreFailure AccountingStore::put_event(Statement& put, const LoggedQuery& event, bool& inserted) {
-    const auto name = event.name.value_or(decide::AttemptTag{});
-    put.bind(0, name.life).bind(1, name.request).bind(2, name.attempt);
+    const auto name = event.attempt_tag.value_or(decide::AttemptTag{});
+    put.bind(0, name.incarnation).bind(1, name.request).bind(2, name.attempt);
     put.bind(3, event.engine).bind(4, event.id).bind(5, event.user).bind(6, event.source);
     put.bind(7, event.tags).bind(8, event.created).bind(9, event.ended).bind(10, event.work);
     put.bind(11, event.peak_bytes).bind(12, event.spilled_bytes).bind(13, event.row_bytes);
--- a/src/store/event_cursor.cpp
+++ b/src/store/event_cursor.cpp
@@ -15,8 +15,8 @@
         return;
     event_ = {};
     if (auto incarnation = statement_.text(0); !incarnation.empty())
-        event_.name = {std::move(incarnation), static_cast<std::uint32_t>(statement_.number(1)),
-                       static_cast<std::uint32_t>(statement_.number(2))};
+        event_.attempt_tag = {std::move(incarnation), static_cast<std::uint32_t>(statement_.number(1)),
+                              static_cast<std::uint32_t>(statement_.number(2))};
     event_.engine = statement_.text(3);
     event_.id = statement_.text(4);
     event_.user = statement_.text(5);
--- a/src/store/ledger_collector.cpp
+++ b/src/store/ledger_collector.cpp
@@ -68,7 +68,7 @@
     find_request_.reset();
     if (known)
         ++result_.known;
-    if (known && !decide::further(request.state, known_state))
+    if (known && !decide::supersedes(request.state, known_state))
         return {};
     if (auto failure = to_.put(incarnation_row, request))
         return failure;
@@ -82,7 +82,7 @@
     const auto known_state =
         known ? static_cast<AttemptState>(find_attempt_.number(0)) : AttemptState::in_flight;
     find_attempt_.reset();
-    if (known && !decide::further(attempt.state, known_state))
+    if (known && !decide::supersedes(attempt.state, known_state))
         return {};
     if (auto failure = to_.put(incarnation_row, attempt))
         return failure;
--- a/src/store/ledger_writer.cpp
+++ b/src/store/ledger_writer.cpp
@@ -62,7 +62,7 @@
 void LedgerWriter::enqueue(Row row, Micros wall, QueueSlot& slot) {
     if (slot.flush == flush_) {
         std::get<Row>(queue_[slot.index]) = std::move(row);
-    } else if (intake_.update(queue_.size() + handed_over_rows_, wall)) {
+    } else if (intake_.admit_update(queue_.size() + handed_over_rows_, wall)) {
         slot = {flush_, queue_.size()};
         queue_.emplace_back(std::move(row));
     }
@@ -110,7 +110,7 @@
 
 LedgerWriterStatus LedgerWriter::status() const {
     const std::lock_guard guard(mutex_);
-    return {error_,        queue_.size() + handed_over_rows_, intake_.lost(), committed_rows_, batches_,
+    return {error_,        queue_.size() + handed_over_rows_, intake_.lost_rows(), committed_rows_, batches_,
             written_until_};
 }
 
@@ -212,7 +212,7 @@
 bool LedgerWriter::prepare_to_write(Micros now) {
     using Step = decide::LedgerState::Step;
     for (;;) {
-        switch (state_.next(now)) {
+        switch (state_.next_step(now)) {
             case Step::wait:
                 return false;
             case Step::write:
--- a/src/store/row_codec.cpp
+++ b/src/store/row_codec.cpp
@@ -29,7 +29,7 @@
 }
 
 std::int64_t checksum(std::int64_t key, std::int64_t requester, const RequestRow& row) {
-    return checksum({key, requester, row.key_window, row.taken, static_cast<int>(row.state), row.error,
+    return checksum({key, requester, row.key_window, row.received_at, static_cast<int>(row.state), row.error,
                      row.attempts, row.ended_after, row.closed_after},
                     {row.id, row.key});
 }
@@ -37,7 +37,7 @@
 std::int64_t checksum(std::int64_t request, std::int64_t endpoint, const AttemptRow& row) {
     return checksum(
         {request, row.number, endpoint, static_cast<int>(row.state), row.sent_after, row.ended_after,
-         row.grant_bytes, row.work, row.peak_bytes, row.spilled_bytes, row.row_bytes, row.whole},
+         row.grant_bytes, row.work, row.peak_bytes, row.spilled_bytes, row.row_bytes, row.is_final},
         {row.engine_id});
 }
 
@@ -67,7 +67,7 @@
 StoreFailure RowCodec::write(std::int64_t incarnation_row, const RequestRow& request) {
     StoreFailure failure;
     const std::int64_t key = request_key(incarnation_row, request.number);
-    const std::int64_t requester = names_.requester_row(*request.who, failure);
+    const std::int64_t requester = names_.requester_row(*request.requester, failure);
     if (failure)
         return failure;
     write_request_.bind(0, key)
@@ -75,7 +75,7 @@
         .bind(2, request.id)
         .bind(3, request.key)
         .bind(4, request.key_window)
-        .bind(5, request.taken)
+        .bind(5, request.received_at)
         .bind(6, static_cast<int>(request.state))
         .bind(7, static_cast<int>(request.error))
         .bind(8, request.attempts)
@@ -103,7 +103,7 @@
         .bind(9, attempt.peak_bytes)
         .bind(10, attempt.spilled_bytes)
         .bind(11, attempt.row_bytes)
-        .bind(12, static_cast<int>(attempt.whole))
+        .bind(12, static_cast<int>(attempt.is_final))
         .bind(13, checksum(request, endpoint, attempt));
     return write_attempt_.run();
 }
@@ -112,11 +112,11 @@
     const std::int64_t key = statement.number(0);
     const std::int64_t requester = statement.number(1);
     request.number = request_number_of(key);
-    request.who = names_.requester_at(requester);
+    request.requester = names_.requester_at(requester);
     request.id = statement.text(2);
     request.key = statement.text(3);
     request.key_window = statement.number(4);
-    request.taken = statement.number(5);
+    request.received_at = statement.number(5);
     request.state = state_from<RequestState>(statement.number(6), decide::kRequestStates);
     request.error = statement.number(7) != 0;
     request.attempts = static_cast<std::uint32_t>(statement.number(8));
@@ -140,7 +140,7 @@
     attempt.peak_bytes = statement.number(9);
     attempt.spilled_bytes = statement.number(10);
     attempt.row_bytes = statement.number(11);
-    attempt.whole = statement.number(12) != 0;
+    attempt.is_final = statement.number(12) != 0;
     return statement.number(13) == checksum(request, endpoint, attempt);
 }
 
--- a/tests/decide/money_test.cpp
+++ b/tests/decide/money_test.cpp
@@ -11,10 +11,10 @@
 namespace {
 
 TEST(Money, PartsSumToTheTotalAndPricesAreExact) {
-    EXPECT_EQ(*read_price("0.000125"), 125'000);
-    EXPECT_EQ(*read_price("12"), 12'000'000'000);
+    EXPECT_EQ(*parse_price("0.000125"), 125'000);
+    EXPECT_EQ(*parse_price("12"), 12'000'000'000);
     for (const char* wrong : {"", ".5", "1.", "-1", "1e3", "0.0000000001", "1234567890", "0,5"})
-        EXPECT_FALSE(read_price(wrong)) << wrong;
+        EXPECT_FALSE(parse_price(wrong)) << wrong;
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
         Random random(seed);
         std::vector<Exact> parts;
@@ -30,7 +30,7 @@
         }
         const int decimals = static_cast<int>(random.below(10));
         Exact sum = 0;
-        for (const auto& text : rounded(parts, decimals)) {
+        for (const auto& text : round_preserving_total(parts, decimals)) {
             Exact n = 0;
             for (const char c : text)
                 if (c != '.')
@@ -40,7 +40,7 @@
         Exact unit = 1;
         for (int i = decimals; i < 24; ++i)
             unit *= 10;
-        EXPECT_EQ(whole_text(sum), whole_text((total + unit / 2) / unit)) << "seed " << seed;
+        EXPECT_EQ(integer_text(sum), integer_text((total + unit / 2) / unit)) << "seed " << seed;
     }
     EXPECT_EQ(decimal_text(amount_of({kSecondMicros, 0, 0, 0}, {125'000, 0, 0, 0}), 6), "0.000125");
     EXPECT_EQ(
--- a/tests/decide/quota_test.cpp
+++ b/tests/decide/quota_test.cpp
@@ -31,7 +31,7 @@
     EXPECT_EQ(q.state("a", now + back),
               QuotaState::over_soft_limit);  // 105 left: above nine tenths of the soft one
     EXPECT_EQ(q.state("a", now + 70 * kMinute), QuotaState::within_budget);
-    EXPECT_EQ(q.use("a", now + 70 * kMinute), 0);
+    EXPECT_EQ(q.usage("a", now + 70 * kMinute), 0);
 }
 
 // At the brim, use that swings by a hair does not flicker: states last at least the stay.
@@ -103,7 +103,7 @@
         for (const auto& [at, work] : ledger)
             if (now - at >= 58 * kMinute && now - at <= 61 * kMinute)
                 edge += work;
-        EXPECT_NEAR(static_cast<double>(after.use("a", began)), static_cast<double>(before.use("a", now)),
+        EXPECT_NEAR(static_cast<double>(after.usage("a", began)), static_cast<double>(before.usage("a", now)),
                     static_cast<double>(edge))
             << "seed " << seed;
     }
--- a/tests/decide/routing_test.cpp
+++ b/tests/decide/routing_test.cpp
@@ -11,7 +11,7 @@
               {"", "", "", "", {"report", "x*"}, "report", "fixed", "", "", ""},
               {"ann", "", "", "", {}, "short", "", "tag:team=", "trace_token", "catalog"}},
              {"a", "ann", "others"});
-    Traits t{"ann", "batch-7", "cat", "sch", "trace", {"key=k1", "group=g", "team=a"}};
+    StatementTraits t{"ann", "batch-7", "cat", "sch", "trace", {"key=k1", "group=g", "team=a"}};
     auto to = r.route(t);
     EXPECT_EQ(to->cls, "load");
     EXPECT_EQ(to->tenant, "ann");
--- a/tests/front/ledger_test.cpp
+++ b/tests/front/ledger_test.cpp
@@ -62,11 +62,11 @@
             ++s.findings[done.finding];
             s.work[done.waste] += done.work;
             (done.logged ? s.logged : s.charged) += done.work;
-            s.after_leaving += done.after_leaving;
+            s.after_leaving += done.work_after_disconnect;
         };
         const auto alone = [&](const decide::LoggedQuery& q) {
-            const auto life = q.name ? lives.find(q.name->life) : lives.end();
-            count(decide::settle_alone(q, life == lives.end() ? nullptr : &life->second));
+            const auto life = q.attempt_tag ? lives.find(q.attempt_tag->incarnation) : lives.end();
+            count(decide::settle_unmatched(q, life == lives.end() ? nullptr : &life->second));
         };
         const auto f = books.for_each(
             [&](const store::AccountEntry& e) {
@@ -151,11 +151,11 @@
     EXPECT_TRUE(s.ledger.problems.empty() && s.journal.problems.empty());
     int attempts = 0;
     for (const auto& [finding, n] : s.findings) {
-        EXPECT_TRUE(decide::explained(finding)) << name_of(finding) << ": " << n;
+        EXPECT_TRUE(decide::is_explained(finding)) << name_of(finding) << ": " << n;
         attempts += n;
     }
     EXPECT_GT(s.findings.at(SettlementFinding::agreed), 30);
-    EXPECT_GT(s.findings.at(SettlementFinding::unseen_end), 2);
+    EXPECT_GT(s.findings.at(SettlementFinding::end_not_observed), 2);
     EXPECT_GT(attempts, 60);
     EXPECT_EQ(s.logged, logged(w.events));
     // The same again, and the same ledger twice: nothing changes.
@@ -188,7 +188,7 @@
     const auto s = settle(w.events);
     ASSERT_EQ(s.by_id.size(), 1u);
     EXPECT_EQ(s.by_id.begin()->second.request.state, RequestState::cancelled);
-    EXPECT_EQ(s.findings.at(SettlementFinding::unseen_end), 1);
+    EXPECT_EQ(s.findings.at(SettlementFinding::end_not_observed), 1);
     EXPECT_GE(s.work.at(WastedWork::client_disconnected),
               600 * kMillisecond);  // all of it, as the engine ran on to the end
     EXPECT_GT(s.after_leaving, 100 * kMillisecond);
@@ -209,7 +209,7 @@
     writer->finish(w.loop.now(), w.loop.wall());
     const auto s = settle(w.events);
     EXPECT_EQ(s.findings, (std::map<SettlementFinding, int>{{SettlementFinding::agreed, 1}}));
-    EXPECT_EQ(s.by_id.begin()->second.request.who->tags, "x=y");
+    EXPECT_EQ(s.by_id.begin()->second.request.requester->tags, "x=y");
     EXPECT_EQ(w.events.find("0000000000000099"), std::string::npos);
 }
 
--- a/tests/fuzz/completed_fuzz.cpp
+++ b/tests/fuzz/completed_fuzz.cpp
@@ -9,8 +9,8 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const unsigned char* data, std::size_t size) {
     const std::string_view text(reinterpret_cast<const char*>(data), size);
-    if (const auto name = decide::attempt_of_tag(text))
-        if (!(decide::attempt_of_tag(decide::tag_of(*name)) == name))
+    if (const auto name = decide::parse_attempt_tag(text))
+        if (!(decide::parse_attempt_tag(decide::format_attempt_tag(*name)) == name))
             std::abort();
     const auto first = statement::read_completed(text);
     if (!first)
--- a/tests/report/report_test.cpp
+++ b/tests/report/report_test.cpp
@@ -113,10 +113,10 @@
         std::sort(times.begin(), times.end());
         for (const Micros t : times) {
             RequestRow r;
-            r.who = std::make_shared<const decide::Requester>(decide::Requester{
+            r.requester = std::make_shared<const decide::Requester>(decide::Requester{
                 "u" + std::to_string(random.below(3)), "s", random.chance(0.3) ? "x=1" : "",
                 random.chance(0.5) ? "short" : "long", random.chance(0.5) ? "east" : "west"});
-            r.taken = t;
+            r.received_at = t;
             EXPECT_TRUE(w.add_request(r, t));
             r.attempts = static_cast<std::uint32_t>(random.below(3));
             for (std::uint32_t n = 0; n < r.attempts; ++n) {
@@ -189,7 +189,7 @@
                 sums = sum;
             EXPECT_EQ(sum, sums) << by;
         }
-        decide::Line total;
+        decide::ChargeLine total;
         for (const auto& [key, line] : r.lines)
             total += line;
         EXPECT_EQ(decide::decimal_text(total.amount[0] + total.amount[1], 2),
@@ -205,17 +205,18 @@
         return *local_time(settlement.zone, text);
     };
     const decide::Requester east{"u", "s", "a=2,x=1", "c", "east"}, plain{"u", "s", "", "c", "east"};
-    EXPECT_EQ(teams.of(east, at("2026-10-14T23:59:59")), "old");
-    EXPECT_EQ(teams.of(east, at("2026-10-15")), "new");  // split off
-    EXPECT_EQ(teams.of(plain, at("2026-10-15")), "old");
-    EXPECT_EQ(teams.of(plain, at("2026-10-28") - 1), "old");
-    EXPECT_EQ(teams.of(plain, at("2026-10-28")), "rest");  // merged into another
-    EXPECT_EQ(teams.of({"u2", "s", "", "c", "west"}, 0), "rest");
-    EXPECT_EQ(teams.of({"u9", "s", "", "c", "west"}, 0), "");
+    EXPECT_EQ(teams.team_of(east, at("2026-10-14T23:59:59")), "old");
+    EXPECT_EQ(teams.team_of(east, at("2026-10-15")), "new");  // split off
+    EXPECT_EQ(teams.team_of(plain, at("2026-10-15")), "old");
+    EXPECT_EQ(teams.team_of(plain, at("2026-10-28") - 1), "old");
+    EXPECT_EQ(teams.team_of(plain, at("2026-10-28")), "rest");  // merged into another
+    EXPECT_EQ(teams.team_of({"u2", "s", "", "c", "west"}, 0), "rest");
+    EXPECT_EQ(teams.team_of({"u9", "s", "", "c", "west"}, 0), "");
     EXPECT_EQ(teams.name_at("old", at("2026-10-25")), "Meters");
     EXPECT_EQ(teams.name_at("old", at("2026-10-25T12:00")), "Metering");
-    EXPECT_EQ(teams.formerly("old", at("2026-10-01"), at("2026-11-01")), std::vector<std::string>{"Meters"});
-    EXPECT_TRUE(teams.formerly("old", at("2026-11-01"), at("2026-12-01")).empty());
+    EXPECT_EQ(teams.former_names("old", at("2026-10-01"), at("2026-11-01")),
+              std::vector<std::string>{"Meters"});
+    EXPECT_TRUE(teams.former_names("old", at("2026-11-01"), at("2026-12-01")).empty());
 }
 
 // A client whose front went silent asks the other one with the same key: two requests, one of them a repeat,
@@ -228,19 +229,20 @@
         const std::string file = folder + "/k" + std::to_string(front);
         store::LedgerWriter w({file, "front", "00000000000000b" + std::to_string(front), 100 * kMillisecond});
         RequestRow r;
-        r.who = std::make_shared<const decide::Requester>(decide::Requester{"u2", "s", "", "load", "west"});
+        r.requester =
+            std::make_shared<const decide::Requester>(decide::Requester{"u2", "s", "", "load", "west"});
         r.key = "k1", r.key_window = 25 * kSecondMicros, r.attempts = 1;
         // The second front's clock stepped back: its request stands before the first one's, in the same
         // month.
-        r.taken = at - front * 2 * kSecondMicros;
-        ASSERT_TRUE(w.add_request(r, r.taken));
+        r.received_at = at - front * 2 * kSecondMicros;
+        ASSERT_TRUE(w.add_request(r, r.received_at));
         AttemptRow a;
         a.request = r.number, a.engine = "e", a.kind = "std", a.work = kSecondMicros;
         a.state = front == 0 ? AttemptState::connection_lost : AttemptState::answered;
-        w.update(a, r.taken);
+        w.update(a, r.received_at);
         r.state = front == 0 ? RequestState::interrupted : RequestState::served;
-        w.update(r, r.taken);
-        (void)w.finish(0, r.taken);
+        w.update(r, r.received_at);
+        (void)w.finish(0, r.received_at);
         ASSERT_TRUE(books.collect_ledger(file));
     }
     const auto r = report(books);
@@ -248,8 +250,8 @@
     const auto& line = r.lines.begin()->second;
     EXPECT_EQ(line.repeats, 1);
     EXPECT_EQ(line.attempts, 2);
-    EXPECT_EQ(line.further, 0);
-    EXPECT_EQ(line.all_work(), 2 * kSecondMicros);
+    EXPECT_EQ(line.additional_attempts, 0);
+    EXPECT_EQ(line.total_work(), 2 * kSecondMicros);
     EXPECT_EQ(line.work[static_cast<std::size_t>(decide::WastedWork::lost)], kSecondMicros);
 }
 
--- a/tests/store/accounting_store_test.cpp
+++ b/tests/store/accounting_store_test.cpp
@@ -38,7 +38,7 @@
         statement::Completed c;
         c.id = "q" + std::to_string(++queries), c.state = "FINISHED", c.user = "u", c.server = "e1";
         if (!incarnation.empty())
-            c.tags = {decide::tag_of({incarnation, request, 0})};
+            c.tags = {decide::format_attempt_tag({incarnation, request, 0})};
         c.created = at, c.ended = at + 1000, c.cpu = work;
         made.logged += work;
         made.journals[random.below(2)] += statement::write_completed(c) + "\n";
@@ -51,8 +51,9 @@
         for (int i = 0; i < 200; ++i) {
             const Micros wall = kWall + i * kSecondMicros;
             RequestRow r;
-            r.who = std::make_shared<const decide::Requester>(decide::Requester{"u", "s", "", "c", "t"});
-            r.taken = wall;
+            r.requester =
+                std::make_shared<const decide::Requester>(decide::Requester{"u", "s", "", "c", "t"});
+            r.received_at = wall;
             EXPECT_TRUE(writer.add_request(r, wall));
             ++made.requests;
             AttemptRow a;
@@ -61,7 +62,7 @@
             const auto add_attempt = [&](SettlementFinding finding, AttemptState state, bool whole,
                                          bool logged, Micros more) {
                 ++made.expected[finding];
-                a.state = state, a.whole = whole;
+                a.state = state, a.is_final = whole;
                 if (logged)
                     log_event(incarnation, r.number, wall, a.work + more);
             };
@@ -70,8 +71,8 @@
                     add_attempt(SettlementFinding::agreed, AttemptState::answered, true, true, 400);
                     break;
                 case 1:
-                    add_attempt(SettlementFinding::unseen_end, AttemptState::connection_lost, false, true,
-                                90'000);
+                    add_attempt(SettlementFinding::end_not_observed, AttemptState::connection_lost, false,
+                                true, 90'000);
                     break;
                 case 2:
                     add_attempt(SettlementFinding::never_ran, AttemptState::unreachable, false, false, 0);
@@ -80,10 +81,11 @@
                     add_attempt(SettlementFinding::unlogged, AttemptState::connection_lost, false, false, 0);
                     break;
                 case 4:
-                    add_attempt(SettlementFinding::differs, AttemptState::error, true, true, 5000);
+                    add_attempt(SettlementFinding::mismatched, AttemptState::error, true, true, 5000);
                     break;
                 case 5:
-                    add_attempt(SettlementFinding::journal_lacks, AttemptState::answered, true, false, 0);
+                    add_attempt(SettlementFinding::missing_in_journal, AttemptState::answered, true, false,
+                                0);
                     break;
             }
             writer.update(a, wall);
@@ -94,10 +96,10 @@
         }
         (void)writer.finish(0, kWall + 200 * kSecondMicros);
         // Logged under a number that the ledger never gave.
-        log_event(incarnation, 5000, kWall, 7), ++made.expected[SettlementFinding::ledger_lacks];
+        log_event(incarnation, 5000, kWall, 7), ++made.expected[SettlementFinding::missing_in_ledger];
     }
     log_event("", 0, kWall, 11), ++made.expected[SettlementFinding::direct];
-    log_event("00000000000000ff", 3, kWall, 13), ++made.expected[SettlementFinding::other_life];
+    log_event("00000000000000ff", 3, kWall, 13), ++made.expected[SettlementFinding::unknown_incarnation];
     return made;
 }
 
@@ -134,8 +136,8 @@
                 logged += s.work;
         };
         const auto count_event = [&](const decide::LoggedQuery& q) {
-            const auto record = q.name ? records.find(q.name->life) : records.end();
-            count(settle_alone(q, record == records.end() ? nullptr : &record->second));
+            const auto record = q.attempt_tag ? records.find(q.attempt_tag->incarnation) : records.end();
+            count(settle_unmatched(q, record == records.end() ? nullptr : &record->second));
         };
         ASSERT_FALSE(store.for_each(
             [&](const AccountEntry& e) {
@@ -184,8 +186,8 @@
     std::filesystem::create_directories(folder);
     const std::string file = folder + "/f", copy = folder + "/copy";
     RequestRow r;
-    r.who = std::make_shared<const decide::Requester>();
-    r.taken = kWall;
+    r.requester = std::make_shared<const decide::Requester>();
+    r.received_at = kWall;
     {
         LedgerWriter writer({file, "f", "0000000000000001", 100 * kMillisecond});
         ASSERT_TRUE(writer.add_request(r, kWall));
--- a/tests/store/ledger_contents.hpp
+++ b/tests/store/ledger_contents.hpp
@@ -38,10 +38,10 @@
 inline RequestRow make_request(std::uint32_t number, RequestState state, Random& random) {
     RequestRow r;
     r.number = number;
-    r.who = std::make_shared<const decide::Requester>(
+    r.requester = std::make_shared<const decide::Requester>(
         decide::Requester{"user-" + std::to_string(random.below(5)), "s",
                           "t=" + std::to_string(random.below(3)), "short", "x"});
-    r.id = "id-" + std::to_string(number), r.taken = kWall + number, r.state = state;
+    r.id = "id-" + std::to_string(number), r.received_at = kWall + number, r.state = state;
     r.ended_after = static_cast<Micros>(random.below(1000));
     return r;
 }
--- a/tests/store/ledger_writer_test.cpp
+++ b/tests/store/ledger_writer_test.cpp
@@ -75,7 +75,7 @@
     }
     std::uint32_t add_request(LedgerWriter& writer, RequestState state = RequestState::open) {
         auto r = make_request(0, RequestState::open, random);
-        r.taken = kWall + now;
+        r.received_at = kWall + now;
         if (!writer.add_request(r, kWall + now))
             return 0;
         if (state != RequestState::open) {
--- a/tests/store/stored_data_test.cpp
+++ b/tests/store/stored_data_test.cpp
@@ -35,7 +35,7 @@
         ++requests[account.request.state];
         for (const AttemptRow& attempt : account.attempts) {
             ++attempts[attempt.state];
-            work_by_user[account.request.who->user] += attempt.work;
+            work_by_user[account.request.requester->user] += attempt.work;
         }
         by_id[account.request.id] = account;
     }
@@ -116,8 +116,9 @@
         expect_gaps_of_version_2(ledger);
         const RequestAccount& served = contents.by_id.at("20261203_083408_00001_665c3");
         EXPECT_EQ(served.request.number, 1u);
-        EXPECT_EQ(*served.request.who, (decide::Requester{"ann", "gatetiller-query", "", "short", "ann"}));
-        EXPECT_EQ(served.request.taken, 1'796'286'848'027'025);
+        EXPECT_EQ(*served.request.requester,
+                  (decide::Requester{"ann", "gatetiller-query", "", "short", "ann"}));
+        EXPECT_EQ(served.request.received_at, 1'796'286'848'027'025);
         EXPECT_EQ(served.request.ended_after, 5761);
         EXPECT_EQ(served.request.closed_after, 5761);
         ASSERT_EQ(served.attempts.size(), 1u);
@@ -127,7 +128,7 @@
         EXPECT_EQ(served.attempts[0].work, 5000);
         EXPECT_EQ(served.attempts[0].peak_bytes, 16'777'216);
         EXPECT_EQ(served.attempts[0].row_bytes, 47);
-        EXPECT_TRUE(served.attempts[0].whole);
+        EXPECT_TRUE(served.attempts[0].is_final);
     }
 }
 
@@ -153,7 +154,7 @@
         [&](const AccountEntry& entry) {
             if (!entry.account) {
                 const decide::LoggedQuery& query = entry.logged.at(0).at(0);
-                const auto settled = decide::settle_alone(query, nullptr);
+                const auto settled = decide::settle_unmatched(query, nullptr);
                 ++findings[settled.finding];
                 work_by_user[query.user] += settled.work;
                 return;
@@ -164,7 +165,7 @@
             for (std::size_t i = 0; i < account.attempts.size(); ++i) {
                 const auto settled = decide::settle(account.request, account.attempts[i], entry.logged[i]);
                 ++findings[settled.finding];
-                work_by_user[account.request.who->user] += settled.work;
+                work_by_user[account.request.requester->user] += settled.work;
             }
         },
         [&](std::string text) {
@@ -173,7 +174,7 @@
     ASSERT_FALSE(failure) << failure.text;
     contents.expect_those_of_version_2();
     EXPECT_EQ(findings, (std::map<SettlementFinding, int>{{SettlementFinding::agreed, 5},
-                                                          {SettlementFinding::unseen_end, 1},
+                                                          {SettlementFinding::end_not_observed, 1},
                                                           {SettlementFinding::never_ran, 1},
                                                           {SettlementFinding::unlogged, 1},
                                                           {SettlementFinding::direct, 1}}));
