--- a/src/decide/account.cpp
+++ b/src/decide/account.cpp
@@ -7,7 +7,7 @@
 namespace gatetiller::decide {
 namespace {
 
-// A final state stands; an interrupted one may turn out to be final in another copy of the ledger.
+// Rank for supersedes(): an interrupted state may be final in another copy of the ledger.
 template <typename State>
 int knowledge(State s) {
     return s == State{} ? 0 : s == State::interrupted ? 1 : 2;
@@ -85,7 +85,8 @@
             return r.state == RequestState::truncated ? WastedWork::truncated : WastedWork::lost;
         case AttemptState::timed_out:
             return r.state == RequestState::truncated ? WastedWork::truncated : WastedWork::timed_out;
-        // An attempt that outlived its request's end was left behind by the client, whatever called it off.
+        // The client's disconnecting is the reason where the attempt ended no earlier than the request,
+        // whatever cancelled it.
         case AttemptState::cancelled:
             return left && a.ended_after >= r.ended_after ? WastedWork::client_disconnected
                                                           : WastedWork::cancelled;
--- a/src/decide/account.hpp
+++ b/src/decide/account.hpp
@@ -1,5 +1,5 @@
-// The account of one request, as the ledger holds it: what became of it, what each attempt cost, and which of
-// that work served its client. Plain rows, and pure functions over them.
+// The ledger's record of one request: its final state, the cost of each attempt, and the reason why an
+// attempt's work was wasted. Plain rows, and pure functions over them.
 #pragma once
 
 #include <cstdint>
@@ -14,108 +14,169 @@
 
 namespace gatetiller::decide {
 
-// What became of a request. The order is that of knowledge: of two rows of the same request the one further
-// down is the later one (see later_of).
+// The state of a request. Copies of a ledger may have different states of one request; supersedes() decides
+// which of them is kept.
 enum class RequestState : std::uint8_t {
-    open,         // still in hand
-    interrupted,  // its front died with it in hand; what became of it then, its front never knew
-    served,       // rows, or an error of the statement's own, from an engine
-    shed,         // by the front; asking again was harmless
-    failed,       // by the front; it may have run
-    truncated,    // rows had begun when the engine failed
-    cancelled,    // by the client
-    abandoned,    // the client stopped asking
+    // Not finished.
+    open,
+    // The front was killed while the request was open; the outcome is unknown.
+    interrupted,
+    // An engine returned rows or an error of the statement itself.
+    served,
+    // Rejected by the front; a retry is safe.
+    shed,
+    // Failed by the front; it may have been executed.
+    failed,
+    // The engine failed after the first rows were sent to the client.
+    truncated,
+    // Cancelled by the client.
+    cancelled,
+    // The client stopped polling.
+    abandoned,
 };
+// Number of values of RequestState.
 constexpr int kRequestStates = 8;
+// The state's name in reports.
 const char* name_of(RequestState state);
 
+// The state of an attempt.
 enum class AttemptState : std::uint8_t {
+    // No result was received yet.
     in_flight,
-    interrupted,      // its front died while it was out
-    answered,         // the engine's last document came and was the client's answer
-    error,            // the engine's own error; not the client's answer
-    rejected,         // the engine took it not, or threw it out of its queue before it ran
-    unreachable,      // no connection: it never arrived
-    connection_lost,  // the connection or the answer was lost: it may have run
-    timed_out,        // no answer in time: it may have run
-    cancelled,        // by the front, as the client had left or another attempt was to be made
-    not_sent,         // given up before anything went out
+    // The front was killed while the attempt was in flight.
+    interrupted,
+    // The engine's last document arrived and was the client's response.
+    answered,
+    // The engine returned an error of its own, which was not the client's response.
+    error,
+    // The engine did not accept it, or removed it from its queue before it ran.
+    rejected,
+    // No connection was established: the engine never received it.
+    unreachable,
+    // The connection or the response was lost: it may have been executed.
+    connection_lost,
+    // No response arrived in time: it may have been executed.
+    timed_out,
+    // Cancelled by the front, as the client had disconnected or another attempt was to be made.
+    cancelled,
+    // Abandoned before anything was sent.
+    not_sent,
 };
+// Number of values of AttemptState.
 constexpr int kAttemptStates = 10;
+// The state's name in reports.
 const char* name_of(AttemptState state);
 
-// Whose request it is: the same for many, so rows share it.
+// The origin of a request. Many requests have the same one, so that rows share it.
 struct Requester {
-    std::string user, source, tags, cls, tenant;  // tags: sorted, with commas, without keys
+    // `tags`: see join_tags_without_key().
+    std::string user, source, tags, cls, tenant;
     friend bool operator==(const Requester&, const Requester&) = default;
 };
 
-// A client's tags as one text, sorted; the one that carries its key is left out, as each request has its own.
+// A client's tags, sorted and joined with commas. The tag that ends with "=`key`" is omitted, as the key
+// differs for every request, and so are attempt tags.
 std::string join_tags_without_key(std::vector<std::string> tags, const std::string& key);
 
-// A request is known everywhere by the life of the front that took it and its number in that life.
+// One request. It is identified by the incarnation of the front that received it and by its number in that
+// incarnation.
 struct RequestRow {
-    std::uint32_t number = 0;  // 1 and up, in the order of taking
+    // From 1, in the order of arrival.
+    std::uint32_t number = 0;
     std::shared_ptr<const Requester> requester;
-    std::string id, key;     // the statement's id; the client's key, empty: none
-    Micros key_window = 0;   // so long its repeats are dropped; 0: not by key
-    Micros received_at = 0;  // wall clock, since 1970
+    // `id`: of the statement; `key`: the client's idempotency key, or empty.
+    std::string id, key;
+    // Microseconds for which repeats of the key are not executed again; 0: the class has no keys.
+    Micros key_window = 0;
+    // Wall clock, microseconds since 1970.
+    Micros received_at = 0;
     RequestState state = RequestState::open;
-    bool error = false;  // served with an error of the statement's own
+    // Served with an error of the statement itself.
+    bool error = false;
+    // Number of attempts.
     std::uint32_t attempts = 0;
-    Micros ended_after = 0;   // from taken to the final answer or the leaving, by the monotonic clock
-    Micros closed_after = 0;  // to where the client had its final document; 0: not yet
+    // Microseconds from the arrival until the final response or the client's disconnecting, by the monotonic
+    // clock.
+    Micros ended_after = 0;
+    // Microseconds from the arrival until the client had received its final document; 0: not yet.
+    Micros closed_after = 0;
 };
 
+// One attempt of a request.
 struct AttemptRow {
+    // The request's number, and the attempt's within the request.
     std::uint32_t request = 0, number = 0;
-    std::string engine, kind, engine_id;  // engine_id: the engine's name for it; empty: never learnt
+    // `kind`: of the engine; `engine_id`: the engine's id of the query, empty where it is not known.
+    std::string engine, kind, engine_id;
     AttemptState state = AttemptState::in_flight;
-    Micros sent_after = 0, ended_after = 0;  // from the request's taking
-    std::int64_t grant_bytes = 0;            // 0: the engine's own choice
-    // What the engine had told of it when last it was heard of.
-    Micros work = 0;  // of cores
+    // Microseconds from the request's arrival.
+    Micros sent_after = 0, ended_after = 0;
+    // The memory granted to the attempt; 0: the engine's default.
+    std::int64_t grant_bytes = 0;
+    // Statistics from the engine's last document that arrived. `work`: core time in microseconds.
+    Micros work = 0;
     std::int64_t peak_bytes = 0, spilled_bytes = 0, row_bytes = 0;
-    bool is_final = false;  // its last document came: the figures are final
+    // The engine's last document arrived: the statistics are final.
+    bool is_final = false;
 };
 
-bool supersedes(RequestState a, RequestState b);  // a tells more than b, of the same request
+// Whether `a` is more final than `b`, a state of the same request or attempt: an interrupted state supersedes
+// an open one, and any final state supersedes both.
+bool supersedes(RequestState a, RequestState b);
 bool supersedes(AttemptState a, AttemptState b);
 
-// How an attempt's end is written down.
+// The facts about an attempt's end from which its state is derived.
 struct AttemptEndRecord {
     AttemptOutcome outcome = AttemptOutcome::succeeded;
-    bool for_client = false;         // its document was the client's answer
-    bool ended_by_document = false;  // it ended by a document of the engine
-    bool connected = true;           // false: it never got to the engine
+    // The engine's document was the client's response.
+    bool for_client = false;
+    // The attempt ended with a document of the engine.
+    bool ended_by_document = false;
+    // False: no connection to the engine was established.
+    bool connected = true;
 };
 AttemptState state_of(const AttemptEndRecord& facts);
 
-// Why the work of an attempt served nobody.
+// Why the work of an attempt was wasted.
 enum class WastedWork : std::uint8_t {
-    none,                 // it served
-    failed,               // the engine failed it
-    lost,                 // its answer was lost
-    timed_out,            // it came too late
-    cancelled,            // for another attempt's sake, or for none
-    client_disconnected,  // the client left while it ran
-    unfetched,            // it was answered, and the client never came for the answer
-    truncated,            // rows had gone out when it broke
-    interrupted,          // its front died
-    unrecorded,           // no front's ledger has it
+    // It was not: its result served the client.
+    none,
+    // The engine failed it.
+    failed,
+    // Its response was lost.
+    lost,
+    // It did not finish in time.
+    timed_out,
+    // The front cancelled it.
+    cancelled,
+    // The client disconnected while it ran.
+    client_disconnected,
+    // It was answered, and the client never fetched the result.
+    unfetched,
+    // It failed after the first rows were sent to the client.
+    truncated,
+    // Its front was killed.
+    interrupted,
+    // No front's ledger contains it.
+    unrecorded,
 };
+// Number of values of WastedWork.
 constexpr int kWastedWorkKinds = 10;
+// The reason's name in reports.
 const char* name_of(WastedWork waste);
 WastedWork classify_waste(const RequestRow& request, const AttemptRow& attempt);
 
-// What one attempt's name is in the tag that engines write into their journals.
+// Identifies an attempt in the tag that engines write into their journals.
 struct AttemptTag {
-    std::string incarnation;  // 16 hex digits
+    // Of the front: 16 hexadecimal digits.
+    std::string incarnation;
     std::uint32_t request = 0, attempt = 0;
     friend bool operator==(const AttemptTag&, const AttemptTag&) = default;
 };
 constexpr const char* kAttemptTagPrefix = "gatetiller-attempt=";
+// "gatetiller-attempt=INCARNATION.REQUEST.ATTEMPT".
 std::string format_attempt_tag(const AttemptTag& name);
+// Nothing where `tag` is not an attempt tag or is malformed.
 std::optional<AttemptTag> parse_attempt_tag(std::string_view tag);
 
 }  // namespace gatetiller::decide
--- a/src/decide/attempt_end.hpp
+++ b/src/decide/attempt_end.hpp
@@ -3,9 +3,8 @@
 //
 // The outcome decides whether a statement may be executed twice, so an attempt counts as not executed only
 // where the protocol proves it:
-// - A POST that is answered with 429 or 503 in place of a document was rejected before the engine accepted
-// it;
-//   clients resend the statement on these. Any other status may come from an intermediary.
+// - A POST with status 429 or 503 in place of a document was rejected before the engine accepted it; clients
+//   resend the statement on these. Any other status may come from an intermediary.
 // - An error QUERY_QUEUE_FULL of a statement of which no document showed execution: rejected in the queue.
 // - SERVER_SHUTTING_DOWN proves nothing: a drain whose time is over ends running statements with it.
 #pragma once
@@ -30,11 +29,11 @@
         connect_timeout,
         // This machine lacked a resource, such as a descriptor, to send it; no fault of the engine.
         local_resource_exhausted,
-        // The engine answered with a status in place of a document.
+        // The engine returned a status in place of a document.
         rejected,
         // The connection broke after the statement was sent.
         connection_lost,
-        // No answer arrived in time.
+        // No response arrived in time.
         timed_out
     };
     Kind kind = Kind::answered;
@@ -44,7 +43,7 @@
     bool has_error = false;
     std::string error_type;
     std::string error_name;
-    // Some document of the attempt showed work, a running state or rows.
+    // Some document of the attempt had work, a running state or rows.
     bool has_executed = false;
 };
 
--- a/src/decide/attempt_guard.hpp
+++ b/src/decide/attempt_guard.hpp
@@ -1,8 +1,8 @@
 // Guard of attempts: decides whether one attempt may be sent to one engine.
 //
 // Inputs are what the gateway itself observes at the moment of sending (AttemptContext), not what the policy
-// that chose the attempt assumes. All spans are in microseconds. The verdict is the first violated invariant
-// (invariants.hpp), or none.
+// that chose the attempt assumes. All durations are in microseconds. The verdict is the first violated
+// invariant (invariants.hpp), or none.
 //
 // Invariant: an engine connection sends a request only against an AttemptPermit, and only AttemptGuard
 // creates permits. The limits are those of PolicySettings and ClassSettings; the slow-start budget is that of
@@ -22,7 +22,7 @@
 struct EndpointSnapshot {
     // Whether the endpoint list contains it.
     bool listed = false;
-    // Time since this gateway learnt that the engine drains or was removed; 0: neither.
+    // Time since this gateway was notified that the engine drains or was removed; 0: neither.
     Micros draining_for = 0;
     // Whether the engine is within its slow-start window.
     bool in_slow_start = false;
--- a/src/decide/charge.cpp
+++ b/src/decide/charge.cpp
@@ -58,7 +58,7 @@
         const AttemptRow& a = attempts[i];
         key.kind = a.kind.empty() ? "-" : a.kind;
         ChargeLine& line = lines_[key];
-        // Memory is held by what ran, as long as the front knows of it.
+        // Memory is charged for attempts that may have run, for the time that the front observed.
         const bool ran = settled[i].finding != SettlementFinding::never_ran;
         add_work(line, a.kind, r.received_at, settled[i],
                  ran ? std::max<Micros>(0, a.ended_after - a.sent_after) : 0, a.grant_bytes);
--- a/src/decide/charge.hpp
+++ b/src/decide/charge.hpp
@@ -1,6 +1,6 @@
-// The report's arithmetic: settled attempts and requests add up in lines, each for one team, class, day and
-// kind of engine. Nothing is rounded here, and every addition is exact, so that any grouping has the same
-// total.
+// The arithmetic of the charge-back report: settled attempts and requests are summed in lines, one for each
+// team, class, day and kind of engine. Nothing is rounded and every addition is exact, so that the total is
+// the same for every grouping.
 #pragma once
 
 #include <array>
@@ -12,44 +12,62 @@
 namespace gatetiller::decide {
 
 struct ChargeLineKey {
-    std::string team, cls, kind;  // kind: of engine; "-" for requests that were never sent
-    int day = 0;                  // of the period, from 0
+    // `kind`: of the engine, "-" for requests without an attempt.
+    std::string team, cls, kind;
+    // Of the period, from 0.
+    int day = 0;
     // NOLINTNEXTLINE(modernize-use-nullptr): a false report of clang 14 on defaulted comparisons.
     auto operator<=>(const ChargeLineKey&) const = default;
 };
 
+// The sums of one line. Work is core time in microseconds.
 struct ChargeLine {
-    std::array<std::int64_t, kRequestStates> requests{};  // by what became of them
-    std::int64_t errors = 0;                              // of those served: with an error of their own
-    std::int64_t repeats = 0;                             // a client's own repeats, among all of them
-    std::int64_t attempts = 0, additional_attempts = 0;   // further: beyond the first of a request
-    std::int64_t unlogged = 0;                            // attempts whose figures only the front has
-    std::int64_t unpriced = 0;                            // attempts for which no price was agreed on
-    std::array<Micros, kWastedWorkKinds> work{};          // [0]: that served
-    Micros work_after_disconnect = 0;  // of the work: done when the client had left already
+    // By RequestState.
+    std::array<std::int64_t, kRequestStates> requests{};
+    // Served requests with an error of the statement itself.
+    std::int64_t errors = 0;
+    // Requests that repeat an earlier one (RepeatDetector).
+    std::int64_t repeats = 0;
+    // `additional_attempts`: all but the first of each request.
+    std::int64_t attempts = 0, additional_attempts = 0;
+    // Attempts that may have run and that no journal contains: only the front's statistics are known.
+    std::int64_t unlogged = 0;
+    // Attempts for which the price list has no price.
+    std::int64_t unpriced = 0;
+    // By WastedWork; `none`: work that served a client.
+    std::array<Micros, kWastedWorkKinds> work{};
+    // The part of the work that was done after the client had disconnected.
+    Micros work_after_disconnect = 0;
     Exact granted_byte_micros = 0, used_byte_micros = 0;
-    std::array<std::int64_t, 2> spilled{};  // bytes: that served, that didn't
+    // Spilled bytes, of attempts that served a client and of wasted ones.
+    std::array<std::int64_t, 2> spilled{};
     std::int64_t row_bytes = 0;
-    std::array<Exact, 2> amount{};  // the same
+    // Amounts, of attempts that served a client and of wasted ones.
+    std::array<Exact, 2> amount{};
 
     ChargeLine& operator+=(const ChargeLine& other);
     bool operator==(const ChargeLine&) const = default;
+    // Work that served a client and wasted work.
     Micros total_work() const;
 };
 
+// The sums of all attempts and logged queries with one finding. `work`: as in ChargeLine.
 struct FindingTotal {
     std::int64_t queries = 0;
     Micros work = 0;
     bool operator==(const FindingTotal&) const = default;
 };
 
+// Sums charges by line and by finding. Keeps a reference to `prices`, which must outlive it.
 class Charges {
 public:
     explicit Charges(const PriceList& prices) : prices_(prices) {}
-    // One request under its line's team, class and day; the kind is that of its last attempt.
+    // Adds a request and its attempts under the team, class and day of `key`. The kind is that of each
+    // attempt; the request itself is counted under the kind of its last attempt. `repeat`: from
+    // RepeatDetector; `settled`: one for each of `attempts`.
     void add(ChargeLineKey key, const RequestRow& request, bool repeat,
              const std::vector<AttemptRow>& attempts, const std::vector<Settlement>& settled);
-    // A logged query that no ledger has.
+    // Adds a logged query that no ledger contains.
     void add_unmatched(ChargeLineKey key, const LoggedQuery& logged, const Settlement& settled);
 
     const std::map<ChargeLineKey, ChargeLine>& lines() const {
--- a/src/decide/client_eviction.hpp
+++ b/src/decide/client_eviction.hpp
@@ -1,8 +1,8 @@
-// Timeouts of client connections, and which connection is closed to make room for a new client.
+// Timeouts of client connections, and which connection is closed for a new client at the connection limit.
 //
-// An open connection is never timed out or evicted while a response is owed to the client or not fully
-// written, or while received bytes are unread: a close would lose them. One that this side has shut down is
-// timed out after linger_timeout. Times are microseconds of one monotonic clock.
+// An open connection is never timed out or evicted while a request has no final response, a response is
+// not fully written, or received bytes are unread: a close would lose them. One that this side has shut down
+// is timed out after linger_timeout. Times are microseconds of one monotonic clock.
 #pragma once
 
 #include <cstddef>
@@ -50,7 +50,7 @@
 bool has_timed_out(const ClientSnapshot& client, Micros now, const ClientTimeouts& timeouts);
 
 // From when on the connection may be closed for another client or at a graceful shutdown; nothing while it
-// may not be closed at all. The graces keep a flood of silent connections from evicting clients that are
+// may not be closed at all. The graces keep a flood of idle connections from evicting clients that are
 // about to send a request.
 std::optional<Micros> evictable_at(const ClientSnapshot& client, const ClientTimeouts& timeouts);
 
--- a/src/decide/client_request.cpp
+++ b/src/decide/client_request.cpp
@@ -14,9 +14,9 @@
 constexpr std::size_t kIdempotencyKeyDigits = 32;
 constexpr double kMaxWorkMs = 1e8;
 constexpr double kMaxMemoryMb = 1e7;
-// A client's timeout may exceed the deadline of its class by so much.
+// The maximum by which a client's timeout may exceed the deadline of its class.
 constexpr std::int64_t kTimeoutToleranceMs = 1000;
-// Of an invalid value, as an error shows it.
+// Bytes of an invalid value that an error message contains.
 constexpr std::size_t kMaxShownBytes = 40;
 
 bool is_hex(std::string_view text, std::size_t digits) {
@@ -25,8 +25,8 @@
            });
 }
 
-// The number of continuation bytes after the first byte of a UTF-8 sequence; nothing where no sequence begins
-// so.
+// The number of continuation bytes after the first byte of a UTF-8 sequence; nothing where `first` is not
+// valid as one.
 std::optional<std::size_t> continuation_bytes(unsigned char first) {
     if (first < 0x80)
         return 0;
@@ -39,7 +39,7 @@
     return std::nullopt;
 }
 
-// Whether a code point needs as many bytes as it was encoded in, is no surrogate, and exists.
+// Whether a code point is encoded in the shortest form, is not a surrogate, and is at most U+10FFFF.
 bool is_valid_code_point(std::uint32_t code, std::size_t continuations) {
     if (continuations == 2)
         return code >= 0x800 && (code < 0xd800 || code >= 0xe000);
@@ -48,7 +48,7 @@
     return true;
 }
 
-// The length of the valid UTF-8 sequence that `text` begins with; 0 where there is none or it is NUL.
+// The length of the valid UTF-8 sequence at the beginning of `text`; 0 where there is none or it is NUL.
 std::size_t sequence_length(std::string_view text) {
     const auto first = static_cast<unsigned char>(text.front());
     const auto continuations = continuation_bytes(first);
--- a/src/decide/client_request.hpp
+++ b/src/decide/client_request.hpp
@@ -1,6 +1,6 @@
 // Validation of a client's request at a front node, and of the rows in a result.
 //
-// Every field is checked before the policy or an engine sees the request: nothing malformed reaches an
+// Every field is checked before the policy or an engine receives the request: nothing malformed reaches an
 // engine. Field names and formats are those of the platform's protocol.
 #pragma once
 
--- a/src/decide/client_sequence_numbers.hpp
+++ b/src/decide/client_sequence_numbers.hpp
@@ -1,7 +1,7 @@
 // The sequence numbers of the requests on one client connection.
 //
 // The platform's protocol requires that they increase and that at most 32 are open. A connection that
-// violates this must be closed: a response with a number that stands for two requests may be read as the
+// violates this must be closed: where two requests have one number, the response to one may be read as the
 // response to the other.
 #pragma once
 
@@ -25,7 +25,7 @@
     };
     // A request with this number arrived.
     Verdict accept(std::int32_t number);
-    // The request was answered or cancelled. False where the number is not open.
+    // The request was cancelled or has its final response. False where the number is not open.
     bool release(std::int32_t number) {
         return open_.erase(number) > 0;
     }
--- a/src/decide/close_guard.hpp
+++ b/src/decide/close_guard.hpp
@@ -1,9 +1,9 @@
 // Guard of closing client connections: decides whether this side may close one now, and for which reason.
 //
-// A connection on which a response is owed, a response is partly written or received bytes are unread is
-// closed only for a reason that makes all three pointless (peer_closed, slow_reader, linger_timeout,
-// process_exit); for `malformed` only the requests read before must have been answered. The verdict is the
-// violated invariant (invariants.hpp), or none.
+// A connection on which a request has no final response, a response is partly written or received bytes are
+// unread is closed only for a reason that makes all three irrelevant (peer_closed, slow_reader,
+// linger_timeout, process_exit); for `malformed` only the requests read before must have a final response.
+// The verdict is the violated invariant (invariants.hpp), or none.
 //
 // Invariant: this side closes a client connection only against a ClosePermit, and only CloseGuard creates
 // permits.
@@ -19,13 +19,13 @@
 
 // Why this side closes a client connection.
 enum class CloseReason : std::uint8_t {
-    // Idle, and closed to make room for another client (client_eviction.hpp).
+    // Idle, and closed for a new client at the connection limit (client_eviction.hpp).
     evicted,
     // No complete request arrived in time (ClientTimeouts).
     request_timeout,
     // Idle at a graceful shutdown.
     shutdown,
-    // The client sent what cannot be parsed; it was sent an error.
+    // The client sent a malformed message; it was sent an error.
     malformed,
     // The client closed the connection, or it broke.
     peer_closed,
@@ -39,7 +39,7 @@
 // Number of values of CloseReason.
 constexpr std::size_t kCloseReasons = static_cast<std::size_t>(CloseReason::process_exit) + 1;
 
-// The enumerator's name, as it stands in logs and in the status.
+// The enumerator's name, which logs and the status contain.
 const char* name_of(CloseReason reason);
 
 // What CloseGuard considers about a client connection.
--- a/src/decide/connection_choice.cpp
+++ b/src/decide/connection_choice.cpp
@@ -5,9 +5,9 @@
 namespace gatetiller::decide {
 namespace {
 
-// Requests on one connection, whose ids the connection keeps to recognize late answers.
+// Limit on the requests of one connection, which stores their ids to recognize late responses.
 constexpr std::size_t kMaxRequestsSent = 2000;
-// No request is sent so shortly before the engine closes an idle connection.
+// Time before the engine's idle timeout in which no request is sent.
 constexpr Micros kIdleMargin = 2 * kSecondMicros;
 
 bool is_usable(const ConnectionSnapshot& connection, Micros now, const ConnectionLimits& limits) {
@@ -16,7 +16,7 @@
            !near_idle_timeout(connection, now, limits);
 }
 
-// Whether a request goes on `left` rather than on `right`.
+// Whether `left` is chosen rather than `right`.
 bool is_preferred(const ConnectionSnapshot& left, const ConnectionSnapshot& right) {
     return std::pair(left.open_requests, -left.last_used) < std::pair(right.open_requests, -right.last_used);
 }
--- a/src/decide/connection_choice.hpp
+++ b/src/decide/connection_choice.hpp
@@ -32,10 +32,10 @@
     std::size_t open_requests = 0;
     // Requests sent on it since it was opened.
     std::size_t requests_sent = 0;
-    // An earlier attempt of the same request was sent on it: a late answer to that attempt would be read as
-    // the answer to the new one.
+    // An earlier attempt of the same request was sent on it: a late response to that attempt would be read as
+    // the response to the new one.
     bool carried_this_request = false;
-    // It accepts no further requests, as one was abandoned on it.
+    // It accepts no more requests, as one was abandoned on it.
     bool retired = false;
     // When a request on it last ended.
     Micros last_used = 0;
--- a/src/decide/endpoint_list.cpp
+++ b/src/decide/endpoint_list.cpp
@@ -8,10 +8,11 @@
 namespace {
 
 // An engine of the first list that appears to be younger may have started just now: the wall clock may be
-// wrong by an hour when the process starts.
+// wrong by an hour when this process starts.
 constexpr Micros kTrustedAge = Micros{2} * 3'600 * kSecondMicros;
 
-// After a restart of the numbering: removals so recent count, and endpoints are reported as draining so long.
+// After a restart of the numbering, endpoints that were removed within kRecentRemoval are reported as
+// draining for kForcedDraining.
 constexpr Micros kRecentRemoval = 60 * kSecondMicros;
 constexpr Micros kForcedDraining = 10 * kSecondMicros;
 
@@ -106,7 +107,8 @@
     return unless_empty(std::move(update));
 }
 
-// Adds and changes endpoints as the list has them, and reports those that differ from what the policy knows.
+// Adds and changes endpoints according to the list, and adds those to `update` that differ from what was
+// reported to the policy.
 void EndpointList::upsert_listed(const std::vector<DiscoveredEndpoint>& list,
                                  const std::set<EngineId>& was_suspect, Micros now, Micros wall,
                                  EndpointUpdate& update) {
@@ -150,8 +152,8 @@
     }
 }
 
-// Reports as draining what is ready in the accepted list and is not in `list`: an answer that is not accepted
-// may withdraw an endpoint, but neither add one nor remove it.
+// Reports endpoints as draining that are ready in the accepted list and not in `list`: a response that is not
+// accepted may withdraw an endpoint, but neither add nor remove one.
 std::optional<EndpointUpdate> EndpointList::mark_suspects(const std::vector<DiscoveredEndpoint>& list) {
     std::set<std::string> ready;
     for (const DiscoveredEndpoint& endpoint : list)
@@ -167,7 +169,7 @@
     return unless_empty(std::move(update));
 }
 
-// The accepted list is confirmed: suspects are reported as it has them.
+// Reports suspects with their states in the accepted list, which has been confirmed.
 std::optional<EndpointUpdate> EndpointList::clear_suspects() {
     conflicting_list_.clear();
     EndpointUpdate update = incremental_update();
@@ -216,8 +218,8 @@
     return {id, state, endpoint.zone, endpoint.kind, endpoint.cell, started_at_.at(id), endpoint.share};
 }
 
-// A start on the monotonic clock, from `started_at` on the wall clock; 0 where it is unknown. `latest_start`:
-// the latest of the same list, which is no later than `now` and was read from the same clock.
+// Converts a start from the wall clock to the monotonic clock; 0 where it is unknown. `latest_start`: the
+// latest of the same list, which is no later than `now` and was read from the same clock.
 Micros EndpointList::estimate_start(Micros started_at, Micros latest_start, Micros now, Micros wall) const {
     if (started_at <= 0)
         return 0;
--- a/src/decide/endpoint_list.hpp
+++ b/src/decide/endpoint_list.hpp
@@ -1,25 +1,25 @@
-// The endpoint list of a front node: which engines exist, their states and their start times.
+// The endpoint list of a front node: the engines, their states and their start times.
 //
-// A discovery source answers with complete lists, each with a serial (serial_tracker.hpp). EndpointList
-// decides which answer becomes the accepted list, gives each name of the source an EngineId of its own, and
-// returns the difference as an EndpointUpdate for the policy.
+// A discovery source returns complete lists, each with a serial (serial_tracker.hpp). EndpointList decides
+// which response becomes the accepted list, assigns an EngineId to each name of the source, and returns the
+// difference as an EndpointUpdate for the policy.
 //
 // Rules:
 // - A newer list is accepted. An endpoint that it lacks is removed.
-// - An answer that is older, or has the accepted serial with other content, is not accepted at once, as a
-//   source may now and then answer with an outdated list. Until the accepted list is confirmed, endpoints
-//   that the answer lacks or has as draining are reported as draining (suspects). Other content under the
-//   accepted serial is accepted when the same content comes twice in a row.
-// - Once the numbering has restarted, the answer is accepted. Endpoints that were draining then, or were
+// - A response that is older, or has the accepted serial with other content, is not accepted at once, as a
+//   source may occasionally return an outdated list. Until the accepted list is confirmed, endpoints that the
+//   response lacks or has as draining are reported as draining (suspects). Other content with the accepted
+//   serial is accepted when the same content arrives twice in a row.
+// - Once the numbering has restarted, the response is accepted. Endpoints that were draining then, or were
 //   removed within the last 60 s, are reported as draining for 10 s more, as the source may only be lagging
 //   behind.
 // - A start time is converted to the monotonic clock once, when it first appears (estimate_start() below).
-//   The wall clock alone never makes an engine old: it is no older than the last confirmation of a list
-//   without that start; in the first list it counts as just started unless it appears to be at least two
-//   hours old; and it is always older than the list's latest start by the difference of the two.
+//   The wall clock alone never makes an engine old: an engine is no older than the last confirmation of a
+//   list without that start; in the first list it counts as just started unless it appears to be at least
+//   two hours old; and it is always older than the list's latest start by the difference of the two.
 //
-// Invariants: an EngineId belongs to one name for ever while the name is listed, and is never reused; an
-// address may pass from one name to another. Times are microseconds: `now` of the monotonic clock, `wall` of
+// Invariants: an EngineId belongs to one name while the name is listed, and is never reused; an address may
+// pass from one name to another. Times are microseconds: `now` of the monotonic clock, `wall` of
 // the wall clock since 1970, both read at the same moment.
 #pragma once
 
@@ -57,7 +57,7 @@
     // `follows_restarts`: see SerialTracker.
     explicit EndpointList(bool follows_restarts = true) : serials_(follows_restarts) {}
 
-    // Applies an answer of a discovery source: the complete `list` with its serial `number`, requested at
+    // Applies a response of a discovery source: the complete `list` with its serial `number`, requested at
     // `requested_at` and received at `now`. Returns what changes for the policy, or nothing; the first
     // accepted list is an update of kind `cached`, every other one `incremental`.
     std::optional<EndpointUpdate> apply(std::uint64_t number, const std::vector<DiscoveredEndpoint>& list,
@@ -65,8 +65,8 @@
     // Applies the list of a configuration: accepted where its serial is newer, ignored otherwise.
     std::optional<EndpointUpdate> apply(std::uint64_t number, const std::vector<DiscoveredEndpoint>& list,
                                         Micros now, Micros wall);
-    // Confirms the accepted list by an answer of which only the serial was read. False where its content must
-    // be applied by apply(): it is another serial, or some endpoint is suspect.
+    // Confirms the accepted list by a response of which only the serial was read. False where its content
+    // must be applied by apply(): the serial is another one, or some endpoint is suspect.
     bool confirm(std::uint64_t number, Micros now);
 
     // The serial of the accepted list; 0 where there is none.
@@ -107,13 +107,13 @@
     std::map<std::string, EngineId> ids_;
     std::map<EngineId, DiscoveredEndpoint> endpoints_;
     std::map<EngineId, Micros> started_at_;
-    // Endpoints that are ready in the accepted list and reported as draining because of another answer.
+    // Endpoints that are ready in the accepted list and reported as draining because of another response.
     std::set<EngineId> suspects_;
-    // The last answer with the accepted serial and other content; empty: none since the list was confirmed.
+    // The last response with the accepted serial and other content; empty: none since the list was confirmed.
     std::vector<DiscoveredEndpoint> conflicting_list_;
-    // Names that were removed lately, and when.
+    // Names that were removed within the last 60 s, and when.
     std::map<std::string, Micros> removed_at_;
-    // Names that count as draining whatever an answer has, and until when.
+    // Names that are draining whatever a response contains, and until when.
     std::map<std::string, Micros> forced_draining_until_;
 };
 
--- a/src/decide/endpoint_state_tracker.cpp
+++ b/src/decide/endpoint_state_tracker.cpp
@@ -6,7 +6,7 @@
 namespace gatetiller::decide {
 namespace {
 
-// Two readings of the same start differ by less, because of rounding and transmission delay.
+// Two reports of the same start differ by less than this, because of rounding and transmission delay.
 constexpr Micros kStartTolerance = 2 * kSecondMicros;
 
 bool differs(const Endpoint& left, const Endpoint& right) {
--- a/src/decide/engine_exchange.hpp
+++ b/src/decide/engine_exchange.hpp
@@ -24,67 +24,85 @@
         deadline_passed,
         // No connection was established: not executed.
         connection_refused,
-        not_sent,  // not wholly written when its connection ended, taken back unwritten, or kept by this
-                   // machine for want of a descriptor, a port or the like: it never ran, and its engine is
-                   // not to blame
-        connection_lost,  // the connection ended, or was spoilt by whatever came on it: it may have run
+        // Not executed, and not a fault of the engine: the request was not completely written when its
+        // connection ended, it was withdrawn before it was written, or this machine lacked a resource such as
+        // a descriptor or a port.
+        not_sent,
+        // The connection ended, or a malformed message arrived on it: it may have been executed.
+        connection_lost,
     };
     Status status = Status::connection_lost;
-    std::string rows;                   // served
-    double work_ms = 0, needed_mb = 0;  // served, where told
+    // Where completed.
+    std::string rows;
+    // Where completed, core time in milliseconds and memory in MiB; 0 where the engine did not report them.
+    double work_ms = 0, needed_mb = 0;
     std::optional<LoadReport> load_report;
-    std::string detail;  // for logs
+    // For logs.
+    std::string detail;
 };
 
 AttemptOutcome outcome_of(ExchangeResult::Status how);
 
-// What the end of a connection proves of a request that stood on it, by how much of it the kernel had taken:
-// what was not written whole can't have arrived whole, and an engine runs nothing less.
+// How much of a request was written to the kernel when its connection ended. A request that was not written
+// completely cannot have arrived completely, and an engine executes only complete requests.
 enum class WriteProgress {
     none,
     partial,
     complete
 };
-// How the connection ended: it had come up; or never did, because of the peer or of this machine.
+// How a connection ended.
 enum class ConnectionEnd {
+    // After it was established.
     broken,
+    // The peer did not accept it.
     never_established,
+    // This machine lacked a resource to establish it.
     local_resource_exhausted
 };
+// The status of a request on a connection that ended.
 ExchangeResult::Status classify_connection_end(ConnectionEnd end, WriteProgress handed);
 
-// The fields of a message on an engine's connection: "name=value,name=value" or "-". Views of the text read.
+// The fields of a message on an engine's connection: "name=value,name=value", or "-" for none. Refers to the
+// parsed text, which must outlive it.
 class ResponseFields {
 public:
-    bool parse(std::string_view text);                   // false where it can't be read
-    std::string_view find(std::string_view name) const;  // the first of that name; empty where there is none
+    // False where `text` is malformed.
+    bool parse(std::string_view text);
+    // The value of the first field with that name; empty where there is none.
+    std::string_view find(std::string_view name) const;
 
 private:
     std::vector<std::pair<std::string_view, std::string_view>> fields_;
 };
 
-// The result of one attempt, page by page: bounded, each page once, each of whole rows.
+// Collects the pages of one attempt's result, whose size is limited. Each page is accepted once and consists
+// of complete rows.
 class ResultPages {
 public:
     static constexpr std::size_t kMaxPageBytes = 6'000, kMaxResultBytes = 48'000, kMaxPages = 512;
     bool started() const {
         return !pages_.empty();
     }
-    // The first answer's page and the number of all. False where no result can be like that.
+    // Starts with the first response: its page, and the number of all pages. False where one of them exceeds
+    // its limit or the page is malformed.
     bool start(std::size_t pages, std::string_view first);
     enum class PageVerdict {
         accepted,
+        // No page with that number is missing.
         not_requested,
+        // The page is malformed or exceeds a limit.
         malformed
     };
-    PageVerdict add(std::size_t number, std::string_view page);  // a further page, from 1
+    // Adds page `number`; the first response's page has the number 0.
+    PageVerdict add(std::size_t number, std::string_view page);
     bool complete() const {
         return started() && missing_ == 0;
     }
     std::size_t pages() const {
         return pages_.size();
     }
-    std::string take_rows();  // of all pages in order; to be taken once
+    // Returns the rows of all pages in order and clears the pages. Precondition: complete().
+    std::string take_rows();
 
 private:
     bool fits(std::string_view page);
--- a/src/decide/graceful_shutdown.cpp
+++ b/src/decide/graceful_shutdown.cpp
@@ -5,13 +5,13 @@
 namespace gatetiller::decide {
 namespace {
 
-// The platform counts longer deadlines as this one.
+// The platform treats longer deadlines as this one.
 constexpr Micros kMaxCountedDeadline = 3 * kSecondMicros;
-// From that deadline until the platform kills the process.
+// Time from that deadline until the platform kills the process.
 constexpr Micros kKillDelay = 700 * kMillisecond;
-// The process exits so long before it would be killed.
+// Time from the process's exit until it would be killed.
 constexpr Micros kExitMargin = 150 * kMillisecond;
-// For clients to read their final responses and to close.
+// Time for clients to read their final responses and to close.
 constexpr Micros kFinalResponseTime = 250 * kMillisecond;
 
 }  // namespace
--- a/src/decide/graceful_shutdown.hpp
+++ b/src/decide/graceful_shutdown.hpp
@@ -10,13 +10,13 @@
 // Microseconds since the signal for the shutdown. Invariant, for a longest deadline over 150 ms: admit_until
 // <= listen_until <= final_responses_at < exit_at.
 struct ShutdownSchedule {
-    // New requests are admitted, as clients learn of the shutdown with a delay.
+    // Until then new requests are admitted, as clients are notified of the shutdown with a delay.
     Micros admit_until = 700 * kMillisecond;
-    // New connections are accepted, so that their requests are rejected rather than lost.
+    // Until then new connections are accepted, so that their requests are rejected rather than lost.
     Micros listen_until = kSecondMicros;
-    // Requests that are still open are sent their final response.
+    // When requests that are still open are sent their final response.
     Micros final_responses_at = 3'300 * kMillisecond;
-    // The process exits, whether or not clients have read or closed.
+    // When the process exits, whether or not clients have read their responses or closed.
     Micros exit_at = 3'550 * kMillisecond;
 };
 
--- a/src/decide/invariants.hpp
+++ b/src/decide/invariants.hpp
@@ -55,7 +55,7 @@
 // Number of values of Invariant.
 constexpr std::size_t kInvariants = static_cast<std::size_t>(Invariant::ready_without_signals) + 1;
 
-// The enumerator's name, as it stands in logs and in the status.
+// The enumerator's name, which logs and the status contain.
 const char* name_of(Invariant invariant);
 
 // How many violations of each invariant were prevented since the process started.
--- a/src/decide/ledger_state.cpp
+++ b/src/decide/ledger_state.cpp
@@ -43,7 +43,7 @@
 }
 
 std::optional<LedgerGap> LedgerIntake::take_gap(std::size_t waiting, StoreError cause) {
-    // While the queue is still long, more may be lost at any moment: one gap, not many.
+    // While the queue is still long, more rows may be lost at any moment; they belong to the same gap.
     if (!gap_ || waiting > limits_.max_queued_rows / 2)
         return std::nullopt;
     LedgerGap g = *gap_;
@@ -55,7 +55,7 @@
 
 LedgerState::Step LedgerState::next_step(Micros now) const {
     if (error_ == StoreError::corrupt || error_ == StoreError::foreign) {
-        // A file of something else is never moved: only a ledger that broke.
+        // Only a corrupt ledger is moved away, never a foreign file.
         if (error_ == StoreError::corrupt && now >= again_at_)
             return Step::quarantine;
         return now >= again_at_ ? Step::open : Step::wait;
@@ -78,7 +78,7 @@
 bool LedgerState::on_failed(StoreError error, Micros now) {
     const bool aloud = error != error_ || now - said_at_ >= limits_.log_interval;
     error_ = error;
-    // What may have changed under the open file is looked at anew.
+    // The file is reopened, as it may have been replaced. A full disk does not require it.
     if (error != StoreError::full)
         open_ = false;
     again_at_ = now + pause_;
@@ -89,7 +89,7 @@
 }
 
 void LedgerState::on_quarantined() {
-    error_ = StoreError::io;  // until a new one is open and written
+    error_ = StoreError::io;  // until a batch is written to a new file
     open_ = false, again_at_ = 0;
 }
 
--- a/src/decide/ledger_state.hpp
+++ b/src/decide/ledger_state.hpp
@@ -1,6 +1,6 @@
-// How a front keeps its ledger while its store is slow or broken: what is still written down, when the store
-// is tried again, and which stretch of time a gap stands for. A small state machine with no I/O: whoever
-// drives it says what happened, and when.
+// State machines of a front's ledger while its store is slow or failing: which rows are still queued, when
+// the store is retried, and the time that a gap covers. Without I/O: the caller reports events with their
+// times, in microseconds.
 #pragma once
 
 #include <cstdint>
@@ -13,54 +13,77 @@
 
 enum class StoreError : std::uint8_t {
     none,
-    full,       // no room on the disk
-    read_only,  // the file or the disk may not be written
-    corrupt,    // the file is damaged
-    locked,     // another process keeps this ledger
-    no_access,  // it can't be opened
-    io,         // reading or writing fails
-    lagging,    // the store is too slow: more came than may wait
-    killed,     // the front ended without closing it (only in gaps)
-    foreign,    // the file is not a ledger, or one of a later version
+    // No space on the disk.
+    full,
+    // The file or the disk is read-only.
+    read_only,
+    // The file is corrupt.
+    corrupt,
+    // Another process has locked the ledger.
+    locked,
+    // The file cannot be opened.
+    no_access,
+    // Reading or writing fails.
+    io,
+    // The store is too slow: the queue was full.
+    lagging,
+    // The front ended without closing the ledger; only as the cause of a gap.
+    killed,
+    // The file is not a ledger, or is one of a later version.
+    foreign,
 };
+// The error's name in logs, in the status and in reports.
 const char* name_of(StoreError error);
 
-// A stretch of time in which the ledger is not whole.
+// A time interval for which the ledger is incomplete.
 struct LedgerGap {
     StoreError cause = StoreError::none;
-    Micros from = 0, to = 0;                 // wall clock
-    std::int64_t requests = 0, updates = 0;  // requests never written; ends of written ones lost. -1: unknown
+    // Wall clock, microseconds since 1970.
+    Micros from = 0, to = 0;
+    // Lost rows: of requests that were never written, and later rows of requests that were. -1: unknown.
+    std::int64_t requests = 0, updates = 0;
 };
 
-// The stretch in which requests of a life that was not ended in order may be missing: from its last commit
-// (`last`) to the start of the next life (`began`), both by the wall clock. Where the clock stepped back in
-// between, nobody knows when: then it reaches further to both sides. `tail`: what a life may take in before
-// it is committed.
+// The interval in which requests of a killed incarnation may be missing: from its last commit (`last`) until
+// the next incarnation's start (`began`), both by the wall clock. Where the clock was set back in between,
+// the time of the step is unknown, and the interval is extended in both directions. `tail`: the longest time
+// between the arrival of a row and its commit.
 LedgerGap gap_after_kill(Micros last, Micros began, Micros tail);
 
 struct LedgerLimits {
-    std::size_t max_queued_rows = 200'000;  // rows in the queue or in a batch that is being tried
-    double new_request_share = 0.75;  // of it for new requests; the rest is for what written ones come to
+    // Rows in the queue and in the batch that is being written.
+    std::size_t max_queued_rows = 200'000;
+    // The share of max_queued_rows up to which new requests are accepted; the rest is reserved for the later
+    // rows of accepted ones.
+    double new_request_share = 0.75;
+    // The delay before a retry, which doubles up to the maximum.
     Micros retry_delay = 250 * kMillisecond, max_retry_delay = 5 * kSecondMicros;
-    Micros log_interval = 60 * kSecondMicros;  // a trouble that stays is told again after so long
+    // An error that persists is logged again after this interval.
+    Micros log_interval = 60 * kSecondMicros;
 };
 
-// On the loop's side: may this row wait? What may not is counted, and told as a gap once the store is well.
+// Used on the event loop: decides whether a row is queued. Rows that are not are counted, and reported as a
+// gap once the store has recovered.
 class LedgerIntake {
 public:
     explicit LedgerIntake(LedgerLimits limits) : limits_(limits) {}
-    // A new request. False: it is not in the ledger at all, and none of its rows may be offered.
+    // Whether the first row of a new request is queued, with `waiting` rows queued at the time `wall`. False:
+    // the request is not in the ledger, and no later row of it may be offered.
     bool admit(std::size_t waiting, Micros wall);
-    // A row of a request that was admitted.
+    // Whether a later row of an admitted request is queued.
     bool admit_update(std::size_t waiting, Micros wall);
-    // The store has caught up with everything that was admitted before: what was lost until here is over.
+    // Returns and ends the gap, if there is one and the queue has shrunk to half of its limit. Precondition:
+    // the store has written all rows that were admitted before. `cause`: replaces `lagging` unless it is
+    // `none`.
     std::optional<LedgerGap> take_gap(std::size_t waiting, StoreError cause);
+    // Whether rows were lost since the last gap was taken.
     bool has_gap() const {
         return gap_.has_value();
     }
+    // The number of rows lost since the start.
     std::int64_t lost_rows() const {
         return lost_;
-    }  // rows in all
+    }
 
 private:
     void lose(Micros wall, bool request);
@@ -69,31 +92,37 @@
     std::int64_t lost_ = 0;
 };
 
-// On the store's side: what to do next.
+// Used on the store's thread: decides what is done next.
 class LedgerState {
 public:
     enum class Step {
+        // Open the file.
         open,
+        // Write the next batch.
         write,
+        // Wait until retry_at().
         wait,
+        // Move the corrupt file away.
         quarantine
     };
     explicit LedgerState(LedgerLimits limits) : limits_(limits), pause_(limits.retry_delay) {}
 
     Step next_step(Micros now) const;
     void on_opened();
-    void on_written();  // a batch was committed
-    // Opening or writing failed. True: to be said aloud now.
+    // A batch was committed.
+    void on_written();
+    // Opening or writing failed. Returns whether the error is to be logged now.
     bool on_failed(StoreError error, Micros now);
-    void on_quarantined();  // the damaged file is out of the way
-    // Whether rows that failed with this trouble are worth keeping for another try: always, except where the
-    // rows themselves can't be written.
+    // The corrupt file was moved away.
+    void on_quarantined();
+    // The last error; `none` after a batch was committed.
     StoreError error() const {
         return error_;
     }
     bool healthy() const {
         return error_ == StoreError::none;
     }
+    // When the store may be tried again.
     Micros retry_at() const {
         return again_at_;
     }
@@ -105,10 +134,11 @@
     Micros pause_, again_at_ = 0, said_at_ = 0;
 };
 
-// Tells a step of the wall clock from the passing of time.
+// Detects steps of the wall clock.
 class ClockStepDetector {
 public:
-    // How far the wall clock stepped since the last look; nothing where it went along.
+    // The step of the wall clock since the last call, in microseconds; nothing where it advanced like the
+    // monotonic clock (`now`), within kNoticed.
     std::optional<Micros> detect(Micros now, Micros wall);
 
 private:
--- a/src/decide/node_admission.cpp
+++ b/src/decide/node_admission.cpp
@@ -4,7 +4,8 @@
 
 NodeAdmission admit(const NodeLoad& load, std::size_t statement_bytes, const ResourceLimits& limits,
                     const ShutdownSchedule& schedule) {
-    // Answers of engines are matched by request id: with two open requests of one id they could be confused.
+    // Responses of engines are matched by request id: those to two open requests with one id could be mixed
+    // up.
     if (load.duplicate_id)
         return NodeAdmission::duplicate;
     if (load.draining_for >= schedule.admit_until)
--- a/src/decide/node_admission.hpp
+++ b/src/decide/node_admission.hpp
@@ -20,7 +20,7 @@
     Micros draining_for = 0;
 };
 
-// Every verdict but `admitted` is answered with a rejection at once. As no attempt was sent, a retry by the
+// For every verdict but `admitted` a rejection is sent at once. As no attempt was sent, a retry by the
 // client is safe.
 enum class NodeAdmission {
     // The request goes to the policy.
--- a/src/decide/progress_reporter.hpp
+++ b/src/decide/progress_reporter.hpp
@@ -2,9 +2,10 @@
 //
 // The policy extrapolates an attempt's end from its progress per update and expects one update a period: more
 // frequent updates would make a query that has just begun look as if it never ended. So progress is reported
-// once a period, the first one a period after the attempt's start. Two facts are reported as soon as they are
-// seen: that the attempt spills (each time the spilled bytes grow), and that it waits (when it begins to wait
-// or waits for something else, and then once a period). Times are microseconds of one monotonic clock.
+// once a period, the first time a period after the attempt's start. Two facts are reported as soon as they
+// are observed: that the attempt spills (each time the spilled bytes grow), and that it waits (when it begins
+// to wait or waits for something else, and then once a period). Times are microseconds of one monotonic
+// clock.
 #pragma once
 
 #include <cstdint>
--- a/src/decide/quota.cpp
+++ b/src/decide/quota.cpp
@@ -34,7 +34,7 @@
 
 void Quota::expire_slots(Team& t, Micros now) const {
     const std::int64_t slot = slot_of(now);
-    // More than a window at once empties all of them, each once.
+    // After more than a window, each slot is cleared once.
     for (int i = 0; t.newest < slot && i < kSlots; ++i) {
         ++t.newest;
         Micros& old = t.slots[static_cast<std::size_t>(t.newest % kSlots)];
@@ -53,7 +53,7 @@
     if (!t || work <= 0 || ago < 0)
         return;
     expire_slots(*t, now);
-    // Ages are counted in whole slots back from now, as the loop's time may be younger than the window.
+    // Counts slots back from now, as the monotonic clock may have started less than a window ago.
     const std::int64_t back = ago / slot_;
     if (back >= kSlots)
         return;
@@ -62,7 +62,7 @@
 }
 
 QuotaState Quota::target_state(const Team& t) const {
-    // A state that is held is left only once use has fallen clearly below its budget.
+    // The present state is left only once use is below exit_fraction of its budget.
     const auto over = [&](Micros budget, bool in_state) {
         if (budget <= 0)
             return false;
@@ -88,7 +88,7 @@
         return QuotaState::within_budget;
     expire_slots(*t, now);
     const QuotaState next = target_state(*t);
-    // Up at once, down only after a while: a team at the brim must not flicker.
+    // The delay keeps the state of a team close to its budget from alternating.
     if (next > t->state || (next < t->state && now - t->since >= settings_.min_state_duration))
         enter(*t, next, now);
     return t->state;
@@ -104,7 +104,7 @@
     Micros after = 0;
     for (std::int64_t slot = t->newest - kSlots + 1; slot <= t->newest && sum >= open_at; ++slot) {
         sum -= t->slots[static_cast<std::size_t>((slot % kSlots + kSlots) % kSlots)];
-        after = (slot + kSlots) * slot_ - now;  // it has left the window then
+        after = (slot + kSlots) * slot_ - now;  // when the slot has left the window
     }
     return std::max(after, settings_.min_state_duration);
 }
--- a/src/decide/quota.hpp
+++ b/src/decide/quota.hpp
@@ -1,17 +1,17 @@
-// Budgets: what a team has used so far, as a signal. Work over a sliding window turns into one of three
-// states, with hysteresis, and the front hands the module only what it knows already: over the soft budget a
-// statement counts as that of the tenant set aside for it, over the hard one it is turned away at the door,
-// before it was taken. Off where no budget is set.
+// Quotas: the core time that teams use within a sliding window, compared with a soft and a hard budget.
 //
-// What it knows:
-// - One front's part. With `fronts` of them each holds its share of every budget, so that together they never
-//   let a team pass the whole one; a team whose statements come through few of them gets less than its
-//   budget.
-// - At a restart, what the ledger holds of the window is taken in again (restore). What the ledger lost, or
-// had
-//   not got yet when the front died, is forgotten: the error is in the team's favour, never against it.
-// - A ledger that is behind changes nothing while the front lives: use is counted as attempts end.
-// Times are the loop's, so that a step of the wall clock doesn't empty or fill a window.
+// Use over the window gives one of three states, with hysteresis. Over the soft budget a statement is counted
+// for the tenant that is configured for this; over the hard budget it is rejected before it is accepted. The
+// policy itself knows nothing of quotas. Teams without a budget are not limited.
+//
+// Limits of what a front knows:
+// - With `fronts` fronts each enforces its share of every budget, so that together they never let a team
+//   exceed the budget; a team whose statements arrive through few of them gets less than its budget.
+// - After a restart, restore() adds the use that the ledger has for the window. What the ledger lost, or had
+//   not received when the front was killed, is not counted: the error is always in the team's favour.
+// - A ledger that lags has no effect on a running front, as use is counted when attempts end.
+// Times are of the monotonic clock in microseconds, so that a step of the wall clock neither empties nor
+// fills a window.
 #pragma once
 
 #include <array>
@@ -32,14 +32,18 @@
 
 struct Budget {
     std::string team;
-    Micros soft_limit = 0, hard_limit = 0;  // core-time in a window, over all fronts; 0: none
+    // Core time within a window, over all fronts, in microseconds; 0: no limit.
+    Micros soft_limit = 0, hard_limit = 0;
 };
 
 struct QuotaSettings {
     Micros window = Micros{24} * 3600 * kSecondMicros;
+    // Number of fronts that share each budget equally.
     int fronts = 1;
-    double exit_fraction = 0.9;                      // of a budget: below this the state is left again
-    Micros min_state_duration = 10 * kSecondMicros;  // and not before so long in it
+    // A state is left once use is below this fraction of its budget.
+    double exit_fraction = 0.9;
+    // A state is left for a lower one after this time at the earliest.
+    Micros min_state_duration = 10 * kSecondMicros;
 };
 
 class Quota {
@@ -49,24 +53,29 @@
     bool has_budgets() const {
         return !teams_.empty();
     }
-    // Work of an attempt that ended at `now`. Teams without a budget are passed over.
+    // Counts the work of an attempt that ended at `now`. Ignores teams without a budget.
     void record_use(const std::string& team, Micros now, Micros work);
-    // The same of the past, read back from the ledger; `ago` before now.
+    // Counts work from the ledger, which ended `ago` microseconds before `now`.
     void restore(const std::string& team, Micros now, Micros ago, Micros work);
-    // The state now; moves on by at most what the rules of hysteresis allow.
+    // Updates and returns the state. A higher state is entered at once, a lower one after min_state_duration.
     QuotaState state(const std::string& team, Micros now);
-    // Until the hard budget would be open again if nothing more were used: never less than the stay.
+    // The time until the hard budget would be free again without further use; at least min_state_duration.
     Micros retry_after(const std::string& team, Micros now) const;
+    // The core time used within the window, in microseconds.
     Micros usage(const std::string& team, Micros now) const;
 
 private:
     static constexpr int kSlots = 60;
     struct Team {
+        // With this front's share of the limits.
         Budget budget;
+        // Use by slot number modulo kSlots.
         std::array<Micros, kSlots> slots{};
-        std::int64_t newest = 0;  // slot number
+        // Number of the newest slot.
+        std::int64_t newest = 0;
         Micros sum = 0;
         QuotaState state = QuotaState::within_budget;
+        // When the state was entered.
         Micros since = 0;
     };
     Team* find(const std::string& team);
@@ -74,11 +83,14 @@
     std::int64_t slot_of(Micros t) const {
         return t / slot_;
     }
-    void expire_slots(Team& t, Micros now) const;  // lets go of slots that have left the window
+    // Clears the slots that are no longer in the window at `now`.
+    void expire_slots(Team& t, Micros now) const;
+    // The state by the present use, without min_state_duration.
     QuotaState target_state(const Team& t) const;
     static void enter(Team& t, QuotaState state, Micros now);
 
     QuotaSettings settings_;
+    // Length of a slot in microseconds.
     Micros slot_;
     std::vector<Team> teams_;
 };
--- a/src/decide/request_lifecycle.cpp
+++ b/src/decide/request_lifecycle.cpp
@@ -6,7 +6,7 @@
     switch (event) {
         case RequestEvent::attempt_started:
             return phase_ == RequestPhase::queued && !attempt_in_flight_;
-        // Once a complete response is available, its first rows no longer change the phase.
+        // Once the final response is available, its first rows no longer change the phase.
         case RequestEvent::streaming_started:
             return phase_ == RequestPhase::attempting;
         case RequestEvent::attempt_ended:
--- a/src/decide/request_lifecycle.hpp
+++ b/src/decide/request_lifecycle.hpp
@@ -1,6 +1,7 @@
 // The state machine of one request at a gateway, from admission until all of its state can be released.
 //
-// The policy decides what is done; this machine refuses events that are not possible in the present phase.
+// The policy makes the decisions; the state machine rejects events that are not possible in the present
+// phase.
 //
 // Invariants: at most one attempt is in flight; no attempt starts after rows were streamed to the client or
 // after the final response; there is at most one final response, and the request is closed once.
@@ -15,7 +16,7 @@
     queued,
     // An attempt is in flight, no row was sent to the client.
     attempting,
-    // Rows were sent to the client, so that no further attempt is possible.
+    // Rows were sent to the client, so that no other attempt is possible.
     streaming,
     // The final response is available to the client.
     answered,
@@ -48,7 +49,7 @@
     // Applies `event`. False, without a change, where it is not possible now.
     bool apply(RequestEvent event);
 
-    // Whether an attempt is in flight. May be so after the final response, where it could not be cancelled.
+    // Whether an attempt is in flight. Possible after the final response, where it could not be cancelled.
     bool attempt_in_flight() const {
         return attempt_in_flight_;
     }
--- a/src/decide/resource_limits.hpp
+++ b/src/decide/resource_limits.hpp
@@ -1,9 +1,9 @@
 // Limits of a front node, derived from the file descriptors and the memory that its machine allows it.
 //
-// 24 descriptors are reserved for what is not a connection (log, listener, name service, files at a reload),
-// or half of all where there are fewer than 48. Engines get 35 % of the rest and clients the remainder; at
-// least one each. Statements get an eighth of the memory, responses that one client has not read a
-// thirty-second part, and the number of requests is bounded so that at 8 KiB each they fit a quarter.
+// 24 descriptors are reserved for other purposes than connections (log, listener, name service, files at a
+// reload), or half of all where there are fewer than 48. Engines get 35 % of the rest and clients the
+// remainder; at least one each. Statements get an eighth of the memory, responses that one client has not
+// read a thirty-second part, and the number of requests is bounded so that at 8 KiB each they fit a quarter.
 #pragma once
 
 #include <cstddef>
--- a/src/decide/routing.cpp
+++ b/src/decide/routing.cpp
@@ -31,7 +31,7 @@
     return "";
 }
 
-// Equal at every gateway, and never 0, which means no group.
+// The same number at every gateway; 0 only for an empty name, which means no group.
 std::int64_t group_number(const std::string& name) {
     if (name.empty())
         return 0;
--- a/src/decide/routing.hpp
+++ b/src/decide/routing.hpp
@@ -1,4 +1,5 @@
-// Routing of a statement: its class, tenant, idempotency key and group, from what the client sent with it.
+// Routing of a statement: its class, tenant, idempotency key and group, from the attributes that the client
+// sent with it.
 //
 // Routes are tried in order and the first match decides. Patterns are those of pattern.hpp.
 #pragma once
@@ -12,13 +13,13 @@
 
 namespace gatetiller::decide {
 
-// What a client sent with a statement.
+// The attributes that a client sent with a statement.
 struct StatementTraits {
     std::string user, source, catalog, schema, trace_token;
     std::vector<std::string> tags;
 };
 
-// One route: the patterns that a statement must match, all of them, and what it is assigned.
+// One route: the patterns, all of which a statement must match, and what is assigned to it.
 struct Route {
     std::string user, source, catalog, schema;
     // Each must match at least one tag of the statement.
@@ -30,7 +31,7 @@
     std::string group_from;   // "catalog", "schema", or "tag:PREFIX"; empty: no group
 };
 
-// The verdict of a Router.
+// The result of Router::route().
 struct RoutingResult {
     std::string cls, tenant, key;
     // A hash of the group's name, the same at every gateway; 0: no group.
--- a/src/decide/serial_tracker.cpp
+++ b/src/decide/serial_tracker.cpp
@@ -3,11 +3,11 @@
 namespace gatetiller::decide {
 namespace {
 
-// So many older answers in a row, over so long a span, mean a restarted numbering.
+// Older responses in a row, and the time over which they arrive, that show a restarted numbering.
 constexpr int kRestartAnswers = 8;
 constexpr Micros kRestartSpan = 2 * kSecondMicros;
 
-// By serial number arithmetic (RFC 1982).
+// Compares by serial number arithmetic (RFC 1982).
 bool is_newer(std::uint32_t serial, std::uint32_t than) {
     return static_cast<std::int32_t>(serial - than) > 0;
 }
--- a/src/decide/settlement.cpp
+++ b/src/decide/settlement.cpp
@@ -42,12 +42,12 @@
         ran = std::max(ran, q.ended - q.created);
     }
     if (never) {
-        // An engine that refuses a query in its queue logs it all the same, with nothing done.
+        // An engine that rejects a query in its queue logs it nevertheless, without work.
         s.finding = s.work == 0 ? SettlementFinding::never_ran : SettlementFinding::unexpected_work;
         return s;
     }
     if (a.is_final) {
-        // The protocol tells milliseconds; the journal is finer, and counts.
+        // The protocol reports milliseconds. The journal has a finer resolution, and its figure is charged.
         const bool same = s.work / kMillisecond == a.work / kMillisecond &&
                           s.spilled_bytes == a.spilled_bytes && s.peak_bytes == a.peak_bytes;
         const bool later = s.work > a.work && a.sent_after + ran > a.ended_after;
@@ -77,7 +77,7 @@
     s.spilled_bytes = logged.spilled_bytes;
     if (!logged.attempt_tag) {
         s.finding = SettlementFinding::direct;
-        s.waste = WastedWork::none;  // whom it served is not ours to say
+        s.waste = WastedWork::none;  // whether it served its client is not known
         return s;
     }
     if (!incarnation) {
--- a/src/decide/statement_admission.hpp
+++ b/src/decide/statement_admission.hpp
@@ -20,11 +20,11 @@
     std::size_t statements_per_user = 20'000;
     // Bytes of one statement's text.
     std::size_t statement_bytes = 1 << 20;
-    // Bytes of rows that one statement may have buffered before its engine is asked for more.
+    // Limit on one statement's buffered rows, in bytes, above which its engine is not asked for more.
     std::size_t row_buffer_bytes = 2 << 20;
     // Bytes of rows buffered for all statements.
     std::size_t total_row_buffer_bytes = 512 << 20;
-    // Microseconds: the Retry-After of a rejected statement.
+    // Retry-After of a rejected statement, in microseconds.
     Micros retry_after = kSecondMicros;
 };
 
--- a/src/decide/table_group.cpp
+++ b/src/decide/table_group.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 struct Token {
-    std::string text;  // a name, or one character of its own
+    std::string text;  // a name, or a single character
     bool name = false, quoted = false;
 };
 
@@ -23,7 +23,8 @@
     return starts_name(c) || (c >= '0' && c <= '9') || c == '$';
 }
 
-// The position behind what opened at `at` and ends with `end`; a doubled end stands for itself.
+// The position after the quoted text that begins at `at` and ends with `end`; a doubled `end` is an escaped
+// one.
 std::size_t past_quoted(std::string_view sql, std::size_t at, char end) {
     for (++at; at < sql.size(); ++at) {
         if (sql[at] != end)
@@ -75,7 +76,7 @@
         return {std::string(sql.substr(begin, at - begin)), true};
     }
     if (is_digit(first)) {
-        // The dots of a number separate no names.
+        // The dots in a number do not separate names.
         while (at < sql.size() && (in_name(sql[at]) || sql[at] == '.'))
             ++at;
         return {"0"};
@@ -121,7 +122,7 @@
     for (std::size_t i = 0; i < tokens.size(); ++i) {
         if (!tokens[i].name)
             continue;
-        std::size_t last = i;  // of the names parted by dots that begin here
+        std::size_t last = i;  // of the names separated by dots that begin at `i`
         while (last + 2 < tokens.size() && tokens[last + 1].text == "." && !tokens[last + 1].name &&
                tokens[last + 2].name)
             last += 2;
--- a/src/decide/teams.cpp
+++ b/src/decide/teams.cpp
@@ -8,7 +8,7 @@
 namespace gatetiller::decide {
 namespace {
 
-constexpr std::size_t kKnown = 200'000;  // requesters remembered at once
+constexpr std::size_t kKnown = 200'000;  // cached requesters
 const std::string kNoTeam;
 
 bool fits(const TeamRule& r, const Requester& w) {
--- a/src/decide/teams.hpp
+++ b/src/decide/teams.hpp
@@ -1,5 +1,6 @@
-// Which team a request belongs to: by tenant, user, source and tags, as it was agreed for the moment of the
-// request's arrival. A team has a name of its own for each time; being renamed doesn't make it another team.
+// Assigns requests to teams by tenant, user, source and tags, according to the rules in force when the
+// request arrived. A team has an id that never changes and names that are valid from given times on. Times
+// are microseconds of the wall clock since 1970.
 #pragma once
 
 #include <map>
@@ -12,12 +13,17 @@
 namespace gatetiller::decide {
 
 struct TeamRule {
+    // The team's id.
     std::string team;
-    Micros from = 0, until = 0;        // arrivals in [from, until); until 0: for good
-    std::string tenant, user, source;  // patterns with `*`; empty: any
-    std::vector<std::string> tags;     // each must match some tag
+    // Applies to arrivals in [from, until); `until` 0: no end.
+    Micros from = 0, until = 0;
+    // Patterns (pattern.hpp).
+    std::string tenant, user, source;
+    // Patterns, each of which must match at least one tag.
+    std::vector<std::string> tags;
 };
 
+// A name of a team, valid from `from` until the next name.
 struct TeamName {
     Micros from = 0;
     std::string name;
@@ -25,17 +31,18 @@
 
 class Teams {
 public:
-    // `names`: of each team in the order of time; a team that isn't there goes by its id.
+    // `names`: of each team, by its id, in the order of time. The name of a team that it lacks is its id.
     Teams(std::vector<TeamRule> rules, std::map<std::string, std::vector<TeamName>> names);
 
-    // The first rule that fits at that time decides; empty where none does. The same requester's answers are
-    // remembered as long as `who` lives elsewhere or not: by its content.
+    // The id of the team by the first rule that applies at `received_at`; empty where none does. Results are
+    // cached by the content of `who`.
     const std::string& team_of(const Requester& who, Micros received_at);
     std::string name_at(const std::string& team, Micros at) const;
-    // Names that it bore in [from, until) beside the last one, in the order of time.
+    // The names other than the last that the team had in [from, until), in the order of time.
     std::vector<std::string> former_names(const std::string& team, Micros from, Micros until) const;
 
 private:
+    // A team that applies from `from` until the next interval.
     struct Interval {
         Micros from = 0;
         std::string team;
