--- a/tests/decide/attempt_end_test.cpp
+++ b/tests/decide/attempt_end_test.cpp
@@ -1,4 +1,4 @@
-// How an attempt's end is classified, over all kinds, statuses and error names.
+// Classification of an attempt's end, for all kinds, statuses and error names.
 #include "decide/attempt_end.hpp"
 
 #include <gtest/gtest.h>
@@ -28,7 +28,7 @@
                         (how == How::rejected && (status == 429 || status == 503)) ||
                         (how == How::answered && std::string(name) == "QUERY_QUEUE_FULL" && !ran);
                     EXPECT_EQ(never_ran(v.outcome), proven);
-                    // Only an engine's own word is passed on to the client.
+                    // Only a response of an engine is forwarded to the client.
                     if (v.for_client) {
                         EXPECT_TRUE(how == How::answered || how == How::rejected);
                     }
--- a/tests/decide/attempt_guard_test.cpp
+++ b/tests/decide/attempt_guard_test.cpp
@@ -1,4 +1,4 @@
-// The guard of attempts: each invariant refuses exactly what breaks it.
+// AttemptGuard: each invariant rejects exactly the attempts that violate it.
 #include "decide/attempt_guard.hpp"
 
 #include <gtest/gtest.h>
@@ -95,7 +95,7 @@
 TEST_F(AttemptGuardTest, AColdEngineGetsNoMoreThanItsBudget) {
     facts.target.in_slow_start = true;
     facts.target.slow_start_attempts = 5;
-    EXPECT_EQ(forbidden(), std::nullopt);  // no work is known
+    EXPECT_EQ(forbidden(), std::nullopt);  // the mean work is not known
     EXPECT_EQ(forbidden(4.0), std::nullopt);
     facts.target.slow_start_attempts = 12;  // 4 + 3 * 2 + 3 = 13
     EXPECT_EQ(forbidden(4.0), std::nullopt);
@@ -111,8 +111,9 @@
     EXPECT_TRUE(AttemptGuard(settings, false).permit(facts, cls, std::nullopt));
 }
 
-// The terms: N + 2 x root of N + 2, and under 30 N + 3 x root of N + 3. All fronts share it: the sum of what
-// a fleet of any size sends is bounded by it only if each front's part and its draws keep below.
+// The platform's terms: n + 2 * sqrt(n) + 2, below 30 requests n + 3 * sqrt(n) + 3. The budget is for all
+// fronts together, so that the attempts of a fleet stay within it only if each front's share and its random
+// variation do.
 TEST(ColdBudget, IsThatOfTheTerms) {
     EXPECT_DOUBLE_EQ(slow_start_budget(100), 122);
     EXPECT_DOUBLE_EQ(slow_start_budget(25), 43);
--- a/tests/decide/client_eviction_test.cpp
+++ b/tests/decide/client_eviction_test.cpp
@@ -1,4 +1,4 @@
-// Timeouts of client connections, and which one is evicted for another.
+// Timeouts of client connections, and the choice of the connection to evict.
 #include "decide/client_eviction.hpp"
 
 #include <gtest/gtest.h>
@@ -17,10 +17,11 @@
     EXPECT_FALSE(has_timed_out(c, t.first_request_timeout, t));
     EXPECT_TRUE(has_timed_out(c, t.first_request_timeout + 1, t));
     c.has_sent_request = true;
-    EXPECT_FALSE(has_timed_out(c, 3600 * kSecondMicros, t));  // one that has served is left alone
+    // An idle connection with earlier requests has no timeout.
+    EXPECT_FALSE(has_timed_out(c, 3600 * kSecondMicros, t));
     c.partial_request_since = 10;
     EXPECT_TRUE(has_timed_out(c, 10 + t.partial_request_timeout, t));
-    c.open_requests = 1;  // a slow writer that waits for another answer: a close would lose that
+    c.open_requests = 1;  // slow writer that waits for another response: a close would lose it
     EXPECT_FALSE(has_timed_out(c, 10 + t.partial_request_timeout, t));
     c.open_requests = 0, c.has_unsent = true;
     EXPECT_FALSE(has_timed_out(c, 10 + t.partial_request_timeout, t));
@@ -31,17 +32,17 @@
 
 TEST(Clients, RoomIsMadeByWhoNeedsItsConnectionLeast) {
     const ClientTimeouts times;
-    const Micros later = 3600 * kSecondMicros;  // all have had their time
+    const Micros later = 3600 * kSecondMicros;  // after all graces
     const auto makes_room = [&](const std::vector<ClientSnapshot>& clients) -> std::optional<std::size_t> {
         const auto leaver = decide::select_eviction(clients, later, times);
         return leaver ? std::optional(leaver->index) : std::nullopt;
     };
     std::vector<ClientSnapshot> all(4);
-    all[0] = {
-        .connected_at = 1, .last_active_at = 90, .open_requests = 1, .has_sent_request = true};  // at work
+    // Open request.
+    all[0] = {.connected_at = 1, .last_active_at = 90, .open_requests = 1, .has_sent_request = true};
     all[1] = {.connected_at = 2, .last_active_at = 50, .has_sent_request = true};
-    all[2] = {.connected_at = 3, .last_active_at = 40, .has_sent_request = true};  // idle for longest
-    all[3] = {.connected_at = 99, .last_active_at = 99};                           // never asked
+    all[2] = {.connected_at = 3, .last_active_at = 40, .has_sent_request = true};  // longest idle
+    all[3] = {.connected_at = 99, .last_active_at = 99};                           // no request sent
     EXPECT_EQ(makes_room(all), 3u);
     all[3].open_requests = 1;
     EXPECT_EQ(makes_room(all), 2u);
@@ -52,23 +53,23 @@
     EXPECT_FALSE(makes_room(all));
 }
 
-// Every client is one of these; all pairs of them, at a moment when both, one or neither may leave.
+// All pairs of the kinds of clients: both, one or neither of them is evictable now.
 TEST(Clients, WhoMayLeaveNowGoesBeforeWhoMustBeWaitedFor) {
     const ClientTimeouts t;
     const Micros now = 100 * kSecondMicros;
     const std::vector<ClientSnapshot> kinds{
-        {.connected_at = 1, .open_requests = 1, .has_sent_request = true},         // owed an answer
-        {.connected_at = 1, .has_unsent = true, .has_sent_request = true},         // it is on its way
-        {.connected_at = now - 1},                                                 // about to ask
-        {.connected_at = now - t.first_byte_grace},                                // silent
-        {.connected_at = 1, .last_active_at = now - 1, .has_sent_request = true},  // asks again soon
-        {.connected_at = 1, .last_active_at = now - t.next_request_grace, .has_sent_request = true},  // rests
+        {.connected_at = 1, .open_requests = 1, .has_sent_request = true},  // open request
+        {.connected_at = 1, .has_unsent = true, .has_sent_request = true},  // response being written
+        {.connected_at = now - 1},                                          // within first_byte_grace
+        {.connected_at = now - t.first_byte_grace},                         // after first_byte_grace
         {.connected_at = 1,
-         .partial_request_since = now - 1,
-         .has_sent_request = true},  // in the middle of it
+         .last_active_at = now - 1,
+         .has_sent_request = true},  // within next_request_grace
+        {.connected_at = 1, .last_active_at = now - t.next_request_grace, .has_sent_request = true},  // idle
+        {.connected_at = 1, .partial_request_since = now - 1, .has_sent_request = true},  // partial request
         {.connected_at = 1,
          .partial_request_since = now - t.partial_request_timeout,
-         .has_sent_request = true},  // stopped there
+         .has_sent_request = true},  // partial request timed out
         {.connected_at = 1, .has_sent_request = true, .closing = true, .closing_since = now - 1},
     };
     for (const auto& a : kinds)
@@ -86,8 +87,9 @@
         }
     for (const std::size_t owed : {0u, 1u})
         EXPECT_FALSE(evictable_at(kinds[owed], t));
-    // A table of resting clients with one young and silent one: the newcomer doesn't wait for the latter.
-    // Found on herd+crowd (seed 430580087865): with it at the head of the rank, 300 a second came in at most.
+    // Among idle clients and one within first_byte_grace, an idle one is evicted, so that the new client need
+    // not wait. When the one in its grace was evicted first, at most 300 clients a second could connect
+    // (incident herd+crowd, seed 430580087865).
     EXPECT_EQ(select_eviction({kinds[2], kinds[5]}, now, t)->index, 1u);
 }
 
--- a/tests/decide/client_request_test.cpp
+++ b/tests/decide/client_request_test.cpp
@@ -1,4 +1,4 @@
-// Validation of the fields and the text of a client's request.
+// Validation of the fields and the statement of a client's request.
 #include "decide/client_request.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/decide/client_sequence_numbers_test.cpp
+++ b/tests/decide/client_sequence_numbers_test.cpp
@@ -1,4 +1,4 @@
-// Sequence numbers of one client connection.
+// Sequence numbers of the requests on one client connection.
 #include "decide/client_sequence_numbers.hpp"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
     EXPECT_EQ(n.accept(33), Verdict::too_many_open);
     EXPECT_TRUE(n.release(5));
     EXPECT_FALSE(n.release(5));
-    EXPECT_EQ(n.accept(5), Verdict::not_increasing);  // a number that was answered stands for nothing else
+    EXPECT_EQ(n.accept(5), Verdict::not_increasing);  // a released number is not reused
     EXPECT_EQ(n.accept(40), Verdict::accepted);
     EXPECT_EQ(n.release_all().size(), 32u);
     EXPECT_EQ(n.open_count(), 0u);
--- a/tests/decide/client_time_left_test.cpp
+++ b/tests/decide/client_time_left_test.cpp
@@ -1,4 +1,4 @@
-// The part of a client's timeout that is left for its request.
+// The part of a client's timeout that is left for a request.
 #include "decide/client_time_left.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/decide/close_guard_test.cpp
+++ b/tests/decide/close_guard_test.cpp
@@ -1,4 +1,4 @@
-// The guard of closing client connections: each invariant refuses exactly what breaks it.
+// CloseGuard: each invariant rejects exactly the closes that violate it.
 #include "decide/close_guard.hpp"
 
 #include <gtest/gtest.h>
@@ -20,11 +20,11 @@
                   Invariant::close_over_unread_bytes);
         EXPECT_FALSE(CloseGuard::permit({.has_unread = true}, reason));
     }
-    // What was taken before a malformed message is owed; nothing that came behind it could be read.
+    // Requests read before a malformed message need a final response; bytes after it cannot be parsed.
     EXPECT_EQ(CloseGuard::find_violation({.open_requests = 1}, CloseReason::malformed),
               Invariant::close_with_request_open);
     EXPECT_TRUE(CloseGuard::permit({.has_unsent = true, .has_unread = true}, CloseReason::malformed));
-    // Nobody is there: it goes all the same.
+    // These reasons permit a close in any state.
     for (const auto reason : {CloseReason::peer_closed, CloseReason::slow_reader, CloseReason::linger_timeout,
                               CloseReason::process_exit})
         EXPECT_TRUE(CloseGuard::permit({.open_requests = 1, .has_unsent = true, .has_unread = true}, reason))
--- a/tests/decide/connection_choice_test.cpp
+++ b/tests/decide/connection_choice_test.cpp
@@ -1,4 +1,4 @@
-// The choice of an engine connection for a request.
+// Choice of the connection to an engine for a request.
 #include "decide/connection_choice.hpp"
 
 #include <gtest/gtest.h>
@@ -20,7 +20,7 @@
     EXPECT_EQ(choose_connection(all, now, limits).reuse, 1u);
     EXPECT_TRUE(choose_connection(all, now, limits).open_if_capacity);
     all.resize(3), all[2].open_requests = 5;
-    EXPECT_FALSE(choose_connection(all, now, limits).open_if_capacity);  // the engine has its number
+    EXPECT_FALSE(choose_connection(all, now, limits).open_if_capacity);  // max_connections reached
 }
 
 TEST(EngineConnections, OnesThatCouldMisleadAreNotUsed) {
--- a/tests/decide/endpoint_list_test.cpp
+++ b/tests/decide/endpoint_list_test.cpp
@@ -1,4 +1,4 @@
-// The endpoint list of a front node: serials, suspects, restarts of the numbering, start times.
+// EndpointList: serials, suspects, restarts of the numbering, start times.
 #include "decide/endpoint_list.hpp"
 
 #include <gtest/gtest.h>
@@ -23,7 +23,7 @@
     ASSERT_TRUE(first);
     EXPECT_EQ(first->kind, EndpointUpdateKind::cached);
     EXPECT_EQ(first->endpoints.size(), 2u);
-    EXPECT_FALSE(list.apply(3, {}, 0, 0));  // the same number
+    EXPECT_FALSE(list.apply(3, {}, 0, 0));  // the same serial
     EXPECT_FALSE(list.apply(2, {}, 0, 0));  // an older list
     const auto second = list.apply(4, {engine("b", "h:2", EndpointState::draining)}, 0, 0);
     ASSERT_TRUE(second);
@@ -53,7 +53,7 @@
     young.started_at = 100 * kSecondMicros;
     auto change = list.apply(2, {engine("b", "h:2"), young}, 50 * kSecondMicros, 104 * kSecondMicros);
     EXPECT_EQ(change->endpoints[0].started_at, 46 * kSecondMicros);
-    young.state = EndpointState::draining;  // the wall clock has been set back meanwhile
+    young.state = EndpointState::draining;  // the wall clock was set back meanwhile
     change = list.apply(3, {engine("b", "h:2"), young}, 51 * kSecondMicros, 90 * kSecondMicros);
     EXPECT_EQ(change->endpoints[0].started_at, 46 * kSecondMicros);
     young.started_at = 0;
@@ -61,7 +61,7 @@
     EXPECT_EQ(change->endpoints[0].started_at, 0);
 }
 
-// The wall clock may have been stepped before this process began or since.
+// The wall clock may be stepped before the process starts or while it runs.
 TEST(EngineList, ANewEngineIsNoOlderThanTheLastListThatLackedIt) {
     constexpr Micros kHour = 3600 * kSecondMicros;
     for (const Micros step : {kHour, 30 * kSecondMicros, -30 * kSecondMicros, -kHour}) {
@@ -71,7 +71,7 @@
         EXPECT_FALSE(list.apply(1, {engine("a", "h:1")}, 20 * kSecondMicros, wall + 10 * kSecondMicros,
                                 20 * kSecondMicros));
         auto young = engine("b", "h:2");
-        young.started_at = wall + 20'500 * kMillisecond;  // by a clock that is right
+        young.started_at = wall + 20'500 * kMillisecond;  // by a correct clock
         const auto change =
             list.apply(2, {engine("a", "h:1"), young}, 21 * kSecondMicros, wall + 11 * kSecondMicros + step);
         ASSERT_TRUE(change);
@@ -80,7 +80,7 @@
     }
 }
 
-// Nothing bounds how old an engine of the first list is but a wall clock that may be off by an hour.
+// The age of an engine in the first list is known only from the wall clock, which may be wrong by an hour.
 TEST(EngineList, AWallClockWrongBeforeTheStartMakesNoEngineWarm) {
     constexpr Micros kHour = 3'600 * kSecondMicros, now = 20'000 * kSecondMicros, started = 30 * kHour;
     for (const Micros step : {-kHour, -5 * kSecondMicros, Micros{0}, 5 * kSecondMicros, kHour}) {
@@ -94,7 +94,8 @@
     }
 }
 
-// Starts of one list are told by one clock, whatever this machine's shows.
+// The starts in one list are from one clock, so that their differences are right whatever this machine's
+// clock.
 TEST(EngineList, AnEngineIsAsOldAsAnotherOfItsListIsYounger) {
     constexpr Micros now = 20'000 * kSecondMicros, started = 100'000 * kSecondMicros;
     for (const Micros step : {-3'600 * kSecondMicros, Micros{0}, 3'600 * kSecondMicros}) {
@@ -119,11 +120,11 @@
     EXPECT_GE(change->endpoints[0].started_at, 100 * kSecondMicros);
 }
 
-// ---- Numbers that are not above the one held
+// ---- Responses with a serial that is not newer than the accepted one
 
 class ListAnswers : public ::testing::Test {
 protected:
-    // An answer at once, a quarter of a second after the last one.
+    // Applies a response without delay, 250 ms after the previous one.
     std::optional<EndpointUpdate> hear(std::uint64_t number,
                                        const std::vector<decide::DiscoveredEndpoint>& engines) {
         now += 250 * kMillisecond;
@@ -164,7 +165,7 @@
     ASSERT_TRUE(hear(4, drains));
 }
 
-// It may also be a service that lags behind for some seconds: what was told once is not untold by it.
+// The service may also lag behind for some seconds: its outdated lists must not undo drains and removals.
 TEST_F(ListAnswers, WhatDrainedOrWentBeforeANumberingStartedAnewStaysSoForAWhile) {
     ASSERT_TRUE(hear(9, {engine("a", "h:1"), engine("b", "h:2"), engine("c", "h:3")}));
     const auto told = hear(10, {engine("a", "h:1", EndpointState::draining), engine("b", "h:2")});
@@ -185,7 +186,7 @@
     EXPECT_EQ(list.state(drained), EndpointState::ready);
 }
 
-// Services answer with an older list now and then, also those that have just started.
+// A service may occasionally return an older list, also after it has restarted.
 TEST_F(ListAnswers, ANumberingThatHasStartedAnewIsNotFollowedToAnOlderListOfItsOwn) {
     ASSERT_TRUE(hear(120, on));
     for (int i = 0; i < 9; ++i)
@@ -207,7 +208,7 @@
     for (int i = 0; i < 200; ++i) {
         (void)hear(i % 4 == 0 ? 9 : 8, i % 4 == 0 ? on : std::vector{engine("b", "h:2")});
         ASSERT_EQ(list.endpoints().size(), 2u);
-        // What an older list lacks is not gone; it gets nothing new until the list held comes again.
+        // An endpoint that an older list lacks is draining until the accepted list is received again.
         for (const auto& [id, e] : list.endpoints())
             EXPECT_EQ(list.state(id) == EndpointState::ready, i % 4 == 0 || e.name == "b")
                 << e.name << " " << i;
--- a/tests/decide/endpoint_state_tracker_test.cpp
+++ b/tests/decide/endpoint_state_tracker_test.cpp
@@ -1,4 +1,4 @@
-// The state of an endpoint from its list entry and its own status reports.
+// The state of an endpoint from its list entry and the engine's own status.
 #include "decide/endpoint_state_tracker.hpp"
 
 #include <gtest/gtest.h>
@@ -28,15 +28,15 @@
     EXPECT_EQ(w.endpoint().state, EndpointState::removed);
     e.state = EndpointState::ready;
     EXPECT_TRUE(w.on_listed(e));
-    EXPECT_EQ(w.endpoint().state, EndpointState::draining);  // by its own word
+    EXPECT_EQ(w.endpoint().state, EndpointState::draining);  // by its status
     EXPECT_TRUE(w.on_status_reported(now, false, false, std::nullopt));
     EXPECT_EQ(w.endpoint().state, EndpointState::ready);
     EXPECT_TRUE(w.on_status_reported(now, false, true, std::nullopt));
     EXPECT_EQ(w.endpoint().state, EndpointState::draining);  // still starting
 }
 
-// A front that has just started takes no engine for warm before it has heard of it, and lets cold ones be
-// while the life before it may have pushed them.
+// A front that has just started regards no engine as warm before it has received its status, and withholds
+// engines in slow start while the attempts of its earlier incarnation may count towards their budgets.
 TEST(EngineWatch, NothingGoesToAnEngineThatMayBeColdUnknown) {
     const Endpoint listed{1, EndpointState::ready, "z", "k", 0, 0, 1};
     const Micros now = 100 * kSecondMicros, warm_up = 15 * kSecondMicros;
@@ -54,7 +54,7 @@
     EXPECT_EQ(w.endpoint().state, EndpointState::draining);
     EXPECT_TRUE(w.hold_in_slow_start(now + kSecondMicros, now + kSecondMicros, warm_up));
     EXPECT_EQ(w.endpoint().state, EndpointState::ready);
-    // A warm one is never held, and one that drains goes on draining.
+    // A warm engine is never withheld, and a draining one remains draining.
     EXPECT_FALSE(w.hold_in_slow_start(now + warm_up, now + 2 * warm_up, warm_up));
     w.on_status_reported(now + warm_up, true, false, std::nullopt);
     EXPECT_FALSE(w.hold_in_slow_start(now + warm_up, 0, warm_up));
--- a/tests/decide/engine_exchange_test.cpp
+++ b/tests/decide/engine_exchange_test.cpp
@@ -1,4 +1,4 @@
-// Result pages, and what the end of an exchange with an engine proves.
+// Result pages, and the outcome that the end of an exchange with an engine proves.
 #include "decide/engine_exchange.hpp"
 
 #include <gtest/gtest.h>
@@ -34,7 +34,7 @@
     ASSERT_TRUE(large.start(20, page));
     for (std::size_t n = 1; n < 9; ++n)
         EXPECT_EQ(large.add(n, page), ResultPages::PageVerdict::accepted) << n;
-    EXPECT_EQ(large.add(9, page), ResultPages::PageVerdict::malformed);  // more than a result holds
+    EXPECT_EQ(large.add(9, page), ResultPages::PageVerdict::malformed);  // over kMaxResultBytes
 }
 
 TEST(Exchange, OnlyWhatProvesItCountsAsNeverRun) {
--- a/tests/decide/ledger_state_test.cpp
+++ b/tests/decide/ledger_state_test.cpp
@@ -1,4 +1,4 @@
-// The gap that is assumed in a ledger after a killed process.
+// The gap in a ledger after the front was killed.
 #include "decide/ledger_state.hpp"
 
 #include <gtest/gtest.h>
@@ -8,8 +8,8 @@
 namespace gatetiller::decide {
 namespace {
 
-// Whatever the clock did between a killed life's last commit and the next life's start, what was taken in the
-// life's tail lies in the gap.
+// Requests that a killed incarnation received after its last commit are in the gap, whatever steps the wall
+// clock makes before the next incarnation starts.
 TEST(KilledGap, HoldsTheTailThroughStepsOfTheClock) {
     for (std::uint64_t seed = 1; seed <= 5000; ++seed) {
         Random random(seed);
@@ -24,9 +24,8 @@
             return last + after + (after >= step_at ? step : 0);
         };
         const LedgerGap g = gap_after_kill(last, wall(down), tail);
-        // An engine's clock goes on as it did; one that steps along with the front's is covered too, but
-        // where the step came within the tail and the front was down for longer than it: nothing tells of it
-        // then.
+        // The engine's clock makes no step here. Below it makes the same step as the front's; the exception
+        // is a step within the tail that the time until the restart exceeds, which cannot be detected.
         EXPECT_GE(last + taken, g.from) << "seed " << seed;
         EXPECT_LE(last + taken, g.to) << "seed " << seed;
         if (step_at <= taken && wall(down) >= last)
--- a/tests/decide/money_test.cpp
+++ b/tests/decide/money_test.cpp
@@ -1,4 +1,4 @@
-// Amounts and prices: exact sums, over seeds.
+// Amounts and prices: exact sums, for random parts.
 #include "decide/money.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/decide/node_admission_test.cpp
+++ b/tests/decide/node_admission_test.cpp
@@ -1,4 +1,4 @@
-// Admission of a request at a front node.
+// Admission of requests at a front node.
 #include "decide/node_admission.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/decide/progress_reporter_test.cpp
+++ b/tests/decide/progress_reporter_test.cpp
@@ -17,13 +17,13 @@
         return t;
     };
     using T = std::vector<ProgressKind>;
-    EXPECT_EQ(topics(1025, {.progress = 1}), T{});  // too soon to be judged by
+    EXPECT_EQ(topics(1025, {.progress = 1}), T{});  // within the first period
     EXPECT_EQ(topics(1100, {.progress = 10}), T{ProgressKind::fraction_done});
     EXPECT_EQ(topics(1150, {.progress = 15}), T{});
     EXPECT_EQ(topics(1160, {.queued = true}), T{ProgressKind::waiting});
     EXPECT_EQ(topics(1170, {.queued = true}), T{});
     EXPECT_EQ(notes.observe(1180, {.scheduled = true, .queued_splits = 3}).at(0).value,
-              2);  // another reason: news
+              2);  // another reason to wait
     EXPECT_EQ(topics(1280, {.scheduled = true, .queued_splits = 3}), T{ProgressKind::waiting});
     EXPECT_EQ(topics(1281, {.running_splits = 1, .spilled_bytes = 1 << 20}),
               (T{ProgressKind::spilling, ProgressKind::fraction_done}));
--- a/tests/decide/quota_test.cpp
+++ b/tests/decide/quota_test.cpp
@@ -1,4 +1,4 @@
-// Quota states over a sliding window, as properties over seeds.
+// Quota states over a sliding window, with random use.
 #include "decide/quota.hpp"
 
 #include <gtest/gtest.h>
@@ -23,18 +23,18 @@
     now += 30 * kMinute;
     q.record_use("a", now, 105 * kSecondMicros);
     EXPECT_EQ(q.state("a", now), QuotaState::over_hard_limit);
-    // The first hundred leave the window half an hour on: not a moment later than said.
+    // The first 100 s leave the window after half an hour, within retry_after().
     const Micros back = q.retry_after("a", now);
     EXPECT_GT(back, 28 * kMinute);
     EXPECT_LE(back, 32 * kMinute);
     EXPECT_EQ(q.state("a", now + back - 2 * kMinute), QuotaState::over_hard_limit);
     EXPECT_EQ(q.state("a", now + back),
-              QuotaState::over_soft_limit);  // 105 left: above nine tenths of the soft one
+              QuotaState::over_soft_limit);  // 105 s left: above 0.9 of the soft budget
     EXPECT_EQ(q.state("a", now + 70 * kMinute), QuotaState::within_budget);
     EXPECT_EQ(q.usage("a", now + 70 * kMinute), 0);
 }
 
-// At the brim, use that swings by a hair does not flicker: states last at least the stay.
+// With use that varies around a budget, a state lasts at least min_state_duration.
 TEST(Quota, DoesNotFlicker) {
     for (std::uint64_t seed = 1; seed <= 30; ++seed) {
         Random random(seed);
@@ -54,8 +54,9 @@
     }
 }
 
-// Several fronts, each knowing its part: however the load is spread, together they let through at most the
-// whole budget and one statement more each, and with an even load they let through nearly all of it.
+// Several fronts that each know only their own use: however the load is distributed, together they admit at
+// most the budget and one more statement each, and with an even load at least the budget less one statement
+// each.
 TEST(Quota, FrontsTogetherKeepTheWholeBudget) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         Random random(seed);
@@ -81,7 +82,7 @@
     }
 }
 
-// A front that is started again knows what its ledger holds: within a slot, the same state and the same use.
+// A restarted front that restores the use from its ledger has the same usage, up to that of the oldest slot.
 TEST(Quota, ARestoredFrontKnowsWhatItsLedgerHolds) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         Random random(seed);
@@ -96,10 +97,10 @@
             before.record_use("a", now, work);
             ledger.emplace_back(now, work);
         }
-        const Micros began = 7 * kSecondMicros;  // the new front's clock is young
+        const Micros began = 7 * kSecondMicros;  // the new front's monotonic clock has just started
         for (const auto& [at, work] : ledger)
             after.restore("a", began, now - at, work);
-        Micros edge = 0;  // of the slot at the window's far end
+        Micros edge = 0;  // use in the oldest slot of the window
         for (const auto& [at, work] : ledger)
             if (now - at >= 58 * kMinute && now - at <= 61 * kMinute)
                 edge += work;
--- a/tests/decide/readiness_guard_test.cpp
+++ b/tests/decide/readiness_guard_test.cpp
@@ -1,4 +1,4 @@
-// The guard of readiness: each invariant refuses exactly what breaks it.
+// ReadinessGuard: each invariant rejects exactly the reports that violate it.
 #include "decide/readiness_guard.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/decide/request_lifecycle_test.cpp
+++ b/tests/decide/request_lifecycle_test.cpp
@@ -1,4 +1,4 @@
-// The state machine of a request, under random sequences of events.
+// RequestLifecycle under random sequences of events.
 #include "decide/request_lifecycle.hpp"
 
 #include <gtest/gtest.h>
@@ -34,7 +34,7 @@
             ends += h == RequestEvent::response_delivered || h == RequestEvent::client_disconnected;
             if (h == RequestEvent::attempt_started) {
                 EXPECT_FALSE(before.attempt_in_flight() || before.finished() || had_rows)
-                    << "seed " << seed;  // one at a time, none after rows or an answer
+                    << "seed " << seed;  // one at a time, none after rows or a final response
             }
             had_rows = had_rows || h == RequestEvent::streaming_started;
             EXPECT_LE(answers, 1);
@@ -44,8 +44,8 @@
             reached.insert({life.phase(), life.attempt_in_flight()});
         }
     }
-    EXPECT_EQ(reached.size(),
-              8u);  // every phase with and without an attempt out, but held with and trying without one
+    // All phases with and without an attempt in flight, but queued with and attempting without one.
+    EXPECT_EQ(reached.size(), 8u);
 }
 
 }  // namespace
--- a/tests/decide/resource_limits_test.cpp
+++ b/tests/decide/resource_limits_test.cpp
@@ -1,4 +1,4 @@
-// Connection limits derived from the descriptors and the memory of a machine.
+// Limits derived from the descriptors and the memory of a machine.
 #include "decide/resource_limits.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/decide/routing_test.cpp
+++ b/tests/decide/routing_test.cpp
@@ -1,4 +1,4 @@
-// Routes: the first match decides class, tenant, key and group.
+// Routing: the first matching route determines class, tenant, key and group.
 #include "decide/routing.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/decide/settlement_test.cpp
+++ b/tests/decide/settlement_test.cpp
@@ -1,4 +1,4 @@
-// Repeats of keyed requests, over seeds.
+// Detection of repeated requests with idempotency keys.
 #include "decide/settlement.hpp"
 
 #include <gtest/gtest.h>
@@ -6,8 +6,8 @@
 namespace gatetiller::decide {
 namespace {
 
-// A clock that steps back at a month's end: the repeat is recognised by the times as they were read,
-// whichever front took it first.
+// After a front's clock was set back, as at the end of a month, the repeat is detected by the recorded times,
+// whichever front received it first.
 TEST(RepeatDetector, AreThoseWithinTheWindowOfTheFirst) {
     const auto row = [](std::uint32_t number, Micros taken, const char* key, const char* tenant = "t") {
         RequestRow r;
@@ -17,8 +17,8 @@
     };
     RepeatDetector repeats;
     repeats.add(row(1, 100, "k"), 1);
-    repeats.add(row(1, 95, "k"), 0);   // another front, whose clock is behind
-    repeats.add(row(2, 106, "k"), 1);  // after the first one's window: a first again
+    repeats.add(row(1, 95, "k"), 0);   // another front, whose clock lags behind
+    repeats.add(row(2, 106, "k"), 1);  // after the first one's window: starts a new window
     repeats.add(row(3, 100, "k", "other"), 1);
     repeats.add(row(4, 100, "l"), 1);
     repeats.add(row(5, 101, ""), 1);
--- a/tests/decide/statement_admission_test.cpp
+++ b/tests/decide/statement_admission_test.cpp
@@ -1,4 +1,4 @@
-// Statement limits of a gateway, over random sequences of admissions and releases.
+// Statement limits of a gateway, for random sequences of admissions and releases.
 #include "decide/statement_admission.hpp"
 
 #include <gtest/gtest.h>
@@ -38,7 +38,7 @@
     EXPECT_TRUE(h.can_fetch_more(99, 999));
     EXPECT_FALSE(h.can_fetch_more(100, 100));
     EXPECT_FALSE(h.can_fetch_more(50, 1000));
-    EXPECT_TRUE(h.can_fetch_more(0, 5000));  // one page at a time, whatever the others hold
+    EXPECT_TRUE(h.can_fetch_more(0, 5000));  // an empty buffer may fetch one page above the total limit
 }
 
 }  // namespace
--- a/tests/decide/table_group_test.cpp
+++ b/tests/decide/table_group_test.cpp
@@ -1,4 +1,4 @@
-// The table group in the schema name of an SQL text.
+// The table group of an SQL statement, from its schema names.
 #include "decide/table_group.hpp"
 
 #include <gtest/gtest.h>
