--- a/src/store/event_cursor.cpp
+++ b/src/store/event_cursor.cpp
@@ -15,8 +15,8 @@
         return;
     event_ = {};
     if (auto incarnation = statement_.column_text(0); !incarnation.empty())
-        event_.name = {std::move(incarnation), static_cast<std::uint32_t>(statement_.column_int64(1)),
-                       static_cast<std::uint32_t>(statement_.column_int64(2))};
+        event_.attempt_tag = {std::move(incarnation), static_cast<std::uint32_t>(statement_.column_int64(1)),
+                              static_cast<std::uint32_t>(statement_.column_int64(2))};
     event_.engine = statement_.column_text(3);
     event_.id = statement_.column_text(4);
     event_.user = statement_.column_text(5);
