--- a/src/base/buffer.hpp
+++ b/src/base/buffer.hpp
@@ -24,7 +24,7 @@
             append(std::string_view(bytes));
         }
     }
-    void take(std::size_t n) {
+    void consume(std::size_t n) {
         assert(n <= size());
         start_ += n;
         if (start_ == held_.size())
--- a/src/base/text.hpp
+++ b/src/base/text.hpp
@@ -11,13 +11,13 @@
 
 namespace gatetiller {
 
-inline char lower(char c) {
+inline char to_ascii_lower(char c) {
     return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c;
 }
 
-inline bool same_word(std::string_view a, std::string_view b) {  // without regard to ASCII case
+inline bool equals_ignore_case(std::string_view a, std::string_view b) {  // without regard to ASCII case
     return a.size() == b.size() && std::equal(a.begin(), a.end(), b.begin(), [](char x, char y) {
-               return lower(x) == lower(y);
+               return to_ascii_lower(x) == to_ascii_lower(y);
            });
 }
 
@@ -51,7 +51,7 @@
 }
 
 // FNV-1a: the same number for the same text on every machine. `seed` gives another family of them.
-inline std::uint64_t hash_of(std::string_view text, std::uint64_t seed = 0) {
+inline std::uint64_t fnv1a_hash(std::string_view text, std::uint64_t seed = 0) {
     std::uint64_t hash = 14695981039346656037ULL ^ seed;
     for (const char c : text)
         hash = (hash ^ static_cast<unsigned char>(c)) * 1099511628211ULL;
--- a/src/base/units.hpp
+++ b/src/base/units.hpp
@@ -42,7 +42,7 @@
 
 }  // namespace units
 
-inline Result<Micros> parse_span(std::string_view text) {
+inline Result<Micros> parse_duration(std::string_view text) {
     constexpr units::Unit kUnits[] = {{"us", 1},       {"ms", 1e3},       {"s", 1e6},
                                       {"m", 60 * 1e6}, {"h", 3600 * 1e6}, {"d", 86400 * 1e6}};
     const auto value = units::with_unit(text, kUnits, "time", "us, ms, s, m, h, d");
--- a/src/config/reader.cpp
+++ b/src/config/reader.cpp
@@ -247,7 +247,7 @@
         return;
     if (!v->is_string())
         return wrong(key, "must be a time with its unit, such as '750ms', not " + v->dump());
-    const auto parsed = parse_span(v->get<std::string>());
+    const auto parsed = parse_duration(v->get<std::string>());
     if (!parsed)
         return wrong(key, parsed.error());
     to = *parsed;
--- a/src/decide/routing.cpp
+++ b/src/decide/routing.cpp
@@ -35,7 +35,7 @@
 std::int64_t group_number(const std::string& name) {
     if (name.empty())
         return 0;
-    return static_cast<std::int64_t>(hash_of(name) >> 12 | 1);
+    return static_cast<std::int64_t>(fnv1a_hash(name) >> 12 | 1);
 }
 
 }  // namespace
--- a/src/decide/settlement.cpp
+++ b/src/decide/settlement.cpp
@@ -96,8 +96,8 @@
 void Repeats::add(const RequestRow& r, std::uint32_t life) {
     if (r.key.empty() || r.key_window <= 0)
         return;
-    keyed_.push_back({hash_of(r.key, hash_of(r.who->tenant, hash_of(r.who->cls))), r.taken, r.key_window,
-                      std::uint64_t{life} << 32 | r.number});
+    keyed_.push_back({fnv1a_hash(r.key, fnv1a_hash(r.who->tenant, fnv1a_hash(r.who->cls))), r.taken,
+                      r.key_window, std::uint64_t{life} << 32 | r.number});
 }
 
 void Repeats::finish() {
--- a/src/decide/table_group.cpp
+++ b/src/decide/table_group.cpp
@@ -17,7 +17,7 @@
 };
 
 bool starts_name(char c) {
-    return (lower(c) >= 'a' && lower(c) <= 'z') || c == '_' || (c & 0x80) != 0;
+    return (to_ascii_lower(c) >= 'a' && to_ascii_lower(c) <= 'z') || c == '_' || (c & 0x80) != 0;
 }
 bool in_name(char c) {
     return starts_name(c) || (c >= '0' && c <= '9') || c == '$';
@@ -109,7 +109,7 @@
         return false;
     static constexpr std::array kKeywords = {"from", "join", "into", "update", "table"};
     return std::any_of(kKeywords.begin(), kKeywords.end(), [&](const char* keyword) {
-        return same_word(t.text, keyword);
+        return equals_ignore_case(t.text, keyword);
     });
 }
 
@@ -128,7 +128,7 @@
         if (last == i)
             continue;
         const std::string& schema = tokens[last - 2].text;
-        const std::int64_t group = same_word(schema, "staging") ? 0 : group_in(schema);
+        const std::int64_t group = equals_ignore_case(schema, "staging") ? 0 : group_in(schema);
         if (group > 0 && i > 0 && before_table(tokens[i - 1]))
             return group;
         if (group > 0 && otherwise == 0)
--- a/src/discovery/dns_endpoint_source.cpp
+++ b/src/discovery/dns_endpoint_source.cpp
@@ -175,7 +175,7 @@
 void DnsEndpointSource::on_datagram(const net::Address& sender, std::string_view message) {
     if (sender != server_ || message.size() < kIdBytes)
         return;
-    const auto id = static_cast<std::uint16_t>(big_endian(message.substr(0, kIdBytes)));
+    const auto id = static_cast<std::uint16_t>(read_big_endian(message.substr(0, kIdBytes)));
     const auto poll = std::find_if(pending_polls_.begin(), pending_polls_.end(), [&](const PendingPoll& p) {
         return p.id == id;
     });
--- a/src/dns/dns.cpp
+++ b/src/dns/dns.cpp
@@ -17,7 +17,7 @@
         name.remove_suffix(1);
     std::string out(name);
     for (char& c : out)
-        c = lower(c);
+        c = to_ascii_lower(c);
     return out;
 }
 
@@ -45,12 +45,12 @@
 
 std::string srv_question(std::uint16_t id, const std::string& name) {
     std::string out;
-    put_big_endian(out, id, 2);
+    append_big_endian(out, id, 2);
     for (const unsigned word : {0u, 1u, 0u, 0u, 0u})
-        put_big_endian(out, word, 2);  // a plain query with one question
+        append_big_endian(out, word, 2);  // a plain query with one question
     out += encoded_name(name);
-    put_big_endian(out, ns_t_srv, 2);
-    put_big_endian(out, ns_c_in, 2);
+    append_big_endian(out, ns_t_srv, 2);
+    append_big_endian(out, ns_c_in, 2);
     return out;
 }
 
--- a/src/engine/service.cpp
+++ b/src/engine/service.cpp
@@ -15,7 +15,7 @@
 }  // namespace
 
 std::string row_of(std::string_view sql, std::size_t index) {
-    return Random(hash_of(sql, index)).hex(16);
+    return Random(fnv1a_hash(sql, index)).hex(16);
 }
 
 Result<Hints> read_hints(std::string_view sql) {
--- a/src/front/engine_registry.cpp
+++ b/src/front/engine_registry.cpp
@@ -271,7 +271,7 @@
         if (member.key == "starting")
             engine.starting = member.raw == "true";
         if (member.key == "uptime") {
-            const auto uptime = parse_span(statement::as_string(member.raw).value_or(""));
+            const auto uptime = parse_duration(statement::as_string(member.raw).value_or(""));
             if (uptime)
                 engine.uptime = *uptime;
         }
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -62,7 +62,7 @@
                 deps_.log},
       dispatcher_(services_, responses_),
       responses_(services_, dispatcher_),
-      completion_(services_, dispatcher_, deps_.finished),
+      completion_(services_, dispatcher_, deps_.on_finished),
       shutdown_(loop, settings_.drain_patience,
                 {[this] {
                      return statements_.size();
--- a/src/front/front.hpp
+++ b/src/front/front.hpp
@@ -29,10 +29,11 @@
 namespace gatetiller::front {
 
 struct FrontDeps {
-    std::function<std::string()> entropy;                    // 32 hex digits that nobody can guess
-    std::uint64_t seed = 1;                                  // of the policy
-    std::function<void(const std::string&)> log;             // for operators
-    std::function<void(const FinishedStatement&)> finished;  // once for each finished statement; may be empty
+    std::function<std::string()> entropy;         // 32 hex digits that nobody can guess
+    std::uint64_t seed = 1;                       // of the policy
+    std::function<void(const std::string&)> log;  // for operators
+    std::function<void(const FinishedStatement&)>
+        on_finished;  // once for each finished statement; may be empty
     // Fault injection by tests: true keeps an event from the policy. Absent in service.
     std::function<bool(const Event&)> drop_event = nullptr;
     store::LedgerWriter* ledger = nullptr;  // outlives the front; null: nothing is recorded
--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -20,14 +20,14 @@
     // The first of that name, whatever its case.
     std::optional<std::string_view> find(std::string_view name) const {
         for (const auto& [key, value] : fields_)
-            if (same_word(key, name))
+            if (equals_ignore_case(key, name))
                 return value;
         return std::nullopt;
     }
     std::size_t count(std::string_view name) const {
         std::size_t n = 0;
         for (const auto& field : fields_)
-            n += same_word(field.first, name);
+            n += equals_ignore_case(field.first, name);
         return n;
     }
     void clear() {
--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -59,7 +59,7 @@
     if (end == 0 || bytes[end - 1] != '\r')
         return fail(400, "a line that ends in LF without CR"), false;
     line.assign(bytes.substr(0, end - 1));
-    in.take(end + 1);
+    in.consume(end + 1);
     if (line.find('\r') != std::string::npos)
         return fail(400, "a CR inside a line"), false;
     return true;
@@ -75,7 +75,7 @@
                 if (!started_ && kind_ == Kind::request && in.view() == "\r")
                     return false;
                 if (!started_ && kind_ == Kind::request && in.view().starts_with("\r\n")) {
-                    in.take(2);
+                    in.consume(2);
                     started_ = true;
                     continue;
                 }
@@ -126,7 +126,7 @@
                     fail(400, "a chunk that does not end where it said");
                     break;
                 }
-                in.take(2);
+                in.consume(2);
                 state_ = State::chunk_size;
                 break;
             case State::done:
@@ -140,7 +140,7 @@
 void Parser::take_body(Buffer& in, State then) {
     const std::size_t n = std::min(left_, in.size());
     body().append(in.view().substr(0, n));
-    in.take(n);
+    in.consume(n);
     left_ -= n;
     if (left_ == 0)
         state_ = then;
@@ -226,13 +226,13 @@
     keep_alive_ = minor_ == 1;
     if (const auto connection = h.find("Connection"))
         for (const auto word : split(*connection, ',')) {
-            if (same_word(word, "close"))
+            if (equals_ignore_case(word, "close"))
                 keep_alive_ = false;
-            if (same_word(word, "keep-alive") && minor_ == 0)
+            if (equals_ignore_case(word, "keep-alive") && minor_ == 0)
                 keep_alive_ = true;
         }
     if (const auto expect = h.find("Expect"); expect && kind_ == Kind::request) {
-        if (!same_word(*expect, "100-continue"))
+        if (!equals_ignore_case(*expect, "100-continue"))
             return fail(417, "an expectation other than 100-continue");
         expects_continue_ = minor_ == 1;
     }
@@ -244,7 +244,7 @@
     if (coding) {
         if (minor_ == 0)
             return fail(400, "Transfer-Encoding in HTTP/1.0");
-        if (!same_word(*coding, "chunked"))
+        if (!equals_ignore_case(*coding, "chunked"))
             return fail(501, "a transfer coding other than chunked");
         state_ = State::chunk_size;
         return;
@@ -273,7 +273,7 @@
     if (digits.empty() || digits.size() > 15)
         return fail(400, "a chunk size that is not a number");
     for (const char c : digits) {
-        const char l = lower(c);
+        const char l = to_ascii_lower(c);
         if (!((l >= '0' && l <= '9') || (l >= 'a' && l <= 'f')))
             return fail(400, "a chunk size that is not a number");
         size = size * 16 + static_cast<std::size_t>(l <= '9' ? l - '0' : l - 'a' + 10);
--- a/src/lab/checker.cpp
+++ b/src/lab/checker.cpp
@@ -76,7 +76,7 @@
             from += 2;
             const std::size_t colon = message_.head.find(':', from);
             if (colon != std::string::npos &&
-                same_word(message_.head.substr(from, colon - from), "content-length"))
+                equals_ignore_case(message_.head.substr(from, colon - from), "content-length"))
                 return to_number<std::size_t>(
                            trimmed(std::string_view(message_.head)
                                        .substr(colon + 1, message_.head.find("\r\n", colon) - colon - 1)))
@@ -96,7 +96,7 @@
         const std::size_t colon = m.head.find(':', from);
         if (colon == std::string::npos)
             break;
-        if (same_word(std::string_view(m.head).substr(from, colon - from), name))
+        if (equals_ignore_case(std::string_view(m.head).substr(from, colon - from), name))
             return std::string(
                 trimmed(std::string_view(m.head).substr(colon + 1, m.head.find("\r\n", colon) - colon - 1)));
     }
--- a/src/lab/platform.cpp
+++ b/src/lab/platform.cpp
@@ -30,8 +30,8 @@
 
 std::string record_of(const std::string& owner, int type, const std::string& data) {
     std::string out = owner;
-    put_big_endian(out, static_cast<unsigned>(type), 2), put_big_endian(out, 1, 2), put_big_endian(out, 5, 4),
-        put_big_endian(out, data.size(), 2);
+    append_big_endian(out, static_cast<unsigned>(type), 2), append_big_endian(out, 1, 2),
+        append_big_endian(out, 5, 4), append_big_endian(out, data.size(), 2);
     return out + data;
 }
 
@@ -65,7 +65,7 @@
             if (here.expired())
                 return;
             if (!over)
-                in.take(size);
+                in.consume(size);
         }
     }
     void on_closed(net::Closed) override {
@@ -419,33 +419,33 @@
         ++count;
         const std::string target = dns::encoded_name(name + "." + e.zone + ".hosts");
         std::string srv;
-        put_big_endian(srv, e.draining ? 1 : 0, 2), put_big_endian(srv, 10, 2),
-            put_big_endian(srv, at->second.port, 2);
+        append_big_endian(srv, e.draining ? 1 : 0, 2), append_big_endian(srv, 10, 2),
+            append_big_endian(srv, at->second.port, 2);
         services += record_of(std::string("\xc0\x0c", 2), 33, srv + target);
         std::string address;
         for (const auto part : split(at->second.host, '.'))
-            put_big_endian(address, to_number<std::uint64_t>(part).value_or(0), 1);
+            append_big_endian(address, to_number<std::uint64_t>(part).value_or(0), 1);
         around += record_of(target, 1, address);
         std::string text;
         for (const std::string& t : {"kind=" + e.kind, "cell=" + std::to_string(e.cell),
                                      "started=" + std::to_string(e.started_ms)}) {
-            put_big_endian(text, t.size(), 1);
+            append_big_endian(text, t.size(), 1);
             text += t;
         }
         around += record_of(target, 16, text);
     }
     std::string soa = dns::encoded_name("ns") + dns::encoded_name("admin");
-    put_big_endian(soa, old ? number_ - 1 : number_, 4);
+    append_big_endian(soa, old ? number_ - 1 : number_, 4);
     for (int i = 0; i < 4; ++i)
-        put_big_endian(soa, 1, 4);
+        append_big_endian(soa, 1, 4);
     const bool failure = random_.chance(faults_.failure), foreign = random_.chance(faults_.foreign);
     std::string m;
-    put_big_endian(m, static_cast<unsigned char>(question[0]), 1);
-    put_big_endian(m, static_cast<unsigned char>(question[1]) ^ (foreign ? 1u : 0u), 1);
-    put_big_endian(m, failure ? 0x8402 : 0x8400, 2);
+    append_big_endian(m, static_cast<unsigned char>(question[0]), 1);
+    append_big_endian(m, static_cast<unsigned char>(question[1]) ^ (foreign ? 1u : 0u), 1);
+    append_big_endian(m, failure ? 0x8402 : 0x8400, 2);
     for (const std::uint64_t n :
          {std::uint64_t{1}, failure ? 0 : count, std::uint64_t{1}, failure ? 0 : 2 * count})
-        put_big_endian(m, n, 2);
+        append_big_endian(m, n, 2);
     m.append(question.substr(12));
     if (!failure)
         m += services;
@@ -538,7 +538,7 @@
     std::string_view frame;
     while (thrift::next_frame(in, 1 << 20, frame) == thrift::Framing::whole) {
         take(frame);
-        in.take(thrift::kFrameHead + frame.size());
+        in.consume(thrift::kFrameHead + frame.size());
     }
 }
 
--- a/src/net/poll_socket.cpp
+++ b/src/net/poll_socket.cpp
@@ -257,7 +257,7 @@
 }
 
 void PollLoop::Socket::count_written(std::size_t n) {
-    out.take(n);
+    out.consume(n);
     auto at = pieces.begin();
     for (; at != pieces.end() && n >= at->left; ++at)
         n -= at->left;
--- a/src/node/client_sessions.cpp
+++ b/src/node/client_sessions.cpp
@@ -107,7 +107,7 @@
     if (reading == Reading::gone || reading == Reading::deferred)
         return;
     if (malformed_)
-        return in.take(in.size());
+        return in.consume(in.size());
     if (state_.closing)
         return;
     if (in.empty())
@@ -135,7 +135,7 @@
     }
     const std::weak_ptr<char> alive = alive_;
     auto call = thrift::read_call(frame);
-    in.take(thrift::kFrameHead + frame.size());
+    in.consume(thrift::kFrameHead + frame.size());
     state_.last_active_at = sessions_.loop_.now();
     if (call)
         handle(std::move(*call));
--- a/src/node/config.cpp
+++ b/src/node/config.cpp
@@ -67,7 +67,7 @@
     decide::DiscoveredEndpoint endpoint;
     endpoint.name = value<std::string>(json, "instanceId", "text");
     for (char& letter : endpoint.name)
-        letter = lower(letter);
+        letter = to_ascii_lower(letter);
     endpoint.address = address(json, "hostPort").text();
     endpoint.zone = json.value("zone", "");
     endpoint.kind = json.value("machineType", "");
--- a/src/node/engine_connection.cpp
+++ b/src/node/engine_connection.cpp
@@ -234,7 +234,7 @@
         // Copied, since what it leads to may destroy this connection with its buffer.
         const Response response{std::string(parts[0]), std::string(parts[1]), std::string(parts[2]),
                                 std::string(parts[3])};
-        in.take(size);
+        in.consume(size);
         if (!on_response(response) || alive.expired())
             return;
     }
--- a/src/report/report.cpp
+++ b/src/report/report.cpp
@@ -247,7 +247,7 @@
     if (!before->empty() && before->back().text == text)
         return Kept{before->back().number, false, ""};
     auto put = books.ledger().db().prepare("INSERT INTO versions(period,made,digest,report) VALUES(?,?,?,?)");
-    put.bind(0, period).bind(1, wall).bind(2, std::to_string(hash_of(text))).bind(3, text);
+    put.bind(0, period).bind(1, wall).bind(2, std::to_string(fnv1a_hash(text))).bind(3, text);
     if (auto f = put.run())
         return Error{f.text};
     Kept kept{static_cast<std::int64_t>(before->size()) + 1, true, ""};
--- a/src/statement/context.cpp
+++ b/src/statement/context.cpp
@@ -14,14 +14,14 @@
     "Clear-Transaction-Id"};
 
 bool in_family(std::string_view name, std::string_view family) {
-    return name.size() > family.size() && same_word(name.substr(0, family.size()), family);
+    return name.size() > family.size() && equals_ignore_case(name.substr(0, family.size()), family);
 }
 
 // name=value pairs, comma-separated, of every header of that name.
 template <typename Take>
 void each_pair(const http::Headers& headers, std::string_view name, Take take) {
     for (const auto& [key, value] : headers) {
-        if (!same_word(key, name))
+        if (!equals_ignore_case(key, name))
             continue;
         for (const auto part : split(value, ','))
             if (const std::size_t equals = part.find('='); equals != std::string_view::npos)
@@ -52,7 +52,7 @@
     std::string out;
     for (const char c : text) {
         const auto u = static_cast<unsigned char>(c);
-        const char l = lower(c);
+        const char l = to_ascii_lower(c);
         if ((l >= 'a' && l <= 'z') || (c >= '0' && c <= '9') || c == '-' || c == '_' || c == '.' || c == '~')
             out += c;
         else
@@ -79,7 +79,7 @@
     c.schema = text("Schema");
     c.trace_token = text("Trace-Token");
     for (const auto& [key, value] : headers) {
-        if (same_word(key, c.prefix + "Client-Tags"))
+        if (equals_ignore_case(key, c.prefix + "Client-Tags"))
             for (const auto tag : split(value, ','))
                 c.tags.emplace_back(tag);
         if (in_family(key, c.prefix))
@@ -92,7 +92,7 @@
     each_pair(headers, c.prefix + "Resource-Estimate",
               [&](const std::string& name, const std::string& value) {
                   if (name == "CPU_TIME" || name == "EXECUTION_TIME") {
-                      const auto span = parse_span(value);
+                      const auto span = parse_duration(value);
                       if (!span)
                           wrong = name + ": " + span.error();
                       else if (name == "CPU_TIME" || c.cpu_estimate == 0)
@@ -107,7 +107,7 @@
               });
     for (const char* name : {"query_max_run_time", "query_max_execution_time"})
         if (const auto found = c.session.find(name); found != c.session.end()) {
-            const auto span = parse_span(found->second);
+            const auto span = parse_duration(found->second);
             if (!span)
                 wrong = std::string(name) + ": " + span.error();
             else if (*span > 0)
@@ -123,8 +123,8 @@
     http::Headers out;
     std::string session;
     for (const auto& [key, value] : context.passed)
-        if (!same_word(key, context.prefix + "Session") &&
-            (tag.empty() || !same_word(key, context.prefix + "Client-Tags")))
+        if (!equals_ignore_case(key, context.prefix + "Session") &&
+            (tag.empty() || !equals_ignore_case(key, context.prefix + "Client-Tags")))
             out.add(key, value);
     if (!tag.empty()) {
         std::string tags = tag;
@@ -148,7 +148,7 @@
         for (const std::string_view family : kFamilies)
             if (in_family(key, family))
                 for (const std::string_view name : kPassedBack)
-                    if (same_word(key.substr(family.size()), name))
+                    if (equals_ignore_case(key.substr(family.size()), name))
                         to.add(key, value);
 }
 
--- a/src/statement/json.cpp
+++ b/src/statement/json.cpp
@@ -130,7 +130,7 @@
         return false;
     }
     static bool hex(char c) {
-        return (c >= '0' && c <= '9') || (lower(c) >= 'a' && lower(c) <= 'f');
+        return (c >= '0' && c <= '9') || (to_ascii_lower(c) >= 'a' && to_ascii_lower(c) <= 'f');
     }
     bool digits() {
         const std::size_t from = at_;
--- a/src/store/row_codec.cpp
+++ b/src/store/row_codec.cpp
@@ -24,7 +24,7 @@
         sum ^= sum >> kShift;
     }
     for (const auto text : texts)
-        sum = hash_of(text, sum);
+        sum = fnv1a_hash(text, sum);
     return static_cast<std::int64_t>(sum);
 }
 
--- a/src/thrift/binary.cpp
+++ b/src/thrift/binary.cpp
@@ -19,13 +19,13 @@
 }
 
 std::uint8_t Reader::byte() {
-    return static_cast<std::uint8_t>(big_endian(raw(1)));
+    return static_cast<std::uint8_t>(read_big_endian(raw(1)));
 }
 std::int16_t Reader::i16() {
-    return static_cast<std::int16_t>(big_endian(raw(2)));
+    return static_cast<std::int16_t>(read_big_endian(raw(2)));
 }
 std::int32_t Reader::i32() {
-    return static_cast<std::int32_t>(big_endian(raw(4)));
+    return static_cast<std::int32_t>(read_big_endian(raw(4)));
 }
 
 std::string_view Reader::string() {
@@ -108,7 +108,7 @@
 }
 
 Writer::Writer(MessageType type, std::string_view method, std::int32_t seq) : bytes_(kFrameHead, '\0') {
-    put_big_endian(bytes_, kVersion | static_cast<std::uint32_t>(type), 4);
+    append_big_endian(bytes_, kVersion | static_cast<std::uint32_t>(type), 4);
     string(method);
     i32(seq);
 }
@@ -118,10 +118,10 @@
     i16(id);
 }
 void Writer::i16(std::int16_t value) {
-    put_big_endian(bytes_, static_cast<std::uint16_t>(value), 2);
+    append_big_endian(bytes_, static_cast<std::uint16_t>(value), 2);
 }
 void Writer::i32(std::int32_t value) {
-    put_big_endian(bytes_, static_cast<std::uint32_t>(value), 4);
+    append_big_endian(bytes_, static_cast<std::uint32_t>(value), 4);
 }
 void Writer::string(std::string_view text) {
     i32(static_cast<std::int32_t>(text.size()));
@@ -137,7 +137,7 @@
 
 std::string Writer::frame() {
     std::string head;
-    put_big_endian(head, static_cast<std::uint32_t>(bytes_.size() - kFrameHead), 4);
+    append_big_endian(head, static_cast<std::uint32_t>(bytes_.size() - kFrameHead), 4);
     bytes_.replace(0, kFrameHead, head);
     return std::move(bytes_);
 }
@@ -146,7 +146,7 @@
     const auto bytes = in.view();
     if (bytes.size() < kFrameHead)
         return Framing::none;
-    const std::uint32_t size = big_endian(bytes.substr(0, kFrameHead));
+    const std::uint32_t size = read_big_endian(bytes.substr(0, kFrameHead));
     if (size > most)
         return Framing::too_long;
     if (bytes.size() - kFrameHead < size)
--- a/tests/base/stream_end.hpp
+++ b/tests/base/stream_end.hpp
@@ -14,14 +14,14 @@
         connected = true;
     }
     void on_data(Buffer& in) override {
-        got.append(in.view());
-        in.take(in.size());
+        received.append(in.view());
+        in.consume(in.size());
     }
     void on_closed(net::Closed how) override {
         closed = how;
     }
     std::unique_ptr<net::Stream> stream;
-    std::string got;
+    std::string received;
     bool connected = false;
     std::optional<net::Closed> closed;
 };
--- a/tests/bench/decision_digest_test.cpp
+++ b/tests/bench/decision_digest_test.cpp
@@ -112,7 +112,7 @@
     }
 
     void count(std::string_view line) {
-        result_.digest = hash_of(line, result_.digest);
+        result_.digest = fnv1a_hash(line, result_.digest);
         ++result_.lines[std::string(line.substr(0, line.find('\t')))];
     }
 
--- a/tests/faults/loop_faults_test.cpp
+++ b/tests/faults/loop_faults_test.cpp
@@ -28,7 +28,7 @@
     void on_data(Buffer& in) override {
         if (!waited)
             waited = std::max(loop.unseen(), stream.starved());
-        in.take(in.size());
+        in.consume(in.size());
     }
     void on_closed(Closed) override {}
     net::PollLoop& loop;
@@ -110,16 +110,16 @@
     join();
     for (const int error : {ENOBUFS, ENOMEM, EINTR, EAGAIN}) {
         control.fail(Call::send, error, 1000, 5);
-        server.got.clear();
+        server.received.clear();
         const std::string bytes(300'000, 'x');
         client.stream->send(bytes);
         EXPECT_TRUE(await(
             loop,
             [&] {
-                return server.got.size() == bytes.size();
+                return server.received.size() == bytes.size();
             },
             5 * kSecondMicros))
-            << std::strerror(error) << ": " << server.got.size();
+            << std::strerror(error) << ": " << server.received.size();
     }
     EXPECT_FALSE(client.closed);
 }
@@ -128,12 +128,12 @@
     join();
     for (const int error : {ENOMEM, ENOBUFS, EINTR, EAGAIN}) {
         control.fail(Call::recv, error, 1000, 5);
-        server.got.clear();
+        server.received.clear();
         client.stream->send("some bytes");
         EXPECT_TRUE(await(
             loop,
             [&] {
-                return server.got == "some bytes";
+                return server.received == "some bytes";
             },
             5 * kSecondMicros))
             << std::strerror(error);
@@ -185,10 +185,10 @@
     ASSERT_TRUE(await(
         loop,
         [&] {
-            return client.got.size() == said.size();
+            return client.received.size() == said.size();
         },
         2 * kSecondMicros))
-        << client.got.size();
+        << client.received.size();
 }
 
 // Errors of one connection in the backlog, and of this machine, keep nobody else outside.
@@ -231,11 +231,11 @@
     for (const int error : {EINTR, ENOMEM, EINVAL}) {
         const auto before = control.of(Call::poll).calls.load();
         control.fail(Call::poll, error, 1000, 20);
-        server.got.clear();
+        server.received.clear();
         client.stream->send("some bytes");
         const Micros since = loop.now();
         EXPECT_TRUE(await(loop, [&] {
-            return server.got == "some bytes";
+            return server.received == "some bytes";
         })) << std::strerror(error);
         EXPECT_TRUE(await(loop, [&] {
             return loop.now() - since > 50 * kMillisecond;
@@ -254,10 +254,10 @@
     client.stream->send(bytes);
     server.stream->send(bytes);
     EXPECT_TRUE(await(loop, [&] {
-        return server.got.size() >= bytes.size() && client.got.size() >= bytes.size();
+        return server.received.size() >= bytes.size() && client.received.size() >= bytes.size();
     }));
-    EXPECT_EQ(server.got, bytes);
-    EXPECT_EQ(client.got, bytes);
+    EXPECT_EQ(server.received, bytes);
+    EXPECT_EQ(client.received, bytes);
 }
 
 // A process that stood still between a decision and its sending hears what has come meanwhile first.
@@ -269,7 +269,7 @@
     }));
     struct TakesBack final : net::StreamEvents {
         void on_data(Buffer& in) override {
-            in.take(in.size());
+            in.consume(in.size());
             taken = stream->take_back(id);
         }
         void on_closed(Closed) override {}
@@ -356,7 +356,7 @@
     EXPECT_TRUE(await(
         loop,
         [&] {
-            return server.got == "request";
+            return server.received == "request";
         },
         kSecondMicros));
     // Nor does it make the loop spin.
@@ -389,7 +389,7 @@
 class HeardFirst : public LoopFaults, public net::StreamEvents {
 protected:
     void on_data(Buffer& in) override {
-        in.take(in.size());
+        in.consume(in.size());
     }
     void on_sending(std::size_t) override {
         order += "sending ";
--- a/tests/front/front_test_bed.hpp
+++ b/tests/front/front_test_bed.hpp
@@ -189,7 +189,7 @@
         return a;
     }
     // The seven rules over all that passed so far.
-    lab::Judgement judged() {
+    lab::Judgement check_rules() {
         lab::Facts& f = records.facts;
         f = {};
         f.classes = truth_.classes;
@@ -204,7 +204,7 @@
         return lab::judge(records);
     }
     void expect_no_violations() {
-        const auto j = judged();
+        const auto j = check_rules();
         for (const auto& v : j.violations)
             ADD_FAILURE() << "rule " << v.rule << ": " << v.trace << ": " << v.what << "\n" << v.story;
         EXPECT_GT(j.statements, 0u);
--- a/tests/fuzz/http_fuzz.cpp
+++ b/tests/fuzz/http_fuzz.cpp
@@ -42,8 +42,10 @@
         auto request = whole.request();
         gatetiller::http::Headers kept;
         for (const auto& [key, value] : request.headers)
-            if (!gatetiller::same_word(key, "host") && !gatetiller::same_word(key, "content-length") &&
-                !gatetiller::same_word(key, "transfer-encoding") && !gatetiller::same_word(key, "expect"))
+            if (!gatetiller::equals_ignore_case(key, "host") &&
+                !gatetiller::equals_ignore_case(key, "content-length") &&
+                !gatetiller::equals_ignore_case(key, "transfer-encoding") &&
+                !gatetiller::equals_ignore_case(key, "expect"))
                 kept.add(key, value);
         request.headers = kept;
         Parser again(Parser::Kind::request, {});
--- a/tests/lab/broken_front_test.cpp
+++ b/tests/lab/broken_front_test.cpp
@@ -9,7 +9,7 @@
 
 std::set<int> broken(FrontTestBed& w) {
     std::set<int> rules;
-    for (const auto& v : w.judged().violations) {
+    for (const auto& v : w.check_rules().violations) {
         rules.insert(v.rule);
         EXPECT_FALSE(v.story.empty());
     }
--- a/tests/lab/virtual_day_test.cpp
+++ b/tests/lab/virtual_day_test.cpp
@@ -63,7 +63,7 @@
           static_cast<std::int64_t>(day->events), static_cast<std::int64_t>(day->gaps), day->longest_gap,
           day->logged, day->charged, static_cast<std::int64_t>(day->virtual_seconds * 1e6)})
         numbers += std::to_string(number) + " ";
-    return hash_of(numbers);
+    return fnv1a_hash(numbers);
 }
 
 TEST(VirtualDay, DigestOfSeed21) {
--- a/tests/net/loop_test.cpp
+++ b/tests/net/loop_test.cpp
@@ -15,7 +15,7 @@
     }
     void on_data(Buffer& in) override {
         if (take)
-            got += in.size(), in.take(in.size());
+            got += in.size(), in.consume(in.size());
     }
     void on_sent() override {
         ++sent;
--- a/tests/soak/soak_test.cpp
+++ b/tests/soak/soak_test.cpp
@@ -90,11 +90,11 @@
     join();
     front.stream->send(request);
     ASSERT_TRUE(await(loop, [&] {
-        return engine.got == request;
+        return engine.received == request;
     }));
     engine.stream->send(answer);
     ASSERT_TRUE(await(loop, [&] {
-        return front.got == answer;
+        return front.received == answer;
     }));
     const auto messages = proxy.take_messages();
     ASSERT_EQ(messages.size(), 2u);
@@ -112,11 +112,11 @@
     proxy.set(link, {.trickle = true});
     front.stream->send(request);
     ASSERT_TRUE(await(loop, [&] {
-        return !engine.got.empty();
+        return !engine.received.empty();
     }));
-    EXPECT_LT(engine.got.size(), request.size());
+    EXPECT_LT(engine.received.size(), request.size());
     EXPECT_TRUE(await(loop, [&] {
-        return engine.got == request;
+        return engine.received == request;
     }));
 }
 
@@ -125,10 +125,10 @@
     proxy.set(link, {.held = true});
     front.stream->send(request);
     pass_time(50 * kMillisecond);
-    EXPECT_TRUE(engine.got.empty());
+    EXPECT_TRUE(engine.received.empty());
     proxy.set(link, {});
     EXPECT_TRUE(await(loop, [&] {
-        return engine.got == request;
+        return engine.received == request;
     }));
     const auto messages = proxy.take_messages();
     ASSERT_EQ(messages.size(), 1u);
@@ -143,7 +143,7 @@
     engine.stream.reset();
     pass_time(50 * kMillisecond);
     EXPECT_FALSE(front.closed);
-    EXPECT_TRUE(engine.got.empty());
+    EXPECT_TRUE(engine.received.empty());
     EXPECT_EQ(events(), std::vector<std::string>{"arrived a1"});
 }
 
