--- a/src/decide/table_group.cpp
+++ b/src/decide/table_group.cpp
@@ -12,18 +12,19 @@
 namespace {
 
 struct Token {
-    std::string text;  // a name, or one character of its own
+    std::string text;  // a name, or a single character
     bool name = false, quoted = false;
 };
 
 bool starts_name(char c) {
-    return (lower(c) >= 'a' && lower(c) <= 'z') || c == '_' || (c & 0x80) != 0;
+    return (to_ascii_lower(c) >= 'a' && to_ascii_lower(c) <= 'z') || c == '_' || (c & 0x80) != 0;
 }
 bool in_name(char c) {
     return starts_name(c) || (c >= '0' && c <= '9') || c == '$';
 }
 
-// The position behind what opened at `at` and ends with `end`; a doubled end stands for itself.
+// The position after the quoted text that begins at `at` and ends with `end`; a doubled `end` is an escaped
+// one.
 std::size_t past_quoted(std::string_view sql, std::size_t at, char end) {
     for (++at; at < sql.size(); ++at) {
         if (sql[at] != end)
@@ -75,7 +76,7 @@
         return {std::string(sql.substr(begin, at - begin)), true};
     }
     if (is_digit(first)) {
-        // The dots of a number separate no names.
+        // The dots in a number do not separate names.
         while (at < sql.size() && (in_name(sql[at]) || sql[at] == '.'))
             ++at;
         return {"0"};
@@ -109,7 +110,7 @@
         return false;
     static constexpr std::array kKeywords = {"from", "join", "into", "update", "table"};
     return std::any_of(kKeywords.begin(), kKeywords.end(), [&](const char* keyword) {
-        return same_word(t.text, keyword);
+        return equals_ignore_case(t.text, keyword);
     });
 }
 
@@ -121,14 +122,14 @@
     for (std::size_t i = 0; i < tokens.size(); ++i) {
         if (!tokens[i].name)
             continue;
-        std::size_t last = i;  // of the names parted by dots that begin here
+        std::size_t last = i;  // of the names separated by dots that begin at `i`
         while (last + 2 < tokens.size() && tokens[last + 1].text == "." && !tokens[last + 1].name &&
                tokens[last + 2].name)
             last += 2;
         if (last == i)
             continue;
         const std::string& schema = tokens[last - 2].text;
-        const std::int64_t group = same_word(schema, "staging") ? 0 : group_in(schema);
+        const std::int64_t group = equals_ignore_case(schema, "staging") ? 0 : group_in(schema);
         if (group > 0 && i > 0 && before_table(tokens[i - 1]))
             return group;
         if (group > 0 && otherwise == 0)
--- a/src/store/ledger_writer.cpp
+++ b/src/store/ledger_writer.cpp
@@ -14,11 +14,11 @@
 namespace gatetiller::store {
 namespace {
 
-// How often an empty batch is written, so that an idle incarnation's last commit stays recent.
+// Interval at which empty batches are written, so that the last commit of an idle incarnation stays recent.
 constexpr Micros kIdleWriteInterval = kSecondMicros;
 constexpr int kExpireAtOnce = 2000;   // requests
-constexpr int kThreadNice = 10;       // statements come before rows where cores are short
-constexpr Micros kHistorySteps = 60;  // of the history window
+constexpr int kThreadNice = 10;       // statements take precedence over the ledger when CPU is scarce
+constexpr Micros kHistorySteps = 60;  // intervals in the history window
 
 template <typename Row>
 void append(std::vector<Row>& to, std::vector<Row>& from) {
@@ -33,7 +33,7 @@
     append(to.rows, from.rows);
     append(to.gaps, from.gaps);
     append(to.clock_steps, from.clock_steps);
-    to.wall = from.wall;
+    to.complete_until = from.complete_until;
 }
 
 bool is_empty(const Batch& batch) {
@@ -62,7 +62,7 @@
 void LedgerWriter::enqueue(Row row, Micros wall, QueueSlot& slot) {
     if (slot.flush == flush_) {
         std::get<Row>(queue_[slot.index]) = std::move(row);
-    } else if (intake_.update(queue_.size() + handed_over_rows_, wall)) {
+    } else if (intake_.admit_update(queue_.size() + handed_over_rows_, wall)) {
         slot = {flush_, queue_.size()};
         queue_.emplace_back(std::move(row));
     }
@@ -101,7 +101,7 @@
             next.gaps.push_back(*gap);
             log_lines_.push_back(gap_message(*gap));
         }
-    next.wall = wall;
+    next.complete_until = wall;
     handed_over_rows_ += next.rows.size();
     append(shared_, next);
     shared_now_ = now;
@@ -110,7 +110,7 @@
 
 LedgerWriterStatus LedgerWriter::status() const {
     const std::lock_guard guard(mutex_);
-    return {error_,        queue_.size() + handed_over_rows_, intake_.lost(), committed_rows_, batches_,
+    return {error_,        queue_.size() + handed_over_rows_, intake_.lost_rows(), committed_rows_, batches_,
             written_until_};
 }
 
@@ -125,7 +125,8 @@
 }
 
 void LedgerWriter::start_thread() {
-    // Signals belong to the loop's thread: a thread that doesn't block them could receive them in its place.
+    // Signals must be delivered to the event loop's thread: a thread that doesn't block them could receive
+    // them instead.
     sigset_t all;
     sigset_t before;
     sigfillset(&all);
@@ -149,7 +150,8 @@
 std::vector<std::string> LedgerWriter::finish(Micros now, Micros wall) {
     auto lines = poll(now, wall);
     stop_thread();
-    // With the thread gone both sides are the caller's. A failing store is tried without its pause.
+    // With the thread stopped, the caller may use the writer's state. A failing ledger is retried without
+    // waiting for the retry delay.
     write_pending(std::max(now, state_.retry_at()));
     if (!pending_.rows.empty()) {
         log(rows_lost_message(pending_.rows.size()));
@@ -189,7 +191,7 @@
 void LedgerWriter::write_pending(Micros now) {
     {
         const std::lock_guard guard(mutex_);
-        if (shared_.wall > 0)
+        if (shared_.complete_until > 0)
             append(pending_, shared_);
     }
     if (!prepare_to_write(now))
@@ -207,12 +209,12 @@
     pending_.clock_steps.clear();
 }
 
-// Opens the file, or moves a damaged one away, until the ledger can be written. False: not before a later
-// poll().
+// Opens the file, and quarantines a corrupt one, until the ledger can be written. Returns false if that has
+// to wait for a later poll().
 bool LedgerWriter::prepare_to_write(Micros now) {
     using Step = decide::LedgerState::Step;
     for (;;) {
-        switch (state_.next(now)) {
+        switch (state_.next_step(now)) {
             case Step::wait:
                 return false;
             case Step::write:
@@ -240,7 +242,7 @@
     const std::lock_guard guard(mutex_);
     committed_rows_ += static_cast<std::int64_t>(pending_.rows.size());
     batches_ += 1;
-    written_until_ = pending_.wall;
+    written_until_ = pending_.complete_until;
     handed_over_rows_ -= pending_.rows.size();
     error_ = decide::StoreError::none;
 }
@@ -249,7 +251,8 @@
     if (settings_.retention <= 0)
         return;
     std::int64_t removed = 0;
-    if (const auto failure = ledger_.expire(pending_.wall - settings_.retention, kExpireAtOnce, removed))
+    if (const auto failure =
+            ledger_.expire(pending_.complete_until - settings_.retention, kExpireAtOnce, removed))
         log(expire_failed_message(failure));
 }
 
@@ -260,15 +263,15 @@
     if (auto failure = ledger_.open(settings_.file, {settings_.vfs}))
         return failure;
     RecoveredState recovered;
-    if (auto failure =
-            ledger_.begin_incarnation(settings_.incarnation, settings_.front, pending_.wall, recovered))
+    if (auto failure = ledger_.begin_incarnation(settings_.incarnation, settings_.front,
+                                                 pending_.complete_until, recovered))
         return failure;
-    if (recovered.requests_interrupted + recovered.attempts_interrupted > 0 || recovered.killed)
+    if (recovered.requests_interrupted + recovered.attempts_interrupted > 0 || recovered.killed_gap)
         log(recovered_message(recovered));
     {
         const std::lock_guard guard(mutex_);
-        if (!std::exchange(previous_.known, true) && recovered.killed)
-            previous_.killed_from = recovered.killed->from;
+        if (!std::exchange(previous_.known, true) && recovered.killed_gap)
+            previous_.last_commit_before_kill = recovered.killed_gap->from;
     }
     if (settings_.history_window > 0 && !std::exchange(history_read_, true))
         read_work_history();
@@ -279,14 +282,14 @@
     std::vector<Ledger::WorkSample> history;
     const Micros window = settings_.history_window;
     if (const auto failure =
-            ledger_.work_samples_since(pending_.wall - window, window / kHistorySteps, history))
+            ledger_.work_samples_since(pending_.complete_until - window, window / kHistorySteps, history))
         log(history_failed_message(failure));
     const std::lock_guard guard(mutex_);
     work_history_ = std::move(history);
 }
 
 void LedgerWriter::on_failure(StoreFailure failure, Micros now) {
-    // Only a ledger may be moved away; any other file is the operator's to decide about.
+    // Only a ledger may be quarantined; any other file is left to the operator.
     if (failure.error == StoreError::corrupt && !has_ledger_header(settings_.file))
         failure.error = StoreError::foreign;
     if (state_.on_failed(failure.error, now))
--- a/tests/store/accounting_store_test.cpp
+++ b/tests/store/accounting_store_test.cpp
@@ -1,4 +1,4 @@
-// Collecting ledgers and journals: in any order, several times over, from copies.
+// Collecting ledgers and journals in any order, repeatedly, and from copies.
 #include "store/accounting_store.hpp"
 
 #include <gtest/gtest.h>
@@ -20,7 +20,7 @@
 
 constexpr Micros kWall = 1'790'000'000'000'000;
 
-// Ledgers and journals, with what they come to.
+// Ledgers and journals, with the expected findings and totals.
 struct Collection {
     std::vector<std::string> ledgers, journals;
     std::map<SettlementFinding, int> expected;
@@ -28,7 +28,7 @@
     std::size_t requests = 0;
 };
 
-// Two fronts' ledgers and two engines' journals of which each finding is known beforehand.
+// Makes two fronts' ledgers and two engines' journals whose findings are known.
 Collection make_collection(const std::string& folder, Random& random) {
     Collection made;
     made.journals.resize(2);
@@ -38,7 +38,7 @@
         statement::Completed c;
         c.id = "q" + std::to_string(++queries), c.state = "FINISHED", c.user = "u", c.server = "e1";
         if (!incarnation.empty())
-            c.tags = {decide::tag_of({incarnation, request, 0})};
+            c.tags = {decide::format_attempt_tag({incarnation, request, 0})};
         c.created = at, c.ended = at + 1000, c.cpu = work;
         made.logged += work;
         made.journals[random.below(2)] += statement::write_completed(c) + "\n";
@@ -51,8 +51,9 @@
         for (int i = 0; i < 200; ++i) {
             const Micros wall = kWall + i * kSecondMicros;
             RequestRow r;
-            r.who = std::make_shared<const decide::Requester>(decide::Requester{"u", "s", "", "c", "t"});
-            r.taken = wall;
+            r.requester =
+                std::make_shared<const decide::Requester>(decide::Requester{"u", "s", "", "c", "t"});
+            r.received_at = wall;
             EXPECT_TRUE(writer.add_request(r, wall));
             ++made.requests;
             AttemptRow a;
@@ -61,7 +62,7 @@
             const auto add_attempt = [&](SettlementFinding finding, AttemptState state, bool whole,
                                          bool logged, Micros more) {
                 ++made.expected[finding];
-                a.state = state, a.whole = whole;
+                a.state = state, a.is_final = whole;
                 if (logged)
                     log_event(incarnation, r.number, wall, a.work + more);
             };
@@ -70,8 +71,8 @@
                     add_attempt(SettlementFinding::agreed, AttemptState::answered, true, true, 400);
                     break;
                 case 1:
-                    add_attempt(SettlementFinding::unseen_end, AttemptState::connection_lost, false, true,
-                                90'000);
+                    add_attempt(SettlementFinding::end_not_observed, AttemptState::connection_lost, false,
+                                true, 90'000);
                     break;
                 case 2:
                     add_attempt(SettlementFinding::never_ran, AttemptState::unreachable, false, false, 0);
@@ -80,10 +81,11 @@
                     add_attempt(SettlementFinding::unlogged, AttemptState::connection_lost, false, false, 0);
                     break;
                 case 4:
-                    add_attempt(SettlementFinding::differs, AttemptState::error, true, true, 5000);
+                    add_attempt(SettlementFinding::mismatched, AttemptState::error, true, true, 5000);
                     break;
                 case 5:
-                    add_attempt(SettlementFinding::journal_lacks, AttemptState::answered, true, false, 0);
+                    add_attempt(SettlementFinding::missing_in_journal, AttemptState::answered, true, false,
+                                0);
                     break;
             }
             writer.update(a, wall);
@@ -93,11 +95,11 @@
                 (void)writer.poll(i, wall);
         }
         (void)writer.finish(0, kWall + 200 * kSecondMicros);
-        // Logged under a number that the ledger never gave.
-        log_event(incarnation, 5000, kWall, 7), ++made.expected[SettlementFinding::ledger_lacks];
+        // Logged under a request number that the ledger never assigned.
+        log_event(incarnation, 5000, kWall, 7), ++made.expected[SettlementFinding::missing_in_ledger];
     }
     log_event("", 0, kWall, 11), ++made.expected[SettlementFinding::direct];
-    log_event("00000000000000ff", 3, kWall, 13), ++made.expected[SettlementFinding::other_life];
+    log_event("00000000000000ff", 3, kWall, 13), ++made.expected[SettlementFinding::unknown_incarnation];
     return made;
 }
 
@@ -134,17 +136,17 @@
                 logged += s.work;
         };
         const auto count_event = [&](const decide::LoggedQuery& q) {
-            const auto record = q.name ? records.find(q.name->life) : records.end();
-            count(settle_alone(q, record == records.end() ? nullptr : &record->second));
+            const auto record = q.attempt_tag ? records.find(q.attempt_tag->incarnation) : records.end();
+            count(settle_unmatched(q, record == records.end() ? nullptr : &record->second));
         };
-        ASSERT_FALSE(store.for_each(
+        ASSERT_FALSE(store.for_each_entry(
             [&](const AccountEntry& e) {
                 if (!e.account)
-                    return count_event(e.logged[0][0]);
+                    return count_event(e.events_by_attempt[0][0]);
                 ++requests;
-                for (std::size_t i = 0; i < e.logged.size(); ++i)
-                    count(settle(e.account->request, e.account->attempts[i], e.logged[i]));
-                for (const auto& q : e.unmatched)
+                for (std::size_t i = 0; i < e.events_by_attempt.size(); ++i)
+                    count(settle(e.account->request, e.account->attempts[i], e.events_by_attempt[i]));
+                for (const auto& q : e.unmatched_events)
                     count_event(q);
             },
             [](const std::string& text) {
@@ -173,19 +175,19 @@
     EXPECT_EQ(c->problems[0], "e1.jsonl:2: not a query-completed event: not a JSON object");
     EXPECT_NE(c->problems[1].find("e1.jsonl:3"), std::string::npos);
     EXPECT_NE(c->problems[2].find("spilledBytes"), std::string::npos);
-    EXPECT_EQ(*store.ledger().db().number("SELECT work FROM events"), 61'500'000);
-    EXPECT_EQ(*store.ledger().db().number("SELECT ended FROM events"), 1'793'491'200'000'000);
+    EXPECT_EQ(*store.ledger().db().query_int64("SELECT work FROM events"), 61'500'000);
+    EXPECT_EQ(*store.ledger().db().query_int64("SELECT ended FROM events"), 1'793'491'200'000'000);
 }
 
-// Kept by what is known of the row, not by who came last.
+// The later state is kept, whatever the order of collection.
 TEST(AccountingStore, RowThatSaysMoreReplacesTheOther) {
     const std::string folder = ::testing::TempDir() + "books-more-" + std::to_string(::getpid());
     std::filesystem::remove_all(folder);
     std::filesystem::create_directories(folder);
     const std::string file = folder + "/f", copy = folder + "/copy";
     RequestRow r;
-    r.who = std::make_shared<const decide::Requester>();
-    r.taken = kWall;
+    r.requester = std::make_shared<const decide::Requester>();
+    r.received_at = kWall;
     {
         LedgerWriter writer({file, "f", "0000000000000001", 100 * kMillisecond});
         ASSERT_TRUE(writer.add_request(r, kWall));
@@ -197,7 +199,7 @@
         writer.update(r, kWall);
         (void)writer.finish(1, kWall);
     }
-    {  // the copy is taken by another incarnation, which marks the request as interrupted
+    {  // another incarnation continues the copy and marks the request as interrupted
         LedgerWriter writer({copy, "f", "0000000000000002", 100 * kMillisecond});
         (void)writer.poll(0, kWall);
         (void)writer.finish(1, kWall);
@@ -207,8 +209,8 @@
         ASSERT_FALSE(store.open(":memory:"));
         ASSERT_TRUE(store.collect_ledger(copy_first ? copy : file));
         ASSERT_TRUE(store.collect_ledger(copy_first ? file : copy));
-        EXPECT_EQ(*store.ledger().db().number("SELECT count(*) FROM requests"), 1);
-        EXPECT_EQ(*store.ledger().db().number("SELECT state FROM requests"),
+        EXPECT_EQ(*store.ledger().db().query_int64("SELECT count(*) FROM requests"), 1);
+        EXPECT_EQ(*store.ledger().db().query_int64("SELECT state FROM requests"),
                   static_cast<int>(RequestState::served));
     }
     std::filesystem::remove_all(folder);
