--- a/tests/node/attempt_dispatcher_test.cpp
+++ b/tests/node/attempt_dispatcher_test.cpp
@@ -36,11 +36,11 @@
 }
 
 TEST_F(EventOrderTest, DoesNotSendRequestCancelledInTheSameTurn) {
-    auto& e = add_engine("s-1");
+    auto& engine = add_engine("s-1");
     start();
     const auto cancelled = make_request(), disconnected = make_request();
-    auto& c = add_client();
-    c.raw(encode_call(cancelled, 1) + thrift::give_up_call(2, 1));
+    auto& client = add_client();
+    client.raw(encode_call(cancelled, 1) + thrift::give_up_call(2, 1));
     {
         RawSocket cancelling;
         cancelling.connect(settings.listen);
@@ -55,10 +55,10 @@
         return other.open() == 0 && node->active_requests() == 0;
     }));
     EXPECT_EQ(other.got().at(seq).how, "served");
-    for (const auto& r : records.engines)
-        for (const auto& a : {cancelled, disconnected})
-            EXPECT_NE(r.entry.trace, a.trace) << r.entry.event;
-    EXPECT_TRUE(e.commands.empty()) << e.commands[0];
+    for (const auto& record : records.engines)
+        for (const auto& request : {cancelled, disconnected})
+            EXPECT_NE(record.entry.trace, request.trace) << record.entry.event;
+    EXPECT_TRUE(engine.commands.empty()) << engine.commands[0];
     expect_no_violations();
 }
 
@@ -74,15 +74,15 @@
     }));
     publish_endpoint("s-held", held.address);
     start();
-    auto& c = add_client();
-    const auto a = make_request();
-    const Micros asked = loop.now();
-    send_waiting_request(c, a);
+    auto& client = add_client();
+    const auto request = make_request();
+    const Micros asked_at = loop.now();
+    send_waiting_request(client, request);
     ASSERT_TRUE(run_until([&] {
-        return loop.now() - asked > 800 * kMillisecond;
+        return loop.now() - asked_at > 800 * kMillisecond;
     }));
     const std::string received = receive_once_connected(held, 60);
-    const Micros time_left = asked + a.patience - loop.now();
+    const Micros time_left = asked_at + request.patience - loop.now();
     ASSERT_GT(sent_time_left_ms(received), 0) << received;
     EXPECT_LE(sent_time_left_ms(received), time_left / kMillisecond + 150) << received;
 }
@@ -100,14 +100,14 @@
     void start_request() {
         publish_endpoint("s-raw", address);
         start();
-        auto a = make_request("load");
-        a.sql += std::string(20'000, 'x');
-        seq = add_client().ask(a);
+        auto request = make_request("load");
+        request.sql += std::string(20'000, 'x');
+        seq = add_client().ask(request);
         ASSERT_TRUE(run_until([&] {
             return (peer = raw.accept()) != nullptr;
         }));
         ASSERT_TRUE(run_until([&] {
-            return log.find(a.trace + " load attempt 0 at s-raw begins") != std::string::npos;
+            return log.find(request.trace + " load attempt 0 at s-raw begins") != std::string::npos;
         }));
         began = loop.now();
     }
@@ -140,11 +140,11 @@
         return log.find("engine s-raw is draining") != std::string::npos;
     }));
     expect_discarded_by(settings.policy.drain_grace + 50 * kMillisecond);
-    auto& c = *clients.back();
+    auto& client = *clients.back();
     ASSERT_TRUE(run_until([&] {
-        return c.open() == 0;
+        return client.open() == 0;
     }));
-    EXPECT_EQ(c.got().at(seq).how, "served");
+    EXPECT_EQ(client.got().at(seq).how, "served");
     EXPECT_LT(loop.now() - began, 3 * kSecondMicros);
 }
 
@@ -166,16 +166,16 @@
     }));
     publish_endpoint("s-held", held.address);
     start();
-    auto& c = add_client();
-    const auto a = make_request("load");
-    send_waiting_request(c, a);
+    auto& client = add_client();
+    const auto request = make_request("load");
+    send_waiting_request(client, request);
     // The engine begins to drain: the waiting request is withdrawn and sent to a newly listed engine.
     add_engine("s-2");
     publish_endpoint("s-held", held.address, true);
     ASSERT_TRUE(run_until([&] {
-        return c.open() == 0;
+        return client.open() == 0;
     }));
-    EXPECT_EQ(c.got().at(1).how, "served");
+    EXPECT_EQ(client.got().at(1).how, "served");
     expect_no_violations();
 }
 
@@ -190,9 +190,9 @@
     auto& first = add_engine("s-1");
     first.set({.silent = 1});
     start();
-    auto& c = add_client();
-    const auto a = make_request("load", 1);
-    c.ask(a);
+    auto& client = add_client();
+    const auto request = make_request("load", 1);
+    client.ask(request);
     ASSERT_TRUE(run_until([&] {
         return first.open() == 1;
     }));
@@ -205,15 +205,16 @@
         return node->status().find("s-held:1/1/1") != std::string::npos;
     })) << node->status();
     ASSERT_TRUE(run_until([&] {
-        return c.open() == 0;
+        return client.open() == 0;
     }));
-    EXPECT_EQ(c.got().at(1).how, "refused");  // a client's retry with the key is recognized by any engine
+    EXPECT_EQ(client.got().at(1).how,
+              "refused");  // a client's retry with the key is recognized by any engine
     EXPECT_NE(node->status().find("s-held:0/0/1"), std::string::npos) << node->status();
     auto& other = add_client();
     const auto after = make_request();
     send_waiting_request(other, after);
     const std::string received = receive_once_connected(held, 60);
-    EXPECT_EQ(received.find(a.trace), std::string::npos) << received;
+    EXPECT_EQ(received.find(request.trace), std::string::npos) << received;
     EXPECT_NE(received.find(after.trace), std::string::npos) << received;
 }
 
--- a/tests/node/client_sessions_test.cpp
+++ b/tests/node/client_sessions_test.cpp
@@ -13,26 +13,26 @@
 TEST_F(EventOrderTest, CountsStallInTheWaitOfMessagesDeferredToTheNextTurn) {
     add_engine("s-1");
     start();
-    RawSocket c;
-    c.connect(settings.listen);
+    RawSocket client;
+    client.connect(settings.listen);
     ASSERT_TRUE(run_until([&] {
-        return c.connected();
+        return client.connected();
     }));
     std::string many;
     for (int i = 1; i <= 80; ++i)
         many += thrift::give_up_call(i, 1);
-    const auto a = make_request();
-    many += encode_call(a, 81);
+    const auto request = make_request();
+    many += encode_call(request, 81);
     loop.after(0, [&] {
-        c.send(many);
+        client.send(many);
         const timespec stall{0, 200'000'000};
         ::nanosleep(&stall, nullptr);
     });
     ASSERT_TRUE(run_until([&] {
-        return log.find(a.trace + " lookup accepted") != std::string::npos;
+        return log.find(request.trace + " lookup accepted") != std::string::npos;
     }));
-    const auto left_at = log.find("left_ms=", log.find(a.trace + " lookup accepted"));
-    EXPECT_LE(std::stoll(log.substr(left_at + 8)), a.patience / kMillisecond - 150);
+    const auto left_at = log.find("left_ms=", log.find(request.trace + " lookup accepted"));
+    EXPECT_LE(std::stoll(log.substr(left_at + 8)), request.patience / kMillisecond - 150);
 }
 
 TEST_F(EventOrderTest, IdleClientsInAFullTableDoNotDelayNewClients) {
@@ -41,13 +41,13 @@
     const std::size_t table_size =
         decide::derive_limits(settings.sockets, settings.memory_mb).client_connections;
     const auto serve_new_client = [&] {
-        auto& c = add_client();
-        c.ask(make_request("lookup", 1));
+        auto& client = add_client();
+        client.ask(make_request("lookup", 1));
         ASSERT_TRUE(run_until([&] {
-            return c.open() == 0;
+            return client.open() == 0;
         })) << node->status();
-        ASSERT_EQ(c.got().size(), 1u) << node->status();
-        ASSERT_EQ(c.got().at(1).how, "served");
+        ASSERT_EQ(client.got().size(), 1u) << node->status();
+        ASSERT_EQ(client.got().at(1).how, "served");
     };
     const auto connected_clients = [&] {
         return std::stoul(node->status().substr(node->status().find("clients=") + 8));
@@ -108,20 +108,20 @@
 TEST_F(EventOrderTest, SlowWriterStillReceivesItsPendingResponse) {
     add_engine("s-1");
     start();
-    RawSocket c;
-    c.connect(settings.listen);
+    RawSocket client;
+    client.connect(settings.listen);
     ASSERT_TRUE(run_until([&] {
-        return c.connected();
+        return client.connected();
     }));
     const auto slow = make_request("lookup", 2'600), half = make_request();
     const std::string second = encode_call(half, 2);
-    c.send(encode_call(slow, 1) + second.substr(0, 30));
+    client.send(encode_call(slow, 1) + second.substr(0, 30));
     // The time limit of the partial request passes while the first request is in flight: its response must
     // arrive before the limit is enforced.
     ASSERT_TRUE(run_until([&] {
-        return !c.read() || c.received.find("row 2") != std::string::npos;
+        return !client.read() || client.received.find("row 2") != std::string::npos;
     }));
-    ASSERT_NE(c.received.find("row 2"), std::string::npos) << "closed: " << node->status();
+    ASSERT_NE(client.received.find("row 2"), std::string::npos) << "closed: " << node->status();
     expect_no_violations();
 }
 
@@ -130,13 +130,13 @@
 TEST_F(EventOrderTest, ServesRequestBehindManyMessagesWhenItsConnectionTimesOut) {
     add_engine("s-1");
     start();
-    RawSocket c;
-    c.connect(settings.listen);
+    RawSocket client;
+    client.connect(settings.listen);
     ASSERT_TRUE(run_until([&] {
-        return c.connected();
+        return client.connected();
     }));
     const std::string first = thrift::give_up_call(1, 1);
-    c.send(first.substr(0, 10));
+    client.send(first.substr(0, 10));
     const Micros half = loop.now();
     std::string rest = first.substr(10);
     for (int i = 2; i <= 40; ++i)
@@ -153,12 +153,13 @@
         ::nanosleep(&stall, nullptr);
     });
     loop.after(kMillisecond, [&] {
-        c.send(rest);
+        client.send(rest);
     });
     ASSERT_TRUE(run_until([&] {
-        return !c.read() || c.received.find("row 2") != std::string::npos;
+        return !client.read() || client.received.find("row 2") != std::string::npos;
     }));
-    EXPECT_NE(c.received.find("row 2"), std::string::npos) << "closed without a response: " << node->status();
+    EXPECT_NE(client.received.find("row 2"), std::string::npos)
+        << "closed without a response: " << node->status();
     expect_no_violations();
 }
 
--- a/tests/node/config_test.cpp
+++ b/tests/node/config_test.cpp
@@ -23,24 +23,24 @@
 }
 
 TEST(NodeConfig, MergesInitialEventsIntoOneList) {
-    const auto s = read_config(valid_config().dump());
-    ASSERT_TRUE(s) << s.error();
-    EXPECT_EQ(s->seed, 0x8c1f30d27a5be964u);
-    EXPECT_EQ(s->known_serial, 3u);
-    ASSERT_EQ(s->known_endpoints.size(), 1u);
-    EXPECT_EQ(s->known_endpoints[0].name, "s-1");
-    EXPECT_EQ(s->known_endpoints[0].state, EndpointState::draining);
-    EXPECT_EQ(s->dns.text(), "127.2.0.1:1053");
-    EXPECT_EQ(s->idle_timeout, 30 * kSecondMicros);
-    EXPECT_EQ(s->policy.classes.size(), 1u);
+    const auto settings = read_config(valid_config().dump());
+    ASSERT_TRUE(settings) << settings.error();
+    EXPECT_EQ(settings->seed, 0x8c1f30d27a5be964u);
+    EXPECT_EQ(settings->known_serial, 3u);
+    ASSERT_EQ(settings->known_endpoints.size(), 1u);
+    EXPECT_EQ(settings->known_endpoints[0].name, "s-1");
+    EXPECT_EQ(settings->known_endpoints[0].state, EndpointState::draining);
+    EXPECT_EQ(settings->dns.text(), "127.2.0.1:1053");
+    EXPECT_EQ(settings->idle_timeout, 30 * kSecondMicros);
+    EXPECT_EQ(settings->policy.classes.size(), 1u);
 }
 
 TEST(NodeConfig, ErrorsNameTheInvalidMember) {
     const auto error = [](const char* pointer, const nlohmann::json& value) {
         auto json = valid_config();
         json[nlohmann::json::json_pointer(pointer)] = value;
-        const auto s = read_config(json.dump());
-        return s ? std::string("fine") : s.error();
+        const auto settings = read_config(json.dump());
+        return settings ? std::string("fine") : settings.error();
     };
     const std::pair<const char*, nlohmann::json> wrong[] = {
         {"/listen", "nowhere"},
@@ -59,9 +59,9 @@
         EXPECT_NE(error(pointer, value).find(name), std::string::npos)
             << pointer << ": " << error(pointer, value);
     }
-    auto lacking = valid_config();
-    lacking.erase("dns");
-    EXPECT_NE(read_config(lacking.dump()).error().find("dns is missing"), std::string::npos);
+    auto incomplete = valid_config();
+    incomplete.erase("dns");
+    EXPECT_NE(read_config(incomplete.dump()).error().find("dns is missing"), std::string::npos);
     EXPECT_FALSE(read_config("{"));
     EXPECT_FALSE(load_config("/nowhere/config.json"));
 }
--- a/tests/node/crossing_rig.hpp
+++ b/tests/node/crossing_rig.hpp
@@ -14,14 +14,14 @@
     }
 
     // Returns the bytes of a client's request.
-    std::string encode_call(const lab::PlatformClient::Ask& a, std::int32_t seq) const {
-        thrift::Fields f{{"route", a.cls},
-                         {"trace", a.trace},
-                         {"customer", a.tenant},
-                         {"patience", std::to_string(a.patience / kMillisecond)}};
-        if (!a.nonce.empty())
-            f["nonce"] = a.nonce;
-        return thrift::process_call(seq, f, a.sql);
+    std::string encode_call(const lab::PlatformClient::Ask& request, std::int32_t seq) const {
+        thrift::Fields f{{"route", request.cls},
+                         {"trace", request.trace},
+                         {"customer", request.tenant},
+                         {"patience", std::to_string(request.patience / kMillisecond)}};
+        if (!request.nonce.empty())
+            f["nonce"] = request.nonce;
+        return thrift::process_call(seq, f, request.sql);
     }
     // Lets the node's connection to a held engine be established, and returns the first bytes received on it,
     // at least `min_bytes`.
@@ -59,15 +59,15 @@
         ASSERT_TRUE(run_until([&] {
             return drained;
         }));
-        for (const auto* c : busy_clients) {
-            EXPECT_EQ(c->open(), 0u);
-            EXPECT_TRUE(c->got().contains(1)) << "ended without a response";
+        for (const auto* client : busy_clients) {
+            EXPECT_EQ(client->open(), 0u);
+            EXPECT_TRUE(client->got().contains(1)) << "ended without a response";
         }
         expect_no_violations();
     }
     // Sends a request that waits for its connection to the only engine, which is held.
-    void send_waiting_request(lab::PlatformClient& c, const lab::PlatformClient::Ask& a) {
-        c.ask(a);
+    void send_waiting_request(lab::PlatformClient& client, const lab::PlatformClient::Ask& request) {
+        client.ask(request);
         ASSERT_TRUE(run_until([&] {
             return node->status().find("s-held:1/1/1") != std::string::npos;
         })) << node->status();
--- a/tests/node/discovery_test.cpp
+++ b/tests/node/discovery_test.cpp
@@ -114,9 +114,9 @@
     add_engine("s-1");
     start();
     advance_time(30 * kSecondMicros);
-    const auto asked = name_service.questions();
+    const auto polls_before = name_service.questions();
     advance_time(30 * kSecondMicros);
-    EXPECT_NEAR(static_cast<double>(name_service.questions() - asked), 120, 20);
+    EXPECT_NEAR(static_cast<double>(name_service.questions() - polls_before), 120, 20);
 }
 
 // ---- Long lists: the cost of each response, in bytes at the service and in processor time of the node
--- a/tests/node/endpoint_registry_test.cpp
+++ b/tests/node/endpoint_registry_test.cpp
@@ -7,26 +7,26 @@
 namespace {
 
 TEST_F(EventOrderTest, RetriesAttemptsAtTheNewAddressWhenAnEngineMoves) {
-    auto& e = add_engine("s-1");
+    auto& engine = add_engine("s-1");
     start();
-    auto& c = add_client();
-    c.ask(make_request("lookup", 3'500));
+    auto& client = add_client();
+    client.ask(make_request("lookup", 3'500));
     ASSERT_TRUE(run_until([&] {
-        return e.open() == 1;
+        return engine.open() == 1;
     }));
-    const Micros since = loop.now();
+    const Micros started_at = loop.now();
     lab::PlatformEngineSettings other;
     other.name = "s-1", other.at_once = 8;
     lab::PlatformEngine moved(loop, other, records);
-    const auto place = moved.listen("n0", listen_address(""));
-    publish_endpoint("s-1", *place);
+    const auto new_address = moved.listen("n0", listen_address(""));
+    publish_endpoint("s-1", *new_address);
     ASSERT_TRUE(run_until([&] {
         return moved.open() == 1;
     }));
-    EXPECT_LT(loop.now() - since, 3 * kSecondMicros);  // not when its own time was up
-    c.give_up(1);
+    EXPECT_LT(loop.now() - started_at, 3 * kSecondMicros);  // not when its own time was up
+    client.give_up(1);
     ASSERT_TRUE(run_until([&] {
-        return moved.open() == 0 && e.open() == 0;
+        return moved.open() == 0 && engine.open() == 0;
     }));
     expect_no_violations();
 }
--- a/tests/node/engine_connections_test.cpp
+++ b/tests/node/engine_connections_test.cpp
@@ -160,9 +160,9 @@
 TEST_F(NonReadingEngine, RewritesWaitingRequestsWhenTheyAreSent) {
     for (const auto& e : events)
         e->body = std::string(40'000, 'y');
-    const Micros since = loop.now();
+    const Micros started_at = loop.now();
     ASSERT_TRUE(await(loop, [&] {
-        return loop.now() - since > 50 * kMillisecond;
+        return loop.now() - started_at > 50 * kMillisecond;
     }));
     ASSERT_TRUE(await(loop, [&] {
         peer->read();
@@ -174,7 +174,7 @@
         // and the last request is never sent.
         EXPECT_EQ(events.back()->detail, "a request was partly sent for too long");
         EXPECT_EQ(events.back()->status, Status::not_sent);
-        EXPECT_GT(loop.now() - since, 120 * kMillisecond);
+        EXPECT_GT(loop.now() - started_at, 120 * kMillisecond);
         EXPECT_EQ(peer->received.find("id-299."), std::string::npos);
         return;
     }
--- a/tests/node/graceful_shutdown_test.cpp
+++ b/tests/node/graceful_shutdown_test.cpp
@@ -10,11 +10,11 @@
     settings.memory_mb = 256;
     add_engine("s-1");
     start();
-    RawSocket c;
-    c.shrink_receive_buffer();
-    c.connect(settings.listen);
+    RawSocket client;
+    client.shrink_receive_buffer();
+    client.connect(settings.listen);
     ASSERT_TRUE(run_until([&] {
-        return c.connected();
+        return client.connected();
     }));
     std::string all;
     for (int i = 1; i <= 32; ++i)
@@ -23,38 +23,38 @@
     ASSERT_TRUE(run_until([&] {
         if (sent < all.size()) {
             const auto piece = std::string_view(all).substr(sent, 1000);
-            c.send(piece), sent += piece.size();
+            client.send(piece), sent += piece.size();
         }
         return node->status().find("served=32") != std::string::npos;
     })) << node->status();
     bool drained = false;
-    const Micros since = loop.now();
+    const Micros drain_began_at = loop.now();
     node->drain([&] {
         drained = true;
     });
-    const auto times = decide::derive_shutdown_schedule(settings.policy);
+    const auto schedule = decide::derive_shutdown_schedule(settings.policy);
     ASSERT_TRUE(run_until([&] {
-        return loop.now() - since > times.listen_until + 100 * kMillisecond;
+        return loop.now() - drain_began_at > schedule.listen_until + 100 * kMillisecond;
     }));
     EXPECT_FALSE(drained) << "drained with responses unsent";
     ASSERT_TRUE(run_until([&] {
-        return !c.read();
+        return !client.read();
     }));
-    EXPECT_FALSE(c.reset);
+    EXPECT_FALSE(client.reset);
     std::size_t answers = 0;
-    for (std::size_t at = c.received.find("row 699\n"); at != std::string::npos;
-         at = c.received.find("row 699\n", at + 1))
+    for (std::size_t at = client.received.find("row 699\n"); at != std::string::npos;
+         at = client.received.find("row 699\n", at + 1))
         ++answers;
     EXPECT_EQ(answers, 32u);
-    c.close();
+    client.close();
     ASSERT_TRUE(run_until([&] {
         return drained;
     }));
-    EXPECT_LT(loop.now() - since, times.exit_at);
+    EXPECT_LT(loop.now() - drain_began_at, schedule.exit_at);
 }
 
 TEST_F(EventOrderTest, DoesNotServeRequestThatCrossesTheCloseOfAnIdleConnection) {
-    auto& e = add_engine("s-1");
+    auto& engine = add_engine("s-1");
     start();
     RawSocket idle;
     idle.connect(settings.listen);
@@ -79,11 +79,11 @@
     ASSERT_TRUE(run_until([&] {
         return drained;
     }));
-    for (const auto& r : records.engines)
-        EXPECT_NE(r.entry.trace, crossing.trace);
+    for (const auto& record : records.engines)
+        EXPECT_NE(record.entry.trace, crossing.trace);
     idle.read();
     EXPECT_EQ(idle.received, before);
-    EXPECT_EQ(e.open(), 0u);
+    EXPECT_EQ(engine.open(), 0u);
 }
 
 // A restart begins while accepting is paused, as the table is full of clients with open requests.
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -9,45 +9,46 @@
 bool received_command(const lab::PlatformEngine& e, const std::string& command) {
     return std::find(e.commands.begin(), e.commands.end(), command) != e.commands.end();
 }
-std::size_t count_with(const lab::Records& r, const std::string& event) {
-    return static_cast<std::size_t>(std::count_if(r.engines.begin(), r.engines.end(), [&](const auto& e) {
-        return e.entry.event == event;
-    }));
+std::size_t count_with(const lab::Records& record, const std::string& event) {
+    return static_cast<std::size_t>(
+        std::count_if(record.engines.begin(), record.engines.end(), [&](const auto& e) {
+            return e.entry.event == event;
+        }));
 }
 
 TEST_F(VirtualNodeTest, ServesCompleteResultsPageByPage) {
     add_engine("s-1"), add_engine("s-2");
     start();
-    auto& c = add_client();
+    auto& client = add_client();
     std::map<std::int32_t, std::size_t> rows;
     for (const std::size_t n : {0u, 1u, 60u, 900u})
-        rows[c.ask(make_request("lookup", 5, n))] = n;
+        rows[client.ask(make_request("lookup", 5, n))] = n;
     ASSERT_TRUE(run_until([&] {
-        return c.open() == 0;
+        return client.open() == 0;
     }));
     for (const auto& [seq, n] : rows)
-        EXPECT_EQ(c.got().at(seq).how, "served") << n << " rows";
+        EXPECT_EQ(client.got().at(seq).how, "served") << n << " rows";
     expect_no_violations();
 }
 
 TEST_F(VirtualNodeTest, CancellationStopsTheEngineAndSendsNoResponse) {
     auto& e = add_engine("s-1");
     start();
-    auto& c = add_client();
-    const auto a = make_request("lookup", 3000);
-    const auto seq = c.ask(a);
+    auto& client = add_client();
+    const auto request = make_request("lookup", 3000);
+    const auto seq = client.ask(request);
     ASSERT_TRUE(run_until([&] {
         return e.open() == 1;
     }));
-    c.give_up(seq);
+    client.give_up(seq);
     ASSERT_TRUE(run_until([&] {
         return e.open() == 0;
     }));
     ASSERT_TRUE(run_until([&] {
         return node->active_requests() == 0;
     }));
-    EXPECT_TRUE(received_command(e, "undo " + a.trace));
-    EXPECT_FALSE(c.got().contains(seq));
+    EXPECT_TRUE(received_command(e, "undo " + request.trace));
+    EXPECT_FALSE(client.got().contains(seq));
     expect_no_violations();
 }
 
@@ -57,16 +58,16 @@
     auto& e = add_engine("s-1");
     e.set({.fault = 1});
     start();
-    auto& c = add_client();
-    const auto seq = c.ask(make_request());
+    auto& client = add_client();
+    const auto seq = client.ask(make_request());
     ASSERT_TRUE(run_until([&] {
         return count_with(records, "fault") >= 2;
     }));
     e.set({});
     ASSERT_TRUE(run_until([&] {
-        return c.open() == 0;
+        return client.open() == 0;
     }));
-    EXPECT_EQ(c.got().at(seq).how, "served");
+    EXPECT_EQ(client.got().at(seq).how, "served");
     EXPECT_GE(count_with(records, "arrived"), 3u);
     expect_no_violations();
 }
@@ -75,20 +76,21 @@
     auto& one = add_engine("s-1");
     auto& two = add_engine("s-2");
     start();
-    auto& c = add_client();
+    auto& client = add_client();
     for (auto* e : {&one, &two})
         e->set({.spoilt = 0.3, .doubled = 0.3});
-    std::vector<std::int32_t> asked;
+    std::vector<std::int32_t> sequences;
     for (int i = 0; i < 200; ++i) {
-        asked.push_back(c.ask(make_request(i % 5 == 0 ? "load" : "lookup", 10, static_cast<std::size_t>(i))));
+        sequences.push_back(
+            client.ask(make_request(i % 5 == 0 ? "load" : "lookup", 10, static_cast<std::size_t>(i))));
         advance_time(40 * kMillisecond);
     }
     ASSERT_TRUE(run_until([&] {
-        return c.open() == 0;
+        return client.open() == 0;
     }));
     int served = 0;
-    for (const auto seq : asked)
-        served += c.got().contains(seq) && c.got().at(seq).how == "served";
+    for (const auto seq : sequences)
+        served += client.got().contains(seq) && client.got().at(seq).how == "served";
     EXPECT_GT(served, 150);
     expect_no_violations();
 }
@@ -99,13 +101,13 @@
         add_engine("s-" + std::to_string(i))
             .set({.shed = 0.2, .fault = 0.2, .spoilt = 0.1, .reset = 0.2, .silent = 0.1});
     start();
-    auto& c = add_client();
+    auto& client = add_client();
     for (int i = 0; i < 150; ++i) {
-        c.ask(make_request("load", 10));
+        client.ask(make_request("load", 10));
         advance_time(100 * kMillisecond);
     }
     ASSERT_TRUE(run_until([&] {
-        return c.open() == 0;
+        return client.open() == 0;
     }));
     EXPECT_GT(count_with(records, "shed"), 10u);
     expect_no_violations();
@@ -116,11 +118,11 @@
     auto& other = add_engine("s-2", "127.1.0.2:5050");
     (void)other;
     start();
-    auto& c = add_client();
-    int asked = 0;
+    auto& client = add_client();
+    int sent = 0;
     const auto load = [&](Micros duration) {
-        for (const Micros end = loop.now() + duration; loop.now() < end; ++asked) {
-            c.ask(make_request("lookup", 10));
+        for (const Micros end = loop.now() + duration; loop.now() < end; ++sent) {
+            client.ask(make_request("lookup", 10));
             advance_time(50 * kMillisecond);
         }
     };
@@ -134,13 +136,13 @@
     load(3 * kSecondMicros);
     EXPECT_GT(
         std::count_if(records.engines.begin() + static_cast<std::ptrdiff_t>(before), records.engines.end(),
-                      [](const auto& r) {
-                          return r.engine == "s-3" && r.entry.event == "hit";
+                      [](const auto& record) {
+                          return record.engine == "s-3" && record.entry.event == "hit";
                       }),
         3);
     (void)fresh;
     ASSERT_TRUE(run_until([&] {
-        return c.open() == 0;
+        return client.open() == 0;
     }));
     const auto report = check_rules();
     EXPECT_GT(report.drains, 0u);
@@ -151,18 +153,18 @@
     add_engine("s-1"), add_engine("s-2");
     start();
     name_service.set({.lost = 0.3, .failure = 0.1, .cut = 0.1, .foreign = 0.1, .old = 0.1});
-    auto& c = add_client();
+    auto& client = add_client();
     for (int i = 0; i < 100; ++i) {
         if (i == 20 || i == 60)
             name_service.put({"s-1", "z", "std", {{"n0", *net::Address::parse("127.1.0.1:5050")}}, i == 20});
-        c.ask(make_request());
+        client.ask(make_request());
         advance_time(100 * kMillisecond);
         if (i == 35) {
             EXPECT_NE(node->status().find("list=3"), std::string::npos) << node->status();
         }
     }
     ASSERT_TRUE(run_until([&] {
-        return c.open() == 0;
+        return client.open() == 0;
     }));
     EXPECT_NE(node->status().find("list=4"), std::string::npos) << node->status();
     expect_no_violations();
@@ -239,12 +241,12 @@
                                               frame(valid_fields, "SELECT 1", 3).substr(0, 60),
                                               ""};
     for (const auto& bytes : invalid_messages) {
-        auto& c = add_client();
+        auto& client = add_client();
         if (!bytes.empty())
-            c.raw(bytes);
+            client.raw(bytes);
         EXPECT_TRUE(run_until(
             [&] {
-                return c.ended() || c.exceptions() > 0;
+                return client.ended() || client.exceptions() > 0;
             },
             3 * kSecondMicros))
             << bytes.substr(0, 60);
@@ -296,26 +298,27 @@
     const std::vector<std::string> malformed{std::string(100, '\xff'), std::string("\0\0\0\x04\0\0\0\0", 8),
                                              thrift::process_call(0, {}, "SELECT 1")};
     for (const auto& bytes : malformed) {
-        auto& c = add_client();
-        const auto first = c.ask(make_request("lookup", 300)), second = c.ask(make_request("load", 600));
+        auto& client = add_client();
+        const auto first = client.ask(make_request("lookup", 300)),
+                   second = client.ask(make_request("load", 600));
         ASSERT_TRUE(run_until([&] {
             return engines[0]->open() == 2;
         }));
-        c.raw(bytes);
+        client.raw(bytes);
         ASSERT_TRUE(run_until(
             [&] {
-                return c.exceptions() == 1;
+                return client.exceptions() == 1;
             },
             kSecondMicros))
             << bytes.substr(0, 20);
         EXPECT_TRUE(run_until(
             [&] {
-                return c.ended();
+                return client.ended();
             },
             5 * kSecondMicros));
-        ASSERT_TRUE(c.got().contains(first) && c.got().contains(second)) << bytes.substr(0, 20);
-        EXPECT_EQ(c.got().at(first).how, "served");
-        EXPECT_EQ(c.got().at(second).how, "served");
+        ASSERT_TRUE(client.got().contains(first) && client.got().contains(second)) << bytes.substr(0, 20);
+        EXPECT_EQ(client.got().at(first).how, "served");
+        EXPECT_EQ(client.got().at(second).how, "served");
     }
     expect_no_violations();
 }
@@ -325,21 +328,22 @@
 TEST_F(VirtualNodeTest, ReusedSequenceNumberGetsOneResponse) {
     add_engine("s-1");
     start();
-    auto& c = add_client();
-    const auto other = c.ask(make_request("lookup", 300)), reused = c.ask(make_request("lookup", 300));
+    auto& client = add_client();
+    const auto other = client.ask(make_request("lookup", 300)),
+               reused = client.ask(make_request("lookup", 300));
     ASSERT_TRUE(run_until([&] {
         return engines[0]->open() == 2;
     }));
-    c.raw(thrift::process_call(reused, {}, "SELECT 1"));
+    client.raw(thrift::process_call(reused, {}, "SELECT 1"));
     EXPECT_TRUE(run_until(
         [&] {
-            return c.ended();
+            return client.ended();
         },
         5 * kSecondMicros));
-    EXPECT_EQ(c.exceptions(), 1u);
-    EXPECT_EQ(c.got().at(reused).how, "failed");
-    ASSERT_TRUE(c.got().contains(other));
-    EXPECT_EQ(c.got().at(other).how, "served");
+    EXPECT_EQ(client.exceptions(), 1u);
+    EXPECT_EQ(client.got().at(reused).how, "failed");
+    ASSERT_TRUE(client.got().contains(other));
+    EXPECT_EQ(client.got().at(other).how, "served");
     EXPECT_EQ(engines[0]->open(), 0u);
 }
 
@@ -352,15 +356,15 @@
     for (int i = 0; i < 1500; ++i) {
         if (i % 300 == 299)
             advance_time(60 * kMillisecond);
-        auto& c = add_client();
+        auto& client = add_client();
         if (i % 60 != 30)
             continue;
-        regular.push_back(&c);
-        c.ask(make_request());
+        regular.push_back(&client);
+        client.ask(make_request());
     }
     ASSERT_TRUE(run_until([&] {
-        return std::all_of(regular.begin(), regular.end(), [](const auto* c) {
-            return c->open() == 0;
+        return std::all_of(regular.begin(), regular.end(), [](const auto* client) {
+            return client->open() == 0;
         });
     }));
     // Each pause of accepting admits one connection over the limit. The table grew by one per pause when a
@@ -368,8 +372,8 @@
     const auto at = node->status().find("clients=") + 8;
     EXPECT_LE(std::stoul(node->status().substr(at)), decide::derive_limits(256, 32).client_connections + 1)
         << node->status();
-    for (const auto* c : regular)
-        EXPECT_TRUE(c->got().contains(1) && c->got().at(1).how == "served");
+    for (const auto* client : regular)
+        EXPECT_TRUE(client->got().contains(1) && client->got().at(1).how == "served");
     expect_no_violations();
 }
 
@@ -384,11 +388,12 @@
                   .doubled = 0.1,
                   .lost_page = 0.05});
     start();
-    auto& c = add_client();
+    auto& client = add_client();
     for (int round = 0; round < 10; ++round) {
         for (int i = 0; i < 30; ++i) {
-            if (c.open() < 30)  // the protocol allows 32 open requests
-                c.ask(make_request(i % 6 == 0 ? "load" : "lookup", 30, static_cast<std::size_t>(i * 10)));
+            if (client.open() < 30)  // the protocol allows 32 open requests
+                client.ask(
+                    make_request(i % 6 == 0 ? "load" : "lookup", 30, static_cast<std::size_t>(i * 10)));
             advance_time(30 * kMillisecond);
         }
         // Under load the policy's count must equal the connections' count; at rest both must be 0.
@@ -396,7 +401,7 @@
             EXPECT_EQ(module, sockets);
     }
     ASSERT_TRUE(run_until([&] {
-        return c.open() == 0 && node->active_requests() == 0;
+        return client.open() == 0 && node->active_requests() == 0;
     }));
     for (const auto& [module, sockets] : node->in_flight_by_engine())
         EXPECT_EQ(std::pair(module, sockets), std::pair(std::size_t{0}, std::size_t{0}));
@@ -411,8 +416,8 @@
 TEST_F(VirtualNodeTest, PlannedRestartServesNewClientsAndRespondsToAllAccepted) {
     add_engine("s-1"), add_engine("s-2");
     start();
-    auto& c = add_client();
-    const auto quick = c.ask(make_request("lookup", 50)), slow = c.ask(make_request("load", 8'000));
+    auto& client = add_client();
+    const auto quick = client.ask(make_request("lookup", 50)), slow = client.ask(make_request("load", 8'000));
     advance_time(10 * kMillisecond);
     bool drained = false;
     node->drain([&] {
@@ -431,10 +436,10 @@
             return drained;
         },
         3'600 * kMillisecond));
-    EXPECT_EQ(c.got().at(quick).how, "served");
+    EXPECT_EQ(client.got().at(quick).how, "served");
     EXPECT_EQ(late.got().at(late_sequence).how, "served");
     EXPECT_EQ(last.got().at(refused).how, "refused");
-    EXPECT_EQ(c.got().at(slow).how,
+    EXPECT_EQ(client.got().at(slow).how,
               "refused");  // every engine recognizes its key, so its client may retry
     expect_no_violations();
 }
@@ -443,8 +448,8 @@
     settings.policy.classes[1].idempotency = Idempotency::non_idempotent;
     auto& e = add_engine("s-1");
     start();
-    auto& c = add_client();
-    const auto out = c.ask(make_request("load", 8'000));
+    auto& client = add_client();
+    const auto sequence = client.ask(make_request("load", 8'000));
     ASSERT_TRUE(run_until([&] {
         return e.open() == 1;
     }));
@@ -457,7 +462,7 @@
             return drained;
         },
         4 * kSecondMicros));
-    EXPECT_EQ(c.got().at(out).how, "failed");
+    EXPECT_EQ(client.got().at(sequence).how, "failed");
     expect_no_violations();
 }
 
--- a/tests/node/rig.hpp
+++ b/tests/node/rig.hpp
@@ -52,35 +52,36 @@
     // Starts an engine and lists it at the name service. `address` is used in virtual time only; empty: one
     // is assigned.
     lab::PlatformEngine& add_engine(const std::string& name, const std::string& address = "") {
-        lab::PlatformEngineSettings s;
-        s.name = name;
-        s.seed = ++seed;
-        auto e = std::make_unique<lab::PlatformEngine>(loop, s, records);
-        const auto place = e->listen(
+        lab::PlatformEngineSettings engine_settings;
+        engine_settings.name = name;
+        engine_settings.seed = ++seed;
+        auto engine = std::make_unique<lab::PlatformEngine>(loop, engine_settings, records);
+        const auto endpoint_address = engine->listen(
             "n0", listen_address(address.empty() ? "127.1.0." + std::to_string(engines.size() + 1) + ":5050"
                                                  : address));
-        EXPECT_TRUE(place) << place.error();
-        publish_endpoint(name, *place);
+        EXPECT_TRUE(endpoint_address) << endpoint_address.error();
+        publish_endpoint(name, *endpoint_address);
         lab::EngineFacts facts;
         facts.name = name;
         facts.address = name;
         facts.zone = "z";
         facts.kind = "std";
         records.facts.engines.push_back(facts);
-        engines.push_back(std::move(e));
+        engines.push_back(std::move(engine));
         return *engines.back();
     }
     // Adds or changes an endpoint at the name service; before start() also in the configured initial list.
-    void publish_endpoint(const std::string& name, const net::Address& place, bool draining = false) {
-        name_service.put({name, "z", "std", {{"n0", place}}, draining});
+    void publish_endpoint(const std::string& name, const net::Address& endpoint_address,
+                          bool draining = false) {
+        name_service.put({name, "z", "std", {{"n0", endpoint_address}}, draining});
         if (node)
             return;
-        decide::DiscoveredEndpoint e;
-        e.name = name;
-        e.address = place.text();
-        e.zone = "z";
-        e.kind = "std";
-        settings.known_endpoints.push_back(std::move(e));
+        decide::DiscoveredEndpoint endpoint;
+        endpoint.name = name;
+        endpoint.address = endpoint_address.text();
+        endpoint.zone = "z";
+        endpoint.kind = "std";
+        settings.known_endpoints.push_back(std::move(endpoint));
     }
     // Starts the name service and the node, and waits until the node responds to a client.
     void start() {
@@ -89,11 +90,11 @@
         settings.dns = *dns;
         settings.known_serial = name_service.number();
         node = std::make_unique<node::Node>(loop, settings,
-                                            node::NodeDeps{[this](const std::string& t) {
-                                                               log += t + "\n";
+                                            node::NodeDeps{[this](const std::string& line) {
+                                                               log += line + "\n";
                                                            },
-                                                           [this](const std::string& t) {
-                                                               log += t + "\n";
+                                                           [this](const std::string& line) {
+                                                               log += line + "\n";
                                                            }});
         const auto bound = node->start();
         ASSERT_TRUE(bound) << bound.error();
@@ -107,24 +108,24 @@
     }
     // Waits until the node responds to a probe.
     void wait_until_ready() {
-        auto& c = add_client();
-        c.probe();
+        auto& client = add_client();
+        client.probe();
         ASSERT_TRUE(run_until([&] {
-            return c.ready();
+            return client.ready();
         }));
     }
     // Returns a request with a new id, `work_ms` milliseconds of work and a result of `rows` rows.
     lab::PlatformClient::Ask make_request(const std::string& cls = "lookup", int work_ms = 20,
                                           std::size_t rows = 3) {
-        lab::PlatformClient::Ask a;
-        a.cls = cls, a.tenant = "acme", a.rows = rows;
-        a.trace = random.hex(16);
-        a.sql = "SELECT a, b, c FROM sales_3.t /* gt: work_ms=" + std::to_string(work_ms) +
-                " rows=" + std::to_string(rows) + " */ -- " + a.trace;
-        a.aim = kSecondMicros, a.patience = cls == "load" ? 9 * kSecondMicros : 4 * kSecondMicros;
+        lab::PlatformClient::Ask request;
+        request.cls = cls, request.tenant = "acme", request.rows = rows;
+        request.trace = random.hex(16);
+        request.sql = "SELECT a, b, c FROM sales_3.t /* gt: work_ms=" + std::to_string(work_ms) +
+                      " rows=" + std::to_string(rows) + " */ -- " + request.trace;
+        request.aim = kSecondMicros, request.patience = cls == "load" ? 9 * kSecondMicros : 4 * kSecondMicros;
         if (cls == "load")
-            a.nonce = random.hex(32);
-        return a;
+            request.nonce = random.hex(32);
+        return request;
     }
     // Runs the loop until the condition holds. Returns false if it does not in time.
     template <typename C>
@@ -155,10 +156,10 @@
     }
     void expect_no_violations() {
         const auto report = check_rules();
-        for (const auto& v : report.violations)
-            ADD_FAILURE() << "rule " << v.rule << ": " << v.what << "\n" << v.story;
-        for (const auto& e : engines)
-            EXPECT_TRUE(e->unusable().empty()) << e->unusable()[0];
+        for (const auto& violation : report.violations)
+            ADD_FAILURE() << "rule " << violation.rule << ": " << violation.what << "\n" << violation.story;
+        for (const auto& engine : engines)
+            EXPECT_TRUE(engine->unusable().empty()) << engine->unusable()[0];
     }
 
     // Two classes: `lookup` is idempotent, `load` may be retried with its key.
