--- a/src/policy/attempt_monitor.cpp
+++ b/src/policy/attempt_monitor.cpp
@@ -11,7 +11,8 @@
 RunningVerdict judge_attempt_at(const PolicyState& state, const EndpointStatus& endpoint,
                                 const ActiveRequest& request, const Attempt& attempt) {
     const double slowdown = std::max(endpoint.slowdown, state.fleet.usual_slowdown());
-    // At least the usual run of the class: a tiny estimate is mostly overhead.
+    // At least the usual run time of the class: the run time of a query with a tiny estimate is mostly
+    // overhead.
     const double run = std::max(attempt.expected_run(), state.statistics.of(request).work / attempt.threads);
     const RunningInput input{state.now,
                              state.settings.progress_period,
@@ -24,7 +25,8 @@
     return judge_running(input);
 }
 
-// An endpoint that takes queries and loses some of them costs these their attempts; it is not ejected for it.
+// Cancels lost and overdue attempts so that they can be retried. The endpoint is not ejected, since it still
+// accepts queries and answers other attempts.
 void cancel_unanswered(PolicyState& state, const EndpointStatus& endpoint) {
     for (const AttemptRef& ref : endpoint.open_attempts) {
         ActiveRequest& request = state.requests[ref.slot];
--- a/src/policy/attempt_monitor.hpp
+++ b/src/policy/attempt_monitor.hpp
@@ -1,6 +1,6 @@
-// Once a tick: looks after open attempts and the endpoints that run them. Cancels attempts whose answer is
-// lost or overdue and those of silent endpoints where the request may get another attempt, ejects silent
-// endpoints, and keeps the endpoints' windows and averages.
+// Checks open attempts and their endpoints on each timer tick. Ejects silent endpoints, and cancels attempts
+// whose response is lost or overdue or whose endpoint is silent, provided that the request may get another
+// attempt. Also advances the slow-start windows and slowdown averages of all endpoints.
 #pragma once
 
 #include "policy/policy_state.hpp"
--- a/src/policy/attempt_terms.cpp
+++ b/src/policy/attempt_terms.cpp
@@ -6,9 +6,9 @@
 namespace gatetiller::policy {
 namespace {
 
-constexpr double kGrantMargin = 1.25;        // grant over the expected need
-constexpr double kFreeGrantMargin = 3;       // where endpoints count the lesser of grant and need
-constexpr double kSuspectedTimeoutRuns = 6;  // usual runs
+constexpr double kGrantMargin = 1.25;        // ratio of the grant to the expected need
+constexpr double kFreeGrantMargin = 3;       // where endpoints count only the lesser of grant and need
+constexpr double kSuspectedTimeoutRuns = 6;  // usual run times
 
 constexpr int kLowestPriority = 0;
 constexpr int kBestEffortPriority = 1;
--- a/src/policy/attempt_terms.hpp
+++ b/src/policy/attempt_terms.hpp
@@ -1,5 +1,4 @@
-// What an attempt is dispatched with: memory, priority and timeout. Times are microseconds, memory is
-// megabytes.
+// Memory, priority and timeout of an attempt at its dispatch. Times are in microseconds, memory in megabytes.
 #pragma once
 
 #include "base/time.hpp"
@@ -9,11 +8,11 @@
 
 namespace gatetiller::policy {
 
-// The memory to grant for an expected need, or 0 where the endpoint chooses.
+// Returns the memory to grant for an expected need, or 0 if the endpoint chooses.
 double memory_grant_mb(const PolicySettings& settings, double endpoint_memory_mb, double expected_mb);
 
-// The priority at the endpoint: 0 for a request over its quota or past its objective, 3 for the class with
-// the most value for its work, 2 for other sensitive classes, 1 for the rest.
+// Returns the priority at the endpoint: 0 for a request over its quota or past its objective, 3 for the class
+// with the highest value per work, 2 for other sensitive classes, 1 for the rest.
 int endpoint_priority(const PolicySettings& settings, const WorkloadStatistics& statistics,
                       const ActiveRequest& request, Micros now);
 
@@ -21,12 +20,12 @@
     const PolicySettings& settings;
     const ActiveRequest& request;
     bool endpoint_suspected = false;  // by its error rate
-    double usual_run = 0;             // run time of the request at the fleet's present speed
+    double usual_run = 0;             // run time of the request at the current speed of the fleet
     Micros now = 0;
 };
 
-// The timeout of the next attempt: until the deadline. An attempt at a suspected endpoint ends early where it
-// could not be cancelled later.
+// Returns the timeout of the next attempt, which is the time until the deadline. At a suspected endpoint the
+// timeout is shorter if the attempt could not be cancelled later and the request may get another attempt.
 Micros attempt_timeout(const TimeoutInput& input);
 
 }  // namespace gatetiller::policy
--- a/src/policy/concurrency_limit.cpp
+++ b/src/policy/concurrency_limit.cpp
@@ -7,17 +7,17 @@
 namespace gatetiller::policy {
 namespace {
 
-constexpr double kLeastThreadsLimit = 2;         // of this gateway's part of an endpoint
-constexpr double kOverloadThreadsPerCore = 2.5;  // reported; past it nothing more is sent
+constexpr double kLeastThreadsLimit = 2;         // minimum of this gateway's share of an endpoint
+constexpr double kOverloadThreadsPerCore = 2.5;  // reported; no dispatch above it
 constexpr double kUsableMemoryShare = 0.95;
-constexpr double kCountedMemoryShare = 0.75;  // of what other gateways' queries usually need
-constexpr double kCrawlSlowdown = 4;          // of running attempts, at which reports of room aren't trusted
-constexpr double kCalmContention = 1.3;       // below: the part grows
-constexpr double kHighContention = 1.7;       // above: it shrinks
-constexpr double kFewLate = 0.1;              // share of late attempts below which the part grows
-constexpr double kManyLate = 0.3;             // and above which it shrinks
-constexpr double kPartGrowth = 1.25;          // a second
-constexpr double kPartDecrease = 0.7;         // a second
+constexpr double kCountedMemoryShare = 0.75;  // share of the usual need of other gateways' queries
+constexpr double kCrawlSlowdown = 4;     // of running attempts, at which reports of free capacity are ignored
+constexpr double kCalmContention = 1.3;  // the share grows below it
+constexpr double kHighContention = 1.7;  // the share shrinks above it
+constexpr double kFewLate = 0.1;         // share of late attempts below which this gateway's share grows
+constexpr double kManyLate = 0.3;        // share of late attempts above which this gateway's share shrinks
+constexpr double kPartGrowth = 1.25;     // per second
+constexpr double kPartDecrease = 0.7;    // per second
 
 }  // namespace
 
@@ -40,11 +40,12 @@
     const Micros now = input.now;
     if (endpoint.health.pauses(input.class_index, now))
         return RoomVerdict::paused;
-    // Work that no gateway counts any more runs on there, left by timeouts or by a gateway that is gone.
+    // The endpoint may still run work that no gateway counts, left by attempts that timed out or by a gateway
+    // that stopped.
     const double queries = fleet.queries_at(endpoint, usual, now);
     if (queries * usual.threads > kOverloadThreadsPerCore * endpoint.cores)
         return RoomVerdict::overloaded;
-    // Without recent reports the others' queries are a guess, which must not fill memory.
+    // Without recent reports the number of other queries is a guess, which must not count against memory.
     const double others = fleet.other_queries(endpoint, queries);
     const double used_mb =
         endpoint.expected_mb +
@@ -56,10 +57,10 @@
     if (!Fleet::under_pressure(endpoint, now) &&
         threads + others * usual.threads <= kSaturationThreadsPerCore * endpoint.cores)
         return RoomVerdict::room;
-    // Where gateways outnumber threads, the part of one endpoint is under one query: the limit holds over the
-    // fleet too. Sensitive queries are exempt from that limit while reports show the fleet below its
-    // saturation point; best-effort ones wait while it is above its limit. An overloaded endpoint sends no
-    // reports, so very slow progress of running attempts also counts as no room.
+    // With more gateways than threads, the share of one endpoint is less than one query, so the limit also
+    // applies to the fleet. Sensitive queries are exempt from that limit while reports show the fleet below
+    // its saturation point; best-effort queries wait while the fleet is above its limit. An overloaded
+    // endpoint sends no reports, so very slow progress of running attempts also means no free capacity.
     const double part = kThreadsPerCoreLimit / input.settings.instance_count * part_factor_;
     const double fleet_threads_per_core = fleet.threads_per_core(now);
     if (!input.sensitive && fleet_threads_per_core > kThreadsPerCoreLimit)
--- a/src/policy/concurrency_limit.hpp
+++ b/src/policy/concurrency_limit.hpp
@@ -1,9 +1,9 @@
-// Limits what endpoints run at once: threads a core, memory, and this gateway's part of both.
+// Limits concurrent queries by threads per core, memory, and this gateway's share of the limit.
 //
-// An endpoint with other gateways' work below its saturation point takes any query. Past it, this gateway
-// keeps to its part of two threads a core, over each endpoint and over the fleet. Where no endpoint reports
-// its load, the part grows while it binds and endpoints are calm, and shrinks while run times tell of
-// contention. Times are microseconds, memory is megabytes.
+// A query is admitted while all gateways' threads at the endpoint stay below its saturation point. Above it,
+// this gateway keeps to its share of two threads per core, at each endpoint and over the fleet. If no
+// endpoint reports its load, the share grows while it limits dispatch and run times show no contention, and
+// shrinks when they do. Times are in microseconds, memory in megabytes.
 #pragma once
 
 #include <array>
@@ -16,18 +16,18 @@
 
 namespace gatetiller::policy {
 
-// The concurrency limit of an endpoint, over all gateways.
+// Concurrency limit of an endpoint for all gateways together.
 constexpr double kThreadsPerCoreLimit = 2;
 
-// Whether an endpoint has room for one more query, and if not, what lacks.
+// Whether an endpoint has capacity for one more query, and if not, the reason.
 enum class RoomVerdict {
     room,
-    paused,      // it rejected such a query a moment ago
-    overloaded,  // far past its limit, by work that no gateway counts
+    paused,      // rejected such a query recently
+    overloaded,  // far above its limit, by work that no gateway counts
     memory_full,
-    fleet_busy,         // a best-effort query waits until the fleet is below its limit
-    fleet_part_used,    // this gateway's part of the fleet
-    endpoint_part_used  // this gateway's part of the endpoint
+    fleet_busy,         // best-effort queries wait until the fleet is below its limit
+    fleet_part_used,    // this gateway's share of the fleet
+    endpoint_part_used  // this gateway's share of the endpoint
 };
 
 struct RoomInput {
@@ -43,27 +43,28 @@
 
 class ConcurrencyLimit {
 public:
-    // `add` counts an attempt in this gateway's part; `remove` takes it out and has no effect a second
-    // time.
+    // Counts an attempt against this gateway's share.
     void add(const Attempt& attempt);
+    // Stops counting an attempt. Has no effect if called again.
     void remove(Attempt& attempt);
 
-    // Judges an endpoint. Remembers until the next `adjust` that the fleet's part kept a query waiting.
+    // Returns whether an endpoint has capacity for a query. Also records, until the next `adjust`, that the
+    // share of the fleet was exhausted.
     RoomVerdict check(const RoomInput& input, const EndpointStatus& endpoint);
 
-    // Takes a run time over that of a calm endpoint.
+    // Records the ratio of a run time to that of an endpoint without contention.
     void observe_contention(double run_over_calm);
-    // Takes whether an attempt missed its objective by its own run time.
+    // Records whether an attempt exceeded its latency objective by its run time alone.
     void observe_late(bool late);
-    // Moves the part where nothing reports; once a second.
+    // Adjusts this gateway's share if no endpoint reports its load. To be called once per second.
     void adjust(const PolicySettings& settings);
 
 private:
     double threads_ = 0;
     std::array<int, 2> attempts_{};  // best-effort, sensitive
-    double part_factor_ = 1;         // the part, in even parts of the gateways; at least 1
-    double contention_ = 1;          // mean run time over that of a calm endpoint
-    double late_share_ = 0;          // of attempts
+    double part_factor_ = 1;         // share as a multiple of an even split between gateways; at least 1
+    double contention_ = 1;          // mean ratio of run times to those without contention
+    double late_share_ = 0;          // share of attempts that were late
     bool part_was_binding_ = false;  // since the last adjustment
 };
 
--- a/src/policy/endpoint_selection.cpp
+++ b/src/policy/endpoint_selection.cpp
@@ -13,11 +13,12 @@
 namespace gatetiller::policy {
 namespace {
 
-constexpr double kEnoughEstimates = 30;    // for the mean of a class's work
-constexpr double kEnoughAnswers = 3;       // for a class's work without estimates
-constexpr Micros kObjectivesObserved = 2;  // objectives, until answers tell of long queries too
-constexpr double kOtherZoneFactor = 1.5;   // weight of an endpoint in another zone, where crossing costs
-constexpr double kLeastWorkLeft = 0.1;     // share of an attempt's work that counts until it ends
+constexpr double kEnoughEstimates = 30;    // minimum for the mean of a class's work
+constexpr double kEnoughAnswers = 3;       // minimum for a class's work without estimates
+constexpr Micros kObjectivesObserved = 2;  // in latency objectives: time until responses include long queries
+constexpr double kOtherZoneFactor =
+    1.5;  // load factor of an endpoint in another zone, if crossing zones has a price
+constexpr double kLeastWorkLeft = 0.1;  // minimum share of an attempt's work that counts while it is open
 constexpr double kLeastCapacityCores = 0.1;
 
 bool allows(const std::optional<std::vector<std::string>>& allowed, const std::string& name) {
@@ -36,7 +37,7 @@
     return endpoint.slow_start.admits(query);
 }
 
-// Whether the rules let the request go there; room and health apart.
+// Returns whether the rules allow the request at the endpoint, regardless of capacity and health.
 bool permits(const SelectionInput& input, const ActiveRequest& request, const EndpointStatus& endpoint) {
     const ClassSettings& class_settings = input.settings.classes[request.class_index];
     const Endpoint& description = endpoint.description;
@@ -80,10 +81,11 @@
 
 }  // namespace
 
-// While its work is not known, a query may take as long as its objective: a gateway that has just started
-// must not overload an endpoint by a guess, by its first answers, which are those of the shortest queries, or
-// by the mean of a few estimates, which is mostly too low. Later it counts halfway between its own estimate
-// and the usual work: estimates err, and those that look short mostly towards too little.
+// Until the work of its class is known, a query is assumed to take as long as its objective. Otherwise a
+// gateway that has just started could overload an endpoint by a guess, by its first responses, which come
+// from the shortest queries, or by the mean of a few estimates, which is usually too low. With enough
+// estimates a query counts as the mean of its own estimate and the usual work, because short estimates are
+// mostly too low.
 double slow_start_work(const SlowStartWorkInput& input) {
     const ClassStatistics& statistics = input.statistics;
     const ClassSettings& class_settings = input.class_settings;
@@ -102,7 +104,8 @@
                     static_cast<double>(class_settings.latency_objective) * class_settings.threads);
 }
 
-// While a class is not known its first query goes by the guess: otherwise nothing would ever tell more.
+// The first query of an unknown class counts as the guess. Otherwise none might be admitted, and its work
+// would never become known.
 double first_slow_start_work(const SlowStartWorkInput& input) {
     if (input.statistics.estimates >= kEnoughEstimates)
         return slow_start_work(input);
@@ -119,7 +122,7 @@
         const Attempt& attempt = other.attempts[ref.attempt];
         const double left = attempt.work * std::max(kLeastWorkLeft, 1 - attempt.fraction_done);
         work += left;
-        // The request would stand still until that load ends, on all cores.
+        // The request would be blocked until that load ends, whatever the number of cores.
         if (waits_for_lock && other.table_group == request.table_group &&
             input.settings.classes[other.class_index].locks_table_group)
             work += left / attempt.threads * endpoint.cores;
--- a/src/policy/endpoint_selection.hpp
+++ b/src/policy/endpoint_selection.hpp
@@ -1,8 +1,8 @@
-// Which endpoint a request goes to: of those that may take it, the less loaded of two drawn at random.
+// Selects the endpoint of an attempt: the less loaded of two eligible endpoints chosen at random.
 //
-// An endpoint may take a request if it is ready, the class allows its kind and zone, a keyed request's repeat
-// is dropped there, slow start admits it, it is not an outlier, and the concurrency limit leaves room. Where
-// most endpoints are outliers the cause is likely shared, and none counts as one.
+// An endpoint is eligible if it is ready, the class allows its kind and zone, it drops the repeat of a keyed
+// request, slow start admits the request, it is not an outlier, and the concurrency limit leaves capacity. If
+// most endpoints are outliers the cause is probably shared, and none is treated as an outlier.
 #pragma once
 
 #include "base/time.hpp"
@@ -15,7 +15,7 @@
 
 namespace gatetiller::policy {
 
-// What a selection looks at; the limit and the random source are changed by it.
+// State that a selection reads. It changes only the limit and the random source.
 struct SelectionInput {
     const PolicySettings& settings;
     const RequestTable& requests;
@@ -28,13 +28,13 @@
 
 constexpr int kNoEndpoint = -1;
 
-// The index of the endpoint for the request's next attempt, or kNoEndpoint. Precondition: judge_attempt()
-// allows an attempt.
+// Returns the index of the endpoint for the request's next attempt, or kNoEndpoint. Precondition:
+// judge_attempt() allows an attempt.
 int select_endpoint(const SelectionInput& input, const ActiveRequest& request);
 
 // Work that a query counts for at an endpoint in slow start, in microseconds of one core.
-// first_slow_start_work is for the first query that this gateway sends there in the overload window,
-// slow_start_work for all later ones.
+// first_slow_start_work() applies to the first query that this gateway sends there within the overload
+// window, slow_start_work() to all later ones.
 struct SlowStartWorkInput {
     const ClassSettings& class_settings;
     const ClassStatistics& statistics;
@@ -44,7 +44,8 @@
 double slow_start_work(const SlowStartWorkInput& input);
 double first_slow_start_work(const SlowStartWorkInput& input);
 
-// Time that an endpoint would take for all work on it and the request's, in microseconds; larger is worse.
+// Returns the estimated time in which an endpoint completes its current work and the request's, in
+// microseconds.
 double load_estimate(const SelectionInput& input, const ActiveRequest& request,
                      const EndpointStatus& endpoint);
 
--- a/src/policy/events.hpp
+++ b/src/policy/events.hpp
@@ -1,5 +1,5 @@
-// Events that the gateway's policy takes: what happened at the clients, the endpoints and the endpoint list.
-// Plain data. Times are microseconds; a missing optional means that the source did not say.
+// Events that the gateway's policy handles, from clients, endpoints and the endpoint list. Plain data. Times
+// are in microseconds; an empty optional means that the source did not report the value.
 #pragma once
 
 #include <cstdint>
@@ -14,30 +14,30 @@
 
 using EngineId = std::uint32_t;
 
-// State of an endpoint in the list: takes requests, takes none but finishes its own, or is gone.
+// State of an endpoint in the list: accepts requests, only finishes the requests it has, or is removed.
 enum class EndpointState {
     ready,
     draining,
     removed
 };
 
-// One endpoint as the list describes it.
+// One entry of the endpoint list.
 struct Endpoint {
     EngineId id = 0;
     EndpointState state = EndpointState::ready;
     std::string zone;
     std::string kind;       // name of an EngineKindSettings
-    std::int64_t cell = 0;  // endpoints of one cell share what they know of request keys
-    Micros started_at = 0;  // start of its process; 0: long ago
+    std::int64_t cell = 0;  // endpoints of one cell share their idempotency keys
+    Micros started_at = 0;  // start time of its process; 0: long ago
     double share = 1;       // live weight from the list; not used
 };
 
-// An endpoint's own report of its load; any part may be missing.
+// Load that an endpoint reports; any field may be missing.
 struct LoadReport {
     std::optional<double> running_queries;
     std::optional<double> queue_depth;
     std::optional<double> busy_cores_share;
-    std::optional<double> mean_ms;  // of its queries' run times
+    std::optional<double> mean_ms;  // mean run time of its queries
     std::optional<double> tps;      // queries per second
     std::optional<double> err_ps;   // errors per second
     std::optional<double> granted_memory_share;
@@ -56,14 +56,14 @@
     not_sent
 };
 
-// Whether an attempt that ended so is proved not to have executed.
+// Returns whether the outcome proves that the attempt did not execute.
 constexpr bool proves_not_executed(AttemptOutcome outcome) {
     return outcome == AttemptOutcome::rejected || outcome == AttemptOutcome::connection_refused ||
            outcome == AttemptOutcome::not_sent;
 }
 
-// What an endpoint update holds: changed entries, the full list, the full list from a cache, or nothing
-// because its source is lost.
+// Content of an endpoint update: the changed entries, the full list, the full list from a cache, or nothing
+// because the connection to its source was lost.
 enum class EndpointUpdateKind {
     incremental,
     full,
@@ -82,15 +82,15 @@
     std::string id;
     std::string class_name;  // a request of an unknown class is ignored: no action follows
     std::string tenant;
-    std::string ordering_key;              // empty: no order to keep
-    Micros time_left = 0;                  // until the client gives up
-    std::optional<Micros> estimated_work;  // of all its threads, as time on one core
+    std::string ordering_key;              // empty: unordered
+    Micros time_left = 0;                  // until the client's deadline
+    std::optional<Micros> estimated_work;  // total of all threads, as time on one core
     double estimated_memory_mb = 0;
     std::int64_t table_group = 0;
-    bool client_retry = false;  // the client sent it before; not used
+    bool client_retry = false;  // repeats an earlier request of the client; not used
 };
 
-// The first part of the response went to the client: no further attempt may be made.
+// The first part of the response was sent to the client. No further attempt may be made.
 struct ResponseStarted {
     std::string id;
     int attempt = 0;
@@ -104,8 +104,8 @@
     AttemptOutcome outcome = AttemptOutcome::succeeded;
     Micros duration = 0;
     bool request_finished = false;  // the client has its final response
-    double work_ms = 0;             // core time used; 0: not reported
-    double needed_mb = 0;           // memory needed; 0: not reported
+    double work_ms = 0;             // core time used, in milliseconds; 0: not reported
+    double needed_mb = 0;           // memory needed, in megabytes; 0: not reported
     std::optional<LoadReport> load_report;
 };
 
@@ -115,8 +115,8 @@
     waiting = 3
 };
 
-// Progress of a running attempt. `value` by kind: fraction done in [0, 1]; memory missing in megabytes; what
-// it waits for (2: a load that locks its table group).
+// Progress of a running attempt. The meaning of `value` depends on the kind: fraction done in [0, 1]; missing
+// memory in megabytes; reason for waiting (2: a load that locks its table group).
 struct AttemptProgress {
     std::string id;
     int attempt = 0;
@@ -125,7 +125,7 @@
     double value = 0;
 };
 
-// A health check asked for by CheckHealth ended.
+// A health check requested by CheckHealth ended.
 struct HealthCheckCompleted {
     EngineId engine = 0;
     Micros duration = 0;
@@ -135,11 +135,11 @@
 
 // Bytes from another gateway.
 struct PeerMessage {
-    int from = 0;  // its instance index
+    int from = 0;  // instance index of the sender
     std::string bytes;
 };
 
-// The client of a request went away; nothing more is owed to it.
+// The client of a request disconnected. The request needs no response.
 struct ClientDisconnected {
     std::string id;
 };
--- a/src/policy/fair_queue.cpp
+++ b/src/policy/fair_queue.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr std::size_t kMaxRequestsTried =
-    8;  // of one queue for one slot, while those before them cannot be dispatched
-constexpr double kBacklogShare = 0.5;  // of the shortest objective
+    8;  // per queue and free slot, if the requests before them cannot be dispatched
+constexpr double kBacklogShare = 0.5;  // of the shortest latency objective
 constexpr double kLeastValue = 1e-3;
 constexpr double kLeastFairShare = 0.01;
 
@@ -97,7 +97,7 @@
     for (const auto& [rank, sequence, slot] : entries) {
         if (++tried > kMaxRequestsTried)
             return false;
-        if (try_dispatch(slot))  // changes `entries`, so the loop ends
+        if (try_dispatch(slot))  // invalidates the iterator: the loop must end
             return true;
     }
     return false;
--- a/src/policy/fleet.cpp
+++ b/src/policy/fleet.cpp
@@ -7,9 +7,9 @@
 namespace gatetiller::policy {
 namespace {
 
-constexpr double kPressureSlowdown = 2;  // run time over expected run time at which an endpoint is slow
+constexpr double kPressureSlowdown = 2;  // ratio to the expected run time above which an endpoint is slow
 constexpr double kBusyShare = 0.9;       // reported share of cores, disks or memory that counts as busy
-constexpr double kReportStep = 0.1;      // weight of one report in the mean threads a core
+constexpr double kReportStep = 0.1;      // weight of one report in the mean threads per core
 constexpr Micros kSlowdownDecayTime = 10 * kSecondMicros;
 
 }  // namespace
@@ -22,7 +22,7 @@
         return endpoints_[place->second];
     EndpointStatus& endpoint = endpoints_.emplace_back();
     endpoint.last_alive = now;
-    // Gateways that start together spread their first health checks.
+    // Spreads the first health checks of gateways that start at the same time.
     endpoint.health_checked_at = now - static_cast<Micros>((1 + random.uniform()) * kHealthCheckInterval);
     return endpoint;
 }
@@ -80,7 +80,7 @@
     status.reported_at = now;
     last_report_at_ = now;
     std::optional<double>& queries = status.report.running_queries;
-    if (!queries && report->busy_cores_share)  // busy cores are taken to be saturated
+    if (!queries && report->busy_cores_share)  // assumes that busy cores are saturated
         queries = *report->busy_cores_share / kBusyShare * kSaturationThreadsPerCore * status.cores /
                       usual.threads +
                   report->queue_depth.value_or(0);
@@ -107,7 +107,7 @@
 double Fleet::queries_at(const EndpointStatus& endpoint, const UsualQuery& usual, Micros now) const {
     const double fleet_mean = threads_per_core(now) * endpoint.cores / usual.threads;
     const double reported = endpoint.report.running_queries.value_or(fleet_mean);
-    // The report holds for as long as what it counts takes to run, and fades into the fleet's mean.
+    // The report fades into the mean of the fleet over the time that the reported queries take to run.
     const double lifetime = std::max<double>(kReportLifetime, reported * usual.work / endpoint.cores);
     const auto age = static_cast<double>(now - endpoint.reported_at);
     return reported + (fleet_mean - reported) * std::min(1.0, age / lifetime);
--- a/src/policy/fleet.hpp
+++ b/src/policy/fleet.hpp
@@ -1,8 +1,8 @@
-// The endpoints, what runs on each, what they report, and how loaded the fleet is.
+// The endpoints with their open attempts, load reports and health, and the load of the fleet.
 //
-// An endpoint's index is its own for the policy's life. Load reports count for three seconds or for as long
-// as what they count takes to run; then the fleet's mean takes their place. Times are microseconds, memory is
-// megabytes.
+// The index of an endpoint never changes while the policy exists. A load report fades into the mean of the
+// fleet over three seconds, or over the time that the reported queries take to run if that is longer. Times
+// are in microseconds, memory in megabytes.
 #pragma once
 
 #include <algorithm>
@@ -20,14 +20,14 @@
 
 namespace gatetiller::policy {
 
-// Threads a core at which an endpoint's throughput stops growing.
+// Threads per core above which the throughput of an endpoint no longer grows.
 constexpr double kSaturationThreadsPerCore = 1.5;
-// How long a load report counts as recent.
+// Time for which a load report is recent.
 constexpr Micros kReportLifetime = 3 * kSecondMicros;
-// Least time between two health checks of an endpoint.
+// Minimum time between two health checks of an endpoint.
 constexpr Micros kHealthCheckInterval = kSecondMicros;
 
-// An open attempt: its request's slot and its number there.
+// Reference to an open attempt: the slot of its request and its index there.
 struct AttemptRef {
     int slot = 0;
     int attempt = 0;
@@ -35,22 +35,22 @@
     bool operator==(const AttemptRef&) const = default;
 };
 
-// One endpoint.
+// State of one endpoint.
 struct EndpointStatus {
     Endpoint description;
     bool listed = false;
     double cores = 1;
-    double memory_mb = 0;  // 0: not known
-    // Of this gateway's attempts there.
+    double memory_mb = 0;  // 0: unknown
+    // Open attempts of this gateway, and their total threads and expected memory.
     std::vector<AttemptRef> open_attempts;
     double threads = 0;
     double expected_mb = 0;
-    // Its last load report.
+    // Last load report, and when it was received.
     LoadReport report;
     Micros reported_at = -kReportLifetime;
-    int open_at_report = 0;  // this gateway's attempts there at that time
-    double slowdown = 1;     // run time over expected run time
-    Micros last_alive = 0;   // last answer or note
+    int open_at_report = 0;  // open attempts of this gateway at that time
+    double slowdown = 1;     // mean ratio of run times to expected run times
+    Micros last_alive = 0;   // time of the last response, load report or progress message
     Micros health_checked_at = 0;
     EndpointHealth health;
     SlowStartUse slow_start;
@@ -70,49 +70,53 @@
     // `settings` outlives it.
     explicit Fleet(const PolicySettings& settings);
 
-    // Takes a change of the endpoint list. A new start time of an endpoint means a new process.
+    // Applies an endpoint list update. A later start time of an endpoint means a new process, whose health
+    // and slowdown are reset.
     void update(const EndpointUpdate& update, Micros now, RandomSource& random);
-    // Index of the endpoint with this id, or kNotFound.
+    // Returns the index of the endpoint with this id, or kNotFound.
     int find(EngineId id) const;
 
     void add_attempt(int endpoint, AttemptRef ref, const Attempt& attempt);
     void remove_attempt(int endpoint, AttemptRef ref, const Attempt& attempt);
-    // Takes a load report, if there is one, as a sign of life.
+    // Marks the endpoint as alive, and records its load report if there is one.
     void observe_report(int endpoint, const std::optional<LoadReport>& report, const UsualQuery& usual,
                         Micros now);
-    // Takes the slowdown of an attempt that succeeded.
+    // Records the slowdown of an attempt that succeeded.
     void observe_completion(int endpoint, double slowdown);
-    // Takes the slowdown of an attempt that runs.
+    // Records the slowdown of a running attempt.
     void observe_progress(int endpoint, double slowdown);
-    // Lets an endpoint's slowdown fade over ten seconds; `elapsed` is the time since the last call.
+    // Decays an endpoint's slowdown towards 1 with a time constant of ten seconds. `elapsed` is the time
+    // since the last call.
     static void decay_slowdown(EndpointStatus& endpoint, Micros elapsed);
 
-    // Queries on an endpoint of all gateways, as its last report and the fleet's mean tell.
+    // Returns the estimated number of all gateways' queries at an endpoint, from its last load report and the
+    // mean of the fleet.
     double queries_at(const EndpointStatus& endpoint, const UsualQuery& usual, Micros now) const;
-    // Those of other gateways, of `queries` on it in all.
+    // Returns how many of all `queries` at an endpoint belong to other gateways.
     double other_queries(const EndpointStatus& endpoint, double queries) const;
-    // Whether an endpoint is slow or reports that it is busy.
+    // Returns whether an endpoint is slow or recently reported that it is busy.
     static bool under_pressure(const EndpointStatus& endpoint, Micros now);
-    // Whether an endpoint's recent report tells of no load that would explain a rejection.
+    // Returns whether an endpoint recently reported a load too low to explain a rejection.
     bool reports_room(const EndpointStatus& endpoint, const UsualQuery& usual, Micros now) const;
 
-    // Whether any endpoint has reported recently.
+    // Returns whether any endpoint has reported its load recently.
     bool has_recent_report(Micros now) const {
         return last_report_at_ && now - *last_report_at_ <= kReportLifetime;
     }
-    // Mean threads a core; the saturation point while nothing reports.
+    // Mean threads per core, or the saturation point if there is no recent load report.
     double threads_per_core(Micros now) const {
         return has_recent_report(now) ? threads_per_core_ : kSaturationThreadsPerCore;
     }
-    // Mean run time over expected run time, at least 1: what all share is no endpoint's fault.
+    // Mean ratio of run times to expected run times, at least 1. Endpoints are compared with it, so that a
+    // slowdown of the whole fleet is attributed to none of them.
     double usual_slowdown() const {
         return std::max(1.0, completed_slowdown_);
     }
-    // The same, with what still runs.
+    // Mean slowdown that also includes running attempts.
     double running_slowdown() const {
         return running_slowdown_;
     }
-    // Of the listed endpoints.
+    // Total cores of the listed endpoints.
     double cores() const {
         return cores_;
     }
@@ -136,7 +140,7 @@
     const PolicySettings* settings_;
     std::vector<EndpointStatus> endpoints_;
     std::map<EngineId, int> index_by_id_;
-    double threads_per_core_ = kSaturationThreadsPerCore;  // mean of the last ten reports or so
+    double threads_per_core_ = kSaturationThreadsPerCore;  // moving average over about ten reports
     double completed_slowdown_ = 1;
     double running_slowdown_ = 1;
     double cores_ = 0;
--- a/src/policy/gateway_policy.cpp
+++ b/src/policy/gateway_policy.cpp
@@ -22,13 +22,13 @@
 
 constexpr Micros kRefitPeriod = 500 * kMillisecond;
 constexpr Micros kAdjustPeriod = kSecondMicros;
-constexpr double kWatchRetryShare = 0.25;          // of the watch deadline, after which a call is repeated
-constexpr Micros kStallTime = 200 * kMillisecond;  // without any event: this gateway stood still
-constexpr double kWaitsForLoad = 2;                // value of a note of waiting
-constexpr int kMovesFromLoad = 2;                  // of one request, away from endpoints with a load
+constexpr double kWatchRetryShare = 0.25;  // of the watch deadline, after which the subscription is retried
+constexpr Micros kStallTime = 200 * kMillisecond;  // without any event: this gateway was stalled
+constexpr double kWaitsForLoad = 2;                // AttemptProgress::value for waiting on a table group lock
+constexpr int kMovesFromLoad = 2;                  // retries of one request because of table group locks
 constexpr double kLeastFractionDone = 0.01;
 
-// Whether the endpoint may go on with the attempt though the gateway no longer waits for it.
+// Returns whether the endpoint may still run an attempt with this outcome.
 bool may_still_run(AttemptOutcome outcome) {
     return outcome == AttemptOutcome::timed_out || outcome == AttemptOutcome::cancelled;
 }
@@ -108,7 +108,7 @@
     return std::exchange(state_.actions, {});
 }
 
-// ---- Endpoints
+// ---- Endpoint events
 
 void GatewayPolicy::Impl::on(const EndpointUpdate& update) {
     if (update.kind != EndpointUpdateKind::cached)
@@ -132,7 +132,7 @@
     return found == classes.end() ? -1 : static_cast<int>(found - classes.begin());
 }
 
-// An unknown tenant counts as the first one.
+// Returns the index of a tenant. An unknown tenant is treated as the first one.
 int GatewayPolicy::Impl::tenant_index(const std::string& name) const {
     const auto& tenants = state_.settings.tenants;
     int index = 0;
@@ -182,7 +182,7 @@
         request.over_quota = !state_.quotas[request.tenant_index].take(now);
 }
 
-// ---- The client's side
+// ---- Client events
 
 void GatewayPolicy::Impl::on(const ResponseStarted& started) {
     const int slot = state_.requests.find(started.id);
@@ -271,8 +271,9 @@
     }
 }
 
-// A failure that another endpoint gave this request too is the request's own: what the earlier ones added to
-// their endpoints' error rates is taken back. So a request that no endpoint can execute ejects none.
+// Attributes a failure to the endpoint, or to the request if the request also failed at another endpoint. In
+// the latter case the additions of the earlier failures to the error rates of their endpoints are withdrawn,
+// so that a request that no endpoint can execute ejects none.
 void GatewayPolicy::Impl::attribute_failure(ActiveRequest& request, Attempt& attempt) {
     attempt.failed = true;
     if (!policy::failed_elsewhere(request, attempt)) {
@@ -285,8 +286,8 @@
     }
 }
 
-// An endpoint that reports room has a reason of its own to reject this class, and pauses for this class
-// alone.
+// Pauses dispatch to an endpoint after a rejection. If the endpoint reports free capacity the rejection is
+// specific to this class, and only this class is paused.
 void GatewayPolicy::Impl::pause_after_rejection(EndpointStatus& endpoint, int class_index) const {
     if (state_.fleet.reports_room(endpoint, state_.statistics.usual(), state_.now))
         endpoint.health.pause_class(class_index, state_.now);
@@ -324,8 +325,8 @@
             learn_spill(request, *attempt, progress.value);
             break;
         case ProgressKind::waiting:
-            // Behind a load it stands still, so nothing is lost by moving it. After two moves most endpoints
-            // hold a load.
+            // An attempt blocked by a load makes no progress, so cancelling it loses no work. If two retries
+            // were also blocked, most endpoints probably run a load, and the attempt stays.
             if (progress.value == kWaitsForLoad && progress.attempt < kMovesFromLoad &&
                 policy::may_move(state_.settings, request))
                 cancel(request, progress.attempt);
@@ -345,9 +346,9 @@
     state_.statistics.learn_spill(request, attempt, missing_mb, even_share_mb);
 }
 
-// An attempt that gets on far slower than a new one would, by a bad plan or a slow endpoint, is cancelled for
-// another one. Where nothing estimated its work, the time that it shows becomes the request's expectation, so
-// that an attempt that would take as long again may finish.
+// Records progress, and cancels an attempt that is far slower than a new one would be, because of a bad plan
+// or a slow endpoint. Without an estimate of the work, the projected run time becomes the expectation for the
+// request, so that a retry that takes equally long is allowed to finish.
 void GatewayPolicy::Impl::observe_fraction(ActiveRequest& request, Attempt& attempt,
                                            const AttemptProgress& progress) {
     attempt.fraction_done = std::clamp(progress.value, 0.0, 1.0);
@@ -364,7 +365,7 @@
     cancel(request, progress.attempt);
 }
 
-// ---- The timer
+// ---- Timer
 
 void GatewayPolicy::Impl::on(const TimerFired&) {
     state_.actions.emplace_back(StartTimer{policy::kTickPeriod, 0});
@@ -417,7 +418,7 @@
         state_.actions.emplace_back(CheckHealth{endpoint->description.id});
 }
 
-// ---- The public interface
+// ---- Public interface
 
 GatewayPolicy::GatewayPolicy(Micros now, std::uint64_t seed, PolicySettings settings)
     : impl_(std::make_unique<Impl>(now, seed, std::move(settings))) {}
--- a/src/policy/gateway_policy.hpp
+++ b/src/policy/gateway_policy.hpp
@@ -1,7 +1,7 @@
-// All decisions of one gateway on a request's ordinary path: which request goes next, to which endpoint, when
-// it is tried again, and when it is given up. The policy takes events and returns actions; it does no I/O,
-// reads no clock and shares nothing with other instances. The same settings, seed and events give the same
-// actions. This header and the three that it includes are the library's public interface.
+// All scheduling decisions of one gateway: which request is dispatched next, to which endpoint, when it is
+// retried, and when it is terminated. The policy handles events and returns actions; it does no I/O, reads no
+// clock and shares no state with other instances. The same settings, seed and events give the same actions.
+// This header, actions.hpp, events.hpp and settings.hpp are the public interface of the library.
 #pragma once
 
 #include <cstdint>
@@ -17,19 +17,20 @@
 
 class GatewayPolicy {
 public:
-    // `now` is the time of the first event or before, in microseconds of any clock that does not go back.
-    // Throws std::invalid_argument if the settings contradict themselves.
+    // `now` is at most the time of the first event, in microseconds of any monotonic clock. Throws
+    // std::invalid_argument if the settings are invalid.
     GatewayPolicy(Micros now, std::uint64_t seed, PolicySettings settings);
     ~GatewayPolicy();
     GatewayPolicy(GatewayPolicy&&) noexcept;
     GatewayPolicy& operator=(GatewayPolicy&&) noexcept;
 
-    // The first actions. To be called once, before the first event.
+    // Returns the initial actions. To be called once, before the first event.
     std::vector<Action> start();
-    // Takes one event and returns the actions that follow from it. An event of an unknown request, attempt or
-    // endpoint has no effect; a time before the last event's counts as that event's time.
+    // Handles one event and returns the resulting actions. An event of an unknown request, attempt or
+    // endpoint has no effect. A time before that of the last event is replaced by the latter.
     std::vector<Action> handle(Micros now, const Event& event);
-    // The share of free slots offered to latency-sensitive requests first, in [0.05, 0.95]; for metrics.
+    // Returns the share of free slots that is offered to latency-sensitive requests first (alpha of the
+    // paper), in [0.05, 0.95]. For metrics.
     double sensitive_share() const;
 
 private:
--- a/src/policy/health_checks.hpp
+++ b/src/policy/health_checks.hpp
@@ -1,5 +1,5 @@
-// When endpoints are asked for their load by health checks: the one not asked for longest, each at most once
-// a second, and at most 0.4 checks for each request that arrived.
+// Schedules the health checks that poll endpoints for their load: the endpoint checked least recently first,
+// each at most once per second, and at most 0.4 checks per arrived request.
 #pragma once
 
 #include "base/time.hpp"
@@ -10,11 +10,11 @@
 class HealthCheckSchedule {
 public:
     void count_arrival();
-    // The endpoint to check now, which then counts as checked, or nullptr.
+    // Returns the endpoint to check now and marks it as checked, or returns nullptr if no check is due.
     EndpointStatus* next(Fleet& fleet, Micros now);
 
 private:
-    double credit_ = 1;  // checks that may be made
+    double credit_ = 1;  // number of checks allowed now
 };
 
 }  // namespace gatetiller::policy
--- a/src/policy/key_order.cpp
+++ b/src/policy/key_order.cpp
@@ -13,7 +13,7 @@
         return true;
     if (requests[lines_.at(request.ordering_key).front()].sequence != request.sequence)
         return false;
-    // The pause holds for later requests, not for further attempts of the one that caused it.
+    // The pause applies to later requests, not to retries of the request that caused it.
     const auto pause = paused_until_.find(request.ordering_key);
     return !request.attempts.empty() || pause == paused_until_.end() || now >= pause->second;
 }
--- a/src/policy/key_order.hpp
+++ b/src/policy/key_order.hpp
@@ -1,5 +1,5 @@
-// Runs the requests of one ordering key one after another, in the order of arrival (rule 5). After an attempt
-// that may still be running somewhere, the key pauses: later requests wait until the pause is over.
+// Serializes the requests of one ordering key in order of arrival (rule 5). After an attempt that may still
+// be running at its endpoint the key is paused: later requests wait until the pause ends.
 #pragma once
 
 #include <deque>
@@ -14,21 +14,21 @@
 
 class KeyOrder {
 public:
-    // Puts a request with an ordering key at the end of its key's line.
+    // Appends a request to the queue of its ordering key.
     void add(RequestTable& requests, int slot);
-    // Whether a request may be dispatched as far as its key's order goes.
+    // Returns whether the ordering key allows the request to be dispatched.
     bool has_turn(const RequestTable& requests, const ActiveRequest& request, Micros now) const;
-    // No later request of the key may be dispatched before `until`.
+    // Prevents the dispatch of later requests of the key before `until`.
     void pause(const std::string& key, Micros until);
-    // Drops the requests that are over from the heads of the lines, and ends pauses. Calls
-    // `on_head(slot)` for the head of each line that is left.
+    // Removes finished requests from the heads of the queues, and expired pauses. Calls `on_head(slot)` for
+    // the head of each remaining queue.
     template <typename OnHead>
     void advance(RequestTable& requests, Micros now, OnHead on_head);
 
 private:
     static void drop_finished_heads(RequestTable& requests, std::deque<int>& line);
 
-    std::map<std::string, std::deque<int>> lines_;  // slots
+    std::map<std::string, std::deque<int>> lines_;  // slots by ordering key
     std::map<std::string, Micros> paused_until_;
 };
 
--- a/src/policy/latency_budget.cpp
+++ b/src/policy/latency_budget.cpp
@@ -10,16 +10,16 @@
 
 constexpr int kBudgetBisections = 12;
 constexpr int kShapeBisections = 60;
-// Range of log(phi); the variation falls as phi grows.
+// Range of log(phi). The variation decreases as phi grows.
 constexpr double kLowestLogShape = -14;
 constexpr double kHighestLogShape = 60;
 
-// Mean of the distribution with this shape, in units of its scale omega.
+// Returns the mean of the distribution with this shape, in units of its scale omega.
 double mean_over_scale(double shape) {
     return boost::math::digamma(shape + 1) - boost::math::digamma(1.0);
 }
 
-// Variance of the distribution with this shape, in units of its scale squared.
+// Returns the variance of the distribution with this shape, in units of its scale squared.
 double variance_over_scale(double shape) {
     return boost::math::trigamma(1.0) - boost::math::trigamma(shape + 1);
 }
--- a/src/policy/latency_stream.hpp
+++ b/src/policy/latency_stream.hpp
@@ -1,7 +1,7 @@
-// The recent answers of one class and tenant, and the latency budget fitted to them.
+// Recent responses of one class and tenant, and the latency budget fitted to them.
 //
-// The window holds at most 1,000 answers of at most 10 s. With fewer than 10 the fit assumes a coefficient of
-// variation of 1 and the class's expected run time. Times are microseconds.
+// The window contains at most 1,000 responses of the last 10 s. With fewer than 10 responses the fit assumes
+// a coefficient of variation of 1 and the expected run time of the class. Times are in microseconds.
 #pragma once
 
 #include <deque>
@@ -10,27 +10,27 @@
 
 namespace gatetiller::policy {
 
-// One answer.
+// Measurements of one response.
 struct LatencySample {
     Micros at = 0;
-    double latency = 0;        // from arrival to answer
-    double run = 0;            // of the attempt that succeeded
+    double latency = 0;        // from arrival to response
+    double run = 0;            // run time of the attempt that succeeded
     double disengagement = 0;  // 0 within the objective, 0.5 within the deadline, else 1
 };
 
 struct LatencyFitInput {
     Micros now = 0;
-    double expected_run = 0;  // of the class
+    double expected_run = 0;  // expected run time of the class
     double objective = 0;
     double deadline = 0;
 };
 
 struct LatencyFit {
-    bool has_samples = false;  // enough of them; otherwise the next two are assumptions
-    double variation = 1;      // standard deviation over mean of the latencies
+    bool has_samples = false;  // enough samples; otherwise `variation` and `run` are assumed
+    double variation = 1;      // coefficient of variation of the latencies
     double run = 0;            // mean run time
-    double budget = 0;         // mean latency that keeps the target
-    double target_ratio = 0;   // disengagement over target
+    double budget = 0;         // mean latency that meets the target
+    double target_ratio = 0;   // ratio of disengagement to target
 };
 
 class LatencyStream {
@@ -38,9 +38,9 @@
     void add(const LatencySample& sample) {
         window_.push_back(sample);
     }
-    // Drops samples that left the window and fits the rest.
+    // Removes samples that are outside the window and fits the rest.
     void refit(const LatencyFitInput& input);
-    // The last fit; its budget is 0 before the first one.
+    // Returns the last fit. Its budget is 0 before the first one.
     const LatencyFit& fit() const {
         return fit_;
     }
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr double kErrorStep = 0.15;
-constexpr double kEjectionErrorRate = 0.25;  // two failures in a row reach it
+constexpr double kEjectionErrorRate = 0.25;  // reached by two consecutive failures
 constexpr Micros kFirstEjectionTime = 500 * kMillisecond;
 constexpr Micros kLongestEjectionTime = 4 * kSecondMicros;
 constexpr Micros kRejectionPause = kSecondMicros;
--- a/src/policy/outlier_detector.hpp
+++ b/src/policy/outlier_detector.hpp
@@ -1,9 +1,10 @@
-// Outlier ejection: leaves an endpoint alone that fails, and tries it again with one request at a time.
+// Outlier ejection: stops dispatch to a failing endpoint for a time, then probes it with one request at a
+// time.
 //
-// Each endpoint has an error rate, an average of recent failures in [0, 1]. At 0.25 it is ejected for a time
-// that doubles with each ejection from 0.5 s to 4 s. Afterwards, while its error rate is at 0.1 or above, it
-// gets a request only when it has none. An endpoint that refuses or resets connections, or gives no sign of
-// life, is ejected at once. Times are microseconds.
+// Each endpoint has an error rate, a moving average of failures in [0, 1]. At 0.25 the endpoint is ejected
+// for a time that doubles with each ejection from 0.5 s to 4 s. Afterwards, while the error rate is at least
+// 0.1, it receives a request only when it has none. An endpoint that refuses or resets connections, or is
+// silent, is ejected immediately. Times are in microseconds.
 #pragma once
 
 #include <map>
@@ -14,37 +15,37 @@
 
 namespace gatetiller::policy {
 
-// The health of one endpoint, as this gateway's attempts show it.
+// Health of one endpoint, as observed by this gateway's attempts.
 class EndpointHealth {
 public:
-    // Whether a request may go there. `idle`: it has no attempt of this gateway.
+    // Returns whether the endpoint may receive a request. `idle`: it has no open attempt of this gateway.
     bool accepts(Micros now, bool idle) const {
         return now >= ejected_until_ && (!suspected() || idle);
     }
-    // Whether its error rate is so high that it gets one request at a time.
+    // Returns whether the error rate limits the endpoint to one request at a time.
     bool suspected() const {
         return error_rate_ >= kSuspectedErrorRate;
     }
-    // Whether it refused a connection and no attempt has succeeded there since.
+    // Returns whether the endpoint refused a connection and no attempt has succeeded since.
     bool refuses_connections() const {
         return refuses_connections_;
     }
-    // Whether it rejected this class lately, or all classes.
+    // Returns whether dispatch of this class is paused because of a recent rejection.
     bool pauses(int class_index, Micros now) const;
 
-    // Takes the connection's part of an outcome; before the functions below.
+    // Records whether the endpoint accepts connections. To be called before the functions below.
     void observe_connection(AttemptOutcome outcome);
     void observe_success();
-    // Raises the error rate by a failure's step, ejects at the threshold, and returns what was added.
+    // Adds a failure to the error rate, ejects the endpoint at the threshold, and returns the increase.
     double add_error(Micros now);
-    // Takes back what a failure added.
+    // Subtracts the increase by an earlier failure.
     void withdraw_error(double added);
-    // Ejects it, unless it is ejected.
+    // Ejects the endpoint. Has no effect while it is ejected.
     void eject(Micros now);
-    // Sends it nothing of one class, or nothing at all, for the pause after a rejection.
+    // Pauses dispatch of one class, or of all classes, after a rejection.
     void pause_class(int class_index, Micros now);
     void pause_all(Micros now);
-    // Forgets everything: a new process started there.
+    // Resets all state, because a new process of the endpoint has started.
     void reset();
 
 private:
@@ -52,44 +53,46 @@
 
     double error_rate_ = 0;
     Micros ejected_until_ = 0;
-    Micros ejection_time_ = 0;  // of the last ejection; 0: none that counts
+    Micros ejection_time_ = 0;  // duration of the last ejection; 0: none, or recovered since
     Micros paused_until_ = 0;
     std::map<int, Micros> class_paused_until_;
     bool refuses_connections_ = false;
 };
 
-// What the end of an attempt says about its endpoint.
+// What the outcome of an attempt implies for its endpoint.
 enum class HealthVerdict {
     none,
     success,
-    failure,     // to be attributed to the endpoint or to the request
-    overloaded,  // rejected: it pauses
-    unreachable  // refused, reset, or without a sign of life: it is ejected
+    failure,     // to be attributed to the endpoint or the request
+    overloaded,  // rejected: dispatch to the endpoint is paused
+    unreachable  // refused, reset or silent: the endpoint is ejected
 };
 
 struct HealthEvidence {
     AttemptOutcome outcome = AttemptOutcome::succeeded;
-    Micros dispatched_at = 0;        // of the attempt
-    Micros endpoint_last_alive = 0;  // last sign of life of its endpoint
+    Micros dispatched_at = 0;        // dispatch time of the attempt
+    Micros endpoint_last_alive = 0;  // time of the last activity of the endpoint
 };
 
 HealthVerdict judge_health(const HealthEvidence& evidence);
 
-// Whether a failure of `attempt` is the request's own: an attempt of it failed at another endpoint too.
+// Returns whether an attempt of the request failed at another endpoint than `attempt` did, so that the
+// failure is attributed to the request.
 bool failed_elsewhere(const ActiveRequest& request, const Attempt& attempt);
 
-// Whether an endpoint that runs attempts is silent: no note and no answer for longer than its notes' period.
 struct SilenceEvidence {
     Micros now = 0;
     Micros progress_period = 0;     // above 0
-    Micros oldest_dispatch = 0;     // of its open attempts
-    Micros last_alive = 0;          // last sign of life of the endpoint
-    Micros gateway_resumed_at = 0;  // end of this gateway's last stall, during which it heard nothing
+    Micros oldest_dispatch = 0;     // dispatch time of its oldest open attempt
+    Micros last_alive = 0;          // time of the last activity of the endpoint
+    Micros gateway_resumed_at = 0;  // end of this gateway's last stall, during which it got no events
 };
 
+// Returns whether an endpoint with open attempts sent neither a progress message nor a response within the
+// progress period plus kSilenceGrace.
 bool is_silent(const SilenceEvidence& evidence);
 
-// Time after which a note that is overdue means silence.
+// Delay beyond the progress period after which a missing progress message means silence.
 constexpr Micros kSilenceGrace = 600 * kMillisecond;
 
 }  // namespace gatetiller::policy
--- a/src/policy/policy_state.hpp
+++ b/src/policy/policy_state.hpp
@@ -1,5 +1,5 @@
-// The modules of one gateway's policy, its clock, and the actions collected for the event at hand. Each
-// module owns its state; this struct only holds them together for the event handlers.
+// The modules of one gateway's policy, its clock, and the actions collected for the current event. Each
+// module owns its state; this struct gives the event handlers access to all of them.
 #pragma once
 
 #include <cstdint>
@@ -22,13 +22,13 @@
 
 namespace gatetiller::policy {
 
-// Period of the policy's timer, in microseconds.
+// Period of the policy timer, in microseconds.
 constexpr Micros kTickPeriod = 25 * kMillisecond;
 
 struct PolicyState {
-    // Throws std::invalid_argument if the settings contradict themselves.
+    // Throws std::invalid_argument if the settings are invalid.
     PolicyState(Micros start, std::uint64_t seed, PolicySettings policy_settings);
-    PolicyState(const PolicyState&) = delete;  // modules refer to `settings` and `requests`
+    PolicyState(const PolicyState&) = delete;  // modules have pointers to `settings` and `requests`
     PolicyState& operator=(const PolicyState&) = delete;
 
     const ClassSettings& class_of(const ActiveRequest& request) const {
@@ -37,7 +37,7 @@
 
     const PolicySettings settings;
     Micros now;
-    Micros resumed_at = 0;  // end of this gateway's last stall, during which it heard nothing
+    Micros resumed_at = 0;  // end of the last stall of this gateway, during which it handled no events
     RandomSource random;
     Fleet fleet;
     RequestTable requests;
@@ -48,7 +48,7 @@
     ConcurrencyLimit limit;
     RetryBudget retry_budget;
     HealthCheckSchedule health_checks;
-    std::vector<TenantQuota> quotas;  // by tenant; empty where there are no tenants
+    std::vector<TenantQuota> quotas;  // indexed by tenant; empty if there are no tenants
     std::vector<Action> actions;
 };
 
--- a/src/policy/random_source.hpp
+++ b/src/policy/random_source.hpp
@@ -1,4 +1,4 @@
-// The policy's random draws: one sequence for each seed.
+// Random numbers of the policy, with a deterministic sequence for each seed.
 #pragma once
 
 #include <cstddef>
@@ -11,11 +11,11 @@
 public:
     explicit RandomSource(std::uint64_t seed) : generator_(seed) {}
 
-    // In [0, 1).
+    // Returns a number in [0, 1).
     double uniform() {
         return static_cast<double>(generator_() >> 11) * 0x1p-53;
     }
-    // In [0, count); `count` is above 0.
+    // Returns a number in [0, count). `count` must be greater than 0.
     std::size_t index(std::size_t count) {
         return generator_() % count;
     }
--- a/src/policy/request_expiry.cpp
+++ b/src/policy/request_expiry.cpp
@@ -7,10 +7,10 @@
 namespace gatetiller::policy {
 namespace {
 
-constexpr Micros kAnswerMargin = 15 * kMillisecond;  // from a final answer to the deadline
-constexpr double kStuckFactor = 1.5;                 // of the expected run time and a second
-constexpr double kOverdueRuns = 4;                   // usual runs without an answer
-constexpr double kRunawayRuns = 3;                   // usual runs still to go
+constexpr Micros kAnswerMargin = 15 * kMillisecond;  // between the final response and the deadline
+constexpr double kStuckFactor = 1.5;                 // ratio to the expected run time plus one second
+constexpr double kOverdueRuns = 4;                   // usual run times without a response
+constexpr double kRunawayRuns = 3;                   // remaining usual run times
 
 }  // namespace
 
@@ -33,7 +33,7 @@
         std::max({attempt.dispatched_at, attempt.last_progress_at, input.gateway_resumed_at});
     if (input.progress_period > 0 && input.now - last_sign >= 2 * input.progress_period + kSilenceGrace / 2)
         return RunningVerdict::lost;
-    // A short query ends before any note: it is overdue by its usual run.
+    // A short query ends before its first progress message is due, so its usual run time decides.
     const bool heard_all_along =
         attempt.last_progress_at == 0 && attempt.dispatched_at >= input.gateway_resumed_at;
     if (input.late_value_share <= 0 && heard_all_along &&
--- a/src/policy/request_expiry.hpp
+++ b/src/policy/request_expiry.hpp
@@ -1,4 +1,5 @@
-// When a request is given up, and when a running attempt is given up for another one. Times are microseconds.
+// Decides when a request is terminated and when a running attempt is cancelled for a retry. Times are in
+// microseconds.
 #pragma once
 
 #include <optional>
@@ -14,23 +15,24 @@
     Micros now = 0;
     Micros objective_at = 0;
     Micros deadline_at = 0;
-    double run_time = 0;          // expected
-    double late_value_share = 0;  // value of an answer after the objective
+    double run_time = 0;          // expected run time
+    double late_value_share = 0;  // value of a response after the objective
 };
 
-// Whether an answer after the objective has no value and the objective has passed.
+// Returns whether the objective has passed and a response after it has no value.
 bool is_worthless(const WaitingInput& input);
 
-// Why a request without an open attempt is given up, or nothing. Answers go out a little before the deadline,
-// so that the client still reads them.
+// Returns why a request without an open attempt must be terminated, or nothing. The final response is sent
+// shortly before the deadline, so that the client still reads it.
 std::optional<TerminationReason> judge_waiting(const WaitingInput& input);
 
 struct RunningInput {
     Micros now = 0;
-    Micros progress_period = 0;     // of notes; 0: none are sent
-    Micros gateway_resumed_at = 0;  // end of this gateway's last stall, during which it heard nothing
-    double usual_run = 0;           // run time of such an attempt at its endpoint's present speed
-    double run_time = 0;            // expected run time of a new attempt
+    Micros progress_period = 0;  // period of progress messages; 0: none are sent
+    Micros gateway_resumed_at =
+        0;                 // end of the last stall of this gateway, during which it handled no events
+    double usual_run = 0;  // run time of such an attempt at the current speed of its endpoint
+    double run_time = 0;   // expected run time of a new attempt
     double late_value_share = 0;
     Micros objective_at = 0;
     const Attempt& attempt;
@@ -38,18 +40,19 @@
 
 enum class RunningVerdict {
     expected,
-    lost,    // its notes stopped though its endpoint may live: its answer will not come
-    overdue  // no note ever, far over its run time, and another attempt can still meet the objective
+    lost,    // its progress messages stopped: no response is expected, even if the endpoint is alive
+    overdue  // no progress message, far above its run time, and a retry can still meet the objective
 };
 
-// Whether an open attempt still is expected to answer.
+// Returns whether an open attempt is still expected to respond.
 RunningVerdict judge_running(const RunningInput& input);
 
-// Whether an open attempt runs so much longer than expected that it is no longer counted in the concurrency
-// limit: what is stuck must not bar other endpoints.
+// Returns whether an open attempt runs so much longer than expected that it no longer counts against the
+// concurrency limit. A stuck attempt must not block dispatch to other endpoints.
 bool is_stuck(const Attempt& attempt, Micros now);
 
-// Whether an attempt with `remaining` run time ahead is given up: a new one would be done far sooner.
+// Returns whether an attempt with `remaining` run time is to be cancelled because a new one would complete
+// far sooner.
 bool is_runaway(double remaining, double usual_run);
 
 }  // namespace gatetiller::policy
--- a/src/policy/request_lifecycle.cpp
+++ b/src/policy/request_lifecycle.cpp
@@ -115,8 +115,8 @@
     request.attempts.push_back(attempt);
 }
 
-// Grants memory and priority, if there is memory to grant or the priority changed. `memory_mb` is 0 for a
-// running attempt, whose memory cannot change.
+// Grants memory and priority if there is memory to grant or the priority has changed. `memory_mb` is 0 for a
+// running attempt, whose memory cannot be changed.
 void RequestLifecycle::grant_resources(ActiveRequest& request, double memory_mb) {
     const int priority = endpoint_priority(state_->settings, state_->statistics, request, state_->now);
     const bool new_priority = state_->settings.supports_priorities && priority != request.priority;
@@ -131,7 +131,7 @@
     if (request.finished)
         return;
     if (may_shed(state_->class_of(request), request)) {
-        // Spread over half of the range, so that clients don't return together.
+        // Spreads the hints over half of the range, so that clients do not retry at the same time.
         const double hint =
             static_cast<double>(state_->settings.max_retry_after) * (0.5 + 0.5 * state_->random.uniform());
         const Micros retry_after = state_->settings.sends_retry_after ? static_cast<Micros>(hint) : 0;
--- a/src/policy/request_lifecycle.hpp
+++ b/src/policy/request_lifecycle.hpp
@@ -1,5 +1,5 @@
-// Moves requests through their life: queued, dispatched, and given up or finished. All actions that dispatch,
-// shed or fail a request are made here, so that they keep the seven rules (docs/architecture.md).
+// Moves requests through their states: queued, dispatched, terminated or finished. All actions that dispatch,
+// shed or fail a request are created here, so that they comply with the seven rules (docs/architecture.md).
 #pragma once
 
 #include "policy/actions.hpp"
@@ -12,17 +12,19 @@
     // `state` outlives it.
     explicit RequestLifecycle(PolicyState& state) : state_(&state) {}
 
-    // Decides what an unfinished request without an open attempt waits for: its key's turn, a slot, or its
-    // end.
+    // Advances an unfinished request without an open attempt: queues it for a slot, leaves it waiting in the
+    // queue of its ordering key, or terminates it.
     void proceed(int slot);
-    // Dispatches queued requests until no endpoint has room for the next ones.
+    // Dispatches queued requests until no endpoint has capacity for the next ones.
     void dispatch_queued();
-    // Ends a request whose client has its final response or is gone: takes it out of the queue and cancels
-    // its open attempts, where they can be cancelled and its response has not started.
+    // Finishes a request whose client has its final response or has disconnected. Removes it from the queue
+    // and, if endpoints can cancel and its response has not started, cancels its open attempts.
     void finish(int slot);
-    // Once a tick: gives up what has no time left, moves what became late, and updates priorities.
+    // Terminates requests that cannot finish in time, requeues those that became late, and updates
+    // priorities. To be called on each timer tick.
     void expire();
-    // Once a tick: defers queued requests while more is held than can be served in time.
+    // Defers queued requests while more work is queued than can be served in time. To be called on each timer
+    // tick.
     void defer_overload();
 
 private:
--- a/src/policy/request_table.hpp
+++ b/src/policy/request_table.hpp
@@ -1,5 +1,5 @@
-// The requests that the policy holds, each in a slot that stays its own until it is over. Slots are reused,
-// and a slot's number is valid only while its request is held. References are invalidated by `add`.
+// Table of the active requests. A request keeps its slot until it is released; then the slot is reused, and
+// its number is no longer valid. References are invalidated by `add`.
 #pragma once
 
 #include <cstdint>
@@ -15,14 +15,14 @@
 public:
     static constexpr int kNotFound = -1;
 
-    // The slot of the request with this id, or kNotFound.
+    // Returns the slot of the request with this id, or kNotFound.
     int find(const std::string& id) const;
-    // Adds a request with an id that is not held, and returns its slot.
+    // Adds a request and returns its slot. No active request may have the same id.
     int add(const std::string& id);
-    // Frees the slot of a request that is finished, has no open attempt and stands in no line of a key.
+    // Frees the slot of a request that is finished, has no open attempt and is in no ordering key's queue.
     void release_if_over(int slot);
 
-    // Slots, in use or not.
+    // Returns the number of slots, used and free.
     int size() const {
         return static_cast<int>(requests_.size());
     }
--- a/src/policy/retry_policy.hpp
+++ b/src/policy/retry_policy.hpp
@@ -1,8 +1,8 @@
-// Whether a request may get another attempt, and how it may end (rules 1, 2, 6 and 7).
+// Decides whether a request may get another attempt, and how it may end (rules 1, 2, 6 and 7).
 //
 // A request has at most one open attempt. After an attempt that may have executed, a non-idempotent request
-// gets no other, and a keyed one only where and while endpoints drop the repeat. Later attempts of all
-// requests are limited by a budget. Times are microseconds.
+// is not retried, and a keyed one is retried only at endpoints that drop the repeat and only within the key
+// window. Retries of all requests are limited by a budget. Times are in microseconds.
 #pragma once
 
 #include <deque>
@@ -14,7 +14,7 @@
 
 namespace gatetiller::policy {
 
-// The budget of later attempts: a base and a share of the requests that arrived within its window.
+// Budget of retries: a base number plus a share of the requests that arrived within its window.
 class RetryBudget {
 public:
     void count_request(Micros now) {
@@ -23,14 +23,14 @@
     void count_retry(Micros now) {
         retries_.push_back(now);
     }
-    // Drops what left the window that ends now.
+    // Removes what was counted before `window_start`.
     void expire(Micros window_start);
-    // Whether one more later attempt keeps to the budget; true where the settings have none.
+    // Returns whether the budget allows one more retry. Always true if the settings have no budget.
     bool allows_retry(const PolicySettings& settings) const;
 
 private:
-    std::deque<Micros> requests_;  // arrivals
-    std::deque<Micros> retries_;   // dispatches of later attempts
+    std::deque<Micros> requests_;  // arrival times
+    std::deque<Micros> retries_;   // dispatch times of retries
 };
 
 struct AttemptInput {
@@ -46,22 +46,23 @@
     deadline_passed,
     attempts_used,
     attempt_open,
-    may_have_executed,  // and must not twice
-    key_window_over,    // may have executed, and endpoints no longer drop the repeat
+    may_have_executed,  // and must not execute twice
+    key_window_over,    // may have executed, and endpoints no longer drop a repeat
     budget_used
 };
 
-// Whether the request may get an attempt, its first or a later one, wherever it goes.
+// Returns whether the request may get an attempt, first or retry, at any endpoint.
 AttemptVerdict judge_attempt(const AttemptInput& input);
 
-// Whether an endpoint lies within the scope in which a keyed request's repeat is dropped. `first` is the
-// endpoint of the first attempt that may have executed.
+// Returns whether `candidate` is within the scope in which the repeat of a keyed request is dropped. `first`
+// is the endpoint of the first attempt that may have executed.
 bool in_key_scope(KeyScope scope, const Endpoint& first, const Endpoint& candidate);
 
-// Whether the request may end as shed, which tells the client that a repeat does no harm; otherwise it fails.
+// Returns whether the request may end as shed, which tells the client that a repeat is safe. Otherwise it
+// must end as failed.
 bool may_shed(const ClassSettings& class_settings, const ActiveRequest& request);
 
-// Whether cancelling the request's open attempt frees its work and leaves it another attempt.
+// Returns whether cancelling the open attempt stops its work and leaves the request another attempt.
 bool may_move(const PolicySettings& settings, const ActiveRequest& request);
 
 }  // namespace gatetiller::policy
--- a/src/policy/sensitive_share.cpp
+++ b/src/policy/sensitive_share.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr double kDecreaseStep = 0.05;  // divided by the mean variation
-constexpr double kIncreaseStep = 0.25;  // as a share of the value
+constexpr double kIncreaseStep = 0.25;  // as a share of the current value
 constexpr double kLowestShare = 0.05;
 constexpr double kHighestShare = 0.95;
 constexpr double kStartingArrivals = 100;
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -4,9 +4,9 @@
 namespace {
 
 constexpr double kUsedBudgetShare =
-    0.6;  // share of the platform's budget that is used, as endpoints' speeds vary
+    0.6;  // used share of the platform's budget, because the speeds of endpoints vary
 constexpr double kCountedCoreShare = 0.85;  // share of an endpoint's cores that counts as capacity
-constexpr double kLargestDrawnShare = 0.1;  // of the budget, for a query admitted by draw
+constexpr double kLargestDrawnShare = 0.1;  // of the budget, for a query admitted by random draw
 
 }  // namespace
 
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -1,10 +1,10 @@
-// Slow start (rule 4): limits the work that a starting endpoint gets, so that it is not overloaded.
+// Slow start (rule 4): limits the work sent to a starting endpoint, so that it is not overloaded.
 //
-// An endpoint that started less than the slow-start window ago fails once the work sent to it within the
-// overload window, by all gateways, passes `overload_factor` times its reduced capacity. Each gateway keeps
-// to its even part of that budget. A query larger than a part may still be the only one that a gateway sends
-// in a window, with a probability by which all gateways together keep to the budget: each draws one number
-// for each endpoint and window. Times are microseconds, work is microseconds of one core.
+// An endpoint that started less than the slow-start window ago fails if the work that all gateways send to it
+// within the overload window exceeds `overload_factor` times its reduced capacity. Each gateway uses at most
+// an equal share of that budget. A query larger than the share may still be the only one that a gateway sends
+// within a window, with a probability that keeps all gateways together within the budget: each gateway draws
+// one random number per endpoint and window. Times are in microseconds, work in microseconds of one core.
 #pragma once
 
 #include <deque>
@@ -15,37 +15,39 @@
 
 namespace gatetiller::policy {
 
-// Whether an endpoint that started at `started_at` (0: long ago) is in slow start.
+// Returns whether an endpoint that started at `started_at` (0: long ago) is in slow start.
 bool in_slow_start(const PolicySettings& settings, Micros started_at, Micros now);
 
-// Share of its capacity that an endpoint has by now: from the configured share at its start up to 1.
+// Returns the current share of an endpoint's full capacity, which grows from the configured share at its
+// start to 1.
 double warm_capacity_share(const PolicySettings& settings, Micros started_at, Micros now);
 
-// Work that all gateways together may send to a starting endpoint within the overload window.
+// Returns the work that all gateways together may send to a starting endpoint within the overload window.
 double slow_start_budget(const PolicySettings& settings, double cores);
 
 struct SlowStartRequest {
-    double budget = 0;      // of the endpoint, for all gateways
-    int gateway_count = 1;  // that share it
-    double work = 0;        // counted for a query after the window's first
-    double first_work = 0;  // counted for the window's first query
+    double budget = 0;      // budget of the endpoint for all gateways
+    int gateway_count = 1;  // gateways that share the budget
+    double work = 0;        // of a query that is not the first of the window
+    double first_work = 0;  // of the first query of the window
 };
 
-// What this gateway has sent to one starting endpoint.
+// Work that this gateway has sent to one starting endpoint within the overload window.
 class SlowStartUse {
 public:
-    // Whether one more query keeps to this gateway's part, or is the window's only one by its draw.
+    // Returns whether one more query is within this gateway's share, or is admitted by the random draw as the
+    // only one of the window.
     bool admits(const SlowStartRequest& request) const;
     void add(Micros now, double work);
-    // Drops what was sent before the window that ends now.
+    // Removes work sent before `window_start`.
     void expire(Micros window_start);
-    // Whether a new number is to be drawn.
+    // Returns whether a new random number must be drawn.
     bool draw_expired(Micros now) const;
-    // `draw` is uniform in [0, 1) and holds until `until`.
+    // Sets the random number, uniform in [0, 1), which is valid until `until`.
     void set_draw(double draw, Micros until);
 
 private:
-    std::deque<std::pair<Micros, double>> sent_;  // when, and how much work
+    std::deque<std::pair<Micros, double>> sent_;  // dispatch time and work
     double draw_ = 1;
     Micros draw_until_ = 0;
 };
--- a/src/policy/tenant_quota.hpp
+++ b/src/policy/tenant_quota.hpp
@@ -1,5 +1,6 @@
-// A tenant's quota of requests per second: a token bucket that holds at most a second's worth. Each gateway
-// has its even part of the quota. A request over it is deferred, not refused. Times are microseconds.
+// Quota of a tenant in requests per second: a token bucket with a capacity of one second's requests, but at
+// least one. Each gateway has an equal share of the quota. A request over the quota is deferred, not
+// rejected. Times are in microseconds.
 #pragma once
 
 #include "base/time.hpp"
--- a/src/policy/workload_statistics.cpp
+++ b/src/policy/workload_statistics.cpp
@@ -9,14 +9,14 @@
 namespace gatetiller::policy {
 namespace {
 
-constexpr double kSensitiveRunMicros = 1.0 * kSecondMicros;  // classes of shorter runs are sensitive
-constexpr double kSensitiveHysteresis = 0.1;  // of that limit, to be passed before a class changes side
-constexpr double kUncontendedShare = 0.3;     // of the lowest latencies, which hold little contention
-constexpr double kUnknownAnswers = 3;         // so many answers don't replace a guessed work yet
-constexpr double kCalmAnswers = 10;        // answers before a calm run time counts, where work isn't reported
-constexpr double kCalmGrowth = 1.002;      // a second; doubles in about six minutes
-constexpr double kLargestRunRatio = 3;     // over the usual one, for one answer
-constexpr double kLowestCostRatio = 0.05;  // true cost over estimate
+constexpr double kSensitiveRunMicros = 1.0 * kSecondMicros;  // classes with a shorter run time are sensitive
+constexpr double kSensitiveHysteresis = 0.1;  // share of that limit by which the run time must cross it
+constexpr double kUncontendedShare = 0.3;  // share of the lowest latencies, which include little contention
+constexpr double kUnknownAnswers = 3;      // a guessed work is replaced only after more responses
+constexpr double kCalmAnswers = 10;     // needed for the run time without contention, if work is not reported
+constexpr double kCalmGrowth = 1.002;   // per second; doubles in about six minutes
+constexpr double kLargestRunRatio = 3;  // ratio to the usual one, for one response
+constexpr double kLowestCostRatio = 0.05;  // ratio of actual cost to estimate
 constexpr double kHighestCostRatio = 20;
 
 }  // namespace
@@ -75,7 +75,7 @@
     smooth(usual_.threads, settings_->classes[request.class_index].threads, step);
 }
 
-// Where a swapping endpoint gives every query what it needs, answers tell nothing of grants.
+// A swapping endpoint gives every query the memory it needs, so its responses show nothing about grants.
 bool WorkloadStatistics::learns_memory() const {
     return !settings_->cost_in_responses && settings_->memory_shortage_policy != MemoryShortagePolicy::swap;
 }
@@ -91,7 +91,7 @@
             smooth(statistics.work_ratio,
                    std::clamp(reported_work / request.estimated_work, kLowestCostRatio, kHighestCostRatio),
                    kCostStep);
-        // The first answer replaces the guess that stood before it.
+        // The first response replaces the guess.
         smooth(statistics.work, reported_work, std::max(kCostStep, 1 / (statistics.answers + 1)));
         if (completed.needed_mb > 0 && request.estimated_memory_mb > 0)
             smooth(statistics.memory_ratio,
@@ -99,7 +99,7 @@
                               kHighestCostRatio),
                    kCostStep);
     } else if (request.estimated_work > 0) {
-        // Work isn't reported: the ratio follows a low percentile of thread time over estimate.
+        // Work is not reported: the ratio follows a low percentile of thread time divided by the estimate.
         const double seen =
             static_cast<double>(completed.duration) * attempt.threads / request.estimated_work;
         statistics.work_ratio *= seen > statistics.work_ratio ? 1 + kCostStep * kUncontendedShare
--- a/src/policy/workload_statistics.hpp
+++ b/src/policy/workload_statistics.hpp
@@ -1,8 +1,8 @@
-// What requests cost: by class, and of the usual query; and the latency streams by class and tenant.
+// Cost statistics of requests by class and of the usual query, and the latency streams by class and tenant.
 //
-// A class's statistics follow what completed attempts tell of work and memory. Where answers tell no work,
-// they follow run times, or estimates times a learned ratio. Times are microseconds, work is microseconds of
-// one core, memory is megabytes.
+// The statistics of a class follow the work and memory that completed attempts report. If responses report no
+// work, they follow run times, or estimates times a learned ratio. Times are in microseconds, work in
+// microseconds of one core, memory in megabytes.
 #pragma once
 
 #include <cstddef>
@@ -22,19 +22,19 @@
 struct ClassStatistics {
     static constexpr double kNoCalmRatio = 1e12;
 
-    double work_ratio = 1;                 // true work over estimate
-    double memory_ratio = 1;               // true memory over estimate
-    double work = 0;                       // usual work; 0: nothing known
-    double estimated_work = 0;             // usual estimate; 0: none came
-    Micros first_unestimated_at = 0;       // when its first request without an estimate came
-    double estimates = 0;                  // that came
-    double answers = 0;                    // with a run time
-    double run_ratio = 1;                  // thread time over known work: usual
-    double calm_run_ratio = kNoCalmRatio;  // and the least of it, without contention
-    bool sensitive = false;                // its usual run time is short
+    double work_ratio = 1;                 // ratio of actual work to estimate
+    double memory_ratio = 1;               // ratio of actual memory to estimate
+    double work = 0;                       // usual work; 0: unknown
+    double estimated_work = 0;             // usual estimate; 0: none received
+    Micros first_unestimated_at = 0;       // arrival time of the first request without an estimate
+    double estimates = 0;                  // number of estimates received
+    double answers = 0;                    // number of responses with a run time
+    double run_ratio = 1;                  // usual ratio of thread time to known work
+    double calm_run_ratio = kNoCalmRatio;  // lowest value of that ratio, without contention
+    bool sensitive = false;                // whether the usual run time is short
 };
 
-// Of one query that runs, whatever its class, weighted by run time.
+// Means over queries of all classes, weighted by run time.
 struct UsualQuery {
     double run = 0;
     double work = 0;
@@ -42,10 +42,10 @@
     double threads = 1;
 };
 
-// What one request is expected to cost.
+// Expected cost of one request.
 struct CostEstimate {
     double work = 0;
-    double estimated_work = 0;  // as it came; 0: none came
+    double estimated_work = 0;  // as received; 0: not received
     double memory_mb = 0;
     double estimated_memory_mb = 0;
 };
@@ -55,31 +55,34 @@
     // `settings` outlives it.
     explicit WorkloadStatistics(const PolicySettings& settings);
 
-    // Counts an arrival's estimate and returns what the request is expected to cost.
+    // Records the estimate of an arrival and returns the expected cost of the request.
     CostEstimate estimate(const RequestArrived& arrival, int class_index, Micros now);
-    // The latest dispatch with which a request that arrives now keeps its stream's budget.
+    // Returns the latest dispatch time with which a request that arrives now meets the latency budget of its
+    // stream.
     Micros dispatch_by(const ActiveRequest& request, Micros now);
-    // Counts a request in the usual query.
+    // Includes a request in the statistics of the usual query.
     void count_usual(const ActiveRequest& request);
 
-    // Learns work and memory from an attempt that succeeded.
+    // Updates the work and memory of the class from an attempt that succeeded.
     void learn_cost(const ActiveRequest& request, const Attempt& attempt, const AttemptCompleted& completed);
-    // Learns the class's run time from it. Returns the run time over that of a calm endpoint, or nothing
-    // while no calm one is known.
+    // Updates the run time of the class from an attempt that succeeded. Returns the ratio of the run time to
+    // that without contention, or nothing while the latter is unknown.
     std::optional<double> learn_run(const ActiveRequest& request, const Attempt& attempt,
                                     const AttemptCompleted& completed);
-    // Learns that an attempt spilled for want of `missing_mb`. `even_share_mb`: memory of its endpoint that
-    // its threads account for at the concurrency limit; a larger grant tells nothing.
+    // Updates the memory of the class from an attempt that spilled because `missing_mb` were missing.
+    // `even_share_mb`: the share of the endpoint's memory that corresponds to the attempt's threads at the
+    // concurrency limit. The spill of a larger grant is ignored.
     void learn_spill(const ActiveRequest& request, const Attempt& attempt, double missing_mb,
                      double even_share_mb);
-    // Adds an answer to its request's stream.
+    // Adds a response to the latency stream of its request.
     void add_answer(const ActiveRequest& request, Micros run, Micros now);
 
     // Fits all streams and decides which classes are sensitive.
     void refit(Micros now);
-    // Lets the calm run times grow, so that a lasting change is learned; once a second.
+    // Increases the run times without contention slightly, so that they adapt to a lasting change. To be
+    // called once per second.
     void relax_calm_runs();
-    // Of the sensitive streams with enough samples; nothing if there is none.
+    // Returns the summary of the sensitive streams with enough samples, or nothing if there are none.
     std::optional<SensitiveStreamSummary> sensitive_streams() const;
 
     const ClassStatistics& of(const ActiveRequest& request) const {
@@ -91,7 +94,7 @@
     const UsualQuery& usual() const {
         return usual_;
     }
-    // Expected run time of a request that has its threads to itself.
+    // Returns the expected run time of a request without contention for its threads.
     double run_time(const ActiveRequest& request) const {
         return request.work / settings_->classes[request.class_index].threads;
     }
@@ -104,7 +107,7 @@
     const PolicySettings* settings_;
     std::size_t tenant_count_;
     std::vector<ClassStatistics> classes_;
-    std::vector<LatencyStream> streams_;  // by class, then by tenant
+    std::vector<LatencyStream> streams_;  // indexed by class, then by tenant
     UsualQuery usual_;
 };
 
