--- a/src/policy/endpoint_selection.cpp
+++ b/src/policy/endpoint_selection.cpp
@@ -16,9 +16,8 @@
 constexpr double kEnoughEstimates = 30;    // minimum for the mean of a class's work
 constexpr double kEnoughAnswers = 3;       // minimum for a class's work without estimates
 constexpr Micros kObjectivesObserved = 2;  // in latency objectives: time until responses include long queries
-constexpr double kOtherZoneFactor =
-    1.5;  // load factor of an endpoint in another zone, if crossing zones has a price
-constexpr double kLeastWorkLeft = 0.1;  // minimum share of an attempt's work that counts while it is open
+constexpr double kOtherZoneFactor = 1.5;   // on the load of an endpoint in another zone, if that has a price
+constexpr double kLeastWorkLeft = 0.1;     // minimum share of an attempt's work that counts while it is open
 constexpr double kLeastCapacityCores = 0.1;
 
 bool allows(const std::optional<std::vector<std::string>>& allowed, const std::string& name) {
--- a/src/policy/request_expiry.hpp
+++ b/src/policy/request_expiry.hpp
@@ -28,11 +28,10 @@
 
 struct RunningInput {
     Micros now = 0;
-    Micros progress_period = 0;  // period of progress messages; 0: none are sent
-    Micros gateway_resumed_at =
-        0;                 // end of the last stall of this gateway, during which it handled no events
-    double usual_run = 0;  // run time of such an attempt at the current speed of its endpoint
-    double run_time = 0;   // expected run time of a new attempt
+    Micros progress_period = 0;     // period of progress messages; 0: none are sent
+    Micros gateway_resumed_at = 0;  // end of this gateway's last stall, during which it got no events
+    double usual_run = 0;           // run time of such an attempt at the current speed of its endpoint
+    double run_time = 0;            // expected run time of a new attempt
     double late_value_share = 0;
     Micros objective_at = 0;
     const Attempt& attempt;
