--- a/src/policy/active_request.hpp
+++ b/src/policy/active_request.hpp
@@ -37,12 +37,12 @@
     bool counted = true;  // against this gateway's share of the concurrency limit
 
     // Expected run time, at least one millisecond.
-    double expected_run() const {
+    double expected_run_time() const {
         return std::max(work / threads, 1.0 * kMillisecond);
     }
     // Ratio of a run time to the expected run time, clamped to [0.2, 20].
-    double slowdown(double run) const {
-        return std::clamp(run / expected_run(), 0.2, 20.0);
+    double slowdown(double run_time) const {
+        return std::clamp(run_time / expected_run_time(), 0.2, 20.0);
     }
 };
 
@@ -65,11 +65,11 @@
     bool over_quota = false;
     bool queued = false;
     bool finished = false;
-    bool streaming = false;     // the response has started
-    bool in_key_order = false;  // queued or running in the queue of its ordering key
-    Micros not_before = 0;      // earliest time of the next attempt
+    bool response_started = false;   // the response has started
+    bool in_key_order = false;       // queued or running in the queue of its ordering key
+    Micros earliest_attempt_at = 0;  // earliest time of the next attempt
     std::vector<Attempt> attempts;
-    double projected_run = 0;              // run time projected from the progress of its cancelled attempt
+    double projected_run_time = 0;         // run time projected from the progress of its cancelled attempt
     int first_executed_endpoint = -1;      // endpoint of the first attempt that may have executed; -1: none
     Micros first_executed_at = 0;          // dispatch time of that attempt
     int priority = -1;                     // last granted; -1: none
--- a/src/policy/attempt_monitor.cpp
+++ b/src/policy/attempt_monitor.cpp
@@ -8,33 +8,34 @@
 namespace gatetiller::policy {
 namespace {
 
-RunningVerdict judge_attempt_at(const PolicyState& state, const EndpointStatus& endpoint,
+RunningVerdict check_attempt_at(const PolicyState& state, const EndpointStatus& endpoint,
                                 const ActiveRequest& request, const Attempt& attempt) {
-    const double slowdown = std::max(endpoint.slowdown, state.fleet.usual_slowdown());
-    // At least the usual run time of the class: the run time of a query with a tiny estimate is mostly
+    const double slowdown = std::max(endpoint.slowdown, state.fleet.mean_slowdown());
+    // At least the typical run time of the class: the run time of a query with a tiny estimate is mostly
     // overhead.
-    const double run = std::max(attempt.expected_run(), state.statistics.of(request).work / attempt.threads);
+    const double expected_run_time = std::max(
+        attempt.expected_run_time(), state.statistics.class_statistics(request).work / attempt.threads);
     const RunningInput input{state.now,
                              state.settings.progress_period,
                              state.resumed_at,
-                             slowdown * run,
+                             slowdown * expected_run_time,
                              state.statistics.run_time(request),
                              state.class_of(request).late_value_share,
                              request.objective_at,
                              attempt};
-    return judge_running(input);
+    return check_running(input);
 }
 
 // Cancels lost and overdue attempts so that they can be retried. The endpoint is not ejected, since it still
-// accepts queries and answers other attempts.
+// accepts queries and responds to other attempts.
 void cancel_unanswered(PolicyState& state, const EndpointStatus& endpoint) {
     for (const AttemptRef& ref : endpoint.open_attempts) {
         ActiveRequest& request = state.requests[ref.slot];
         Attempt& attempt = request.attempts[ref.attempt];
         if (is_stuck(attempt, state.now))
             state.limit.remove(attempt);
-        if (judge_attempt_at(state, endpoint, request, attempt) != RunningVerdict::expected &&
-            may_move(state.settings, request))
+        if (check_attempt_at(state, endpoint, request, attempt) != RunningVerdict::expected &&
+            may_cancel_and_retry(state.settings, request))
             state.actions.emplace_back(CancelAttempt{request.id, ref.attempt});
     }
 }
@@ -49,18 +50,18 @@
     if (state.settings.progress_period <= 0 || endpoint.open_attempts.empty())
         return;
     const AttemptRef& oldest = endpoint.open_attempts.front();
-    SilenceEvidence evidence;
-    evidence.now = state.now;
-    evidence.progress_period = state.settings.progress_period;
-    evidence.oldest_dispatch = state.requests[oldest.slot].attempts[oldest.attempt].dispatched_at;
-    evidence.last_alive = endpoint.last_alive;
-    evidence.gateway_resumed_at = state.resumed_at;
-    if (!is_silent(evidence))
+    SilenceInput input;
+    input.now = state.now;
+    input.progress_period = state.settings.progress_period;
+    input.oldest_dispatch = state.requests[oldest.slot].attempts[oldest.attempt].dispatched_at;
+    input.last_active_at = endpoint.last_active_at;
+    input.gateway_resumed_at = state.resumed_at;
+    if (!is_silent(input))
         return;
     endpoint.health.eject(state.now);
     for (const AttemptRef& ref : endpoint.open_attempts) {
         const ActiveRequest& request = state.requests[ref.slot];
-        if (may_move(state.settings, request))
+        if (may_cancel_and_retry(state.settings, request))
             state.actions.emplace_back(CancelAttempt{request.id, ref.attempt});
     }
 }
--- a/src/policy/attempt_terms.cpp
+++ b/src/policy/attempt_terms.cpp
@@ -6,9 +6,9 @@
 namespace gatetiller::policy {
 namespace {
 
-constexpr double kGrantMargin = 1.25;        // ratio of the grant to the expected need
-constexpr double kFreeGrantMargin = 3;       // where endpoints count only the lesser of grant and need
-constexpr double kSuspectedTimeoutRuns = 6;  // usual run times
+constexpr double kGrantMargin = 1.25;            // ratio of the grant to the expected need
+constexpr double kSwapGrantMargin = 3;           // where endpoints count only the lesser of grant and need
+constexpr double kSuspectedTimeoutRunTimes = 6;  // typical run times
 
 constexpr int kLowestPriority = 0;
 constexpr int kBestEffortPriority = 1;
@@ -20,7 +20,7 @@
 double memory_grant_mb(const PolicySettings& settings, double endpoint_memory_mb, double expected_mb) {
     const double largest = settings.max_memory_share * endpoint_memory_mb;
     const double margin =
-        settings.memory_shortage_policy == MemoryShortagePolicy::swap ? kFreeGrantMargin : kGrantMargin;
+        settings.memory_shortage_policy == MemoryShortagePolicy::swap ? kSwapGrantMargin : kGrantMargin;
     return settings.supports_memory_grants && largest > 0 ? std::min(expected_mb * margin, largest) : 0;
 }
 
@@ -34,7 +34,7 @@
     const double own = value_per_work(static_cast<std::size_t>(request.class_index));
     for (std::size_t index = 0; index < settings.classes.size(); ++index)
         if (value_per_work(index) > own)
-            return statistics.of(request).sensitive ? kSensitivePriority : kBestEffortPriority;
+            return statistics.class_statistics(request).sensitive ? kSensitivePriority : kBestEffortPriority;
     return kHighestPriority;
 }
 
@@ -46,7 +46,7 @@
     const bool repeatable = settings.classes[request.class_index].idempotency != Idempotency::non_idempotent;
     if (settings.can_cancel || last || !repeatable || !input.endpoint_suspected)
         return until_deadline;
-    return std::min(until_deadline, static_cast<Micros>(kSuspectedTimeoutRuns * input.usual_run));
+    return std::min(until_deadline, static_cast<Micros>(kSuspectedTimeoutRunTimes * input.typical_run_time));
 }
 
 }  // namespace gatetiller::policy
--- a/src/policy/attempt_terms.hpp
+++ b/src/policy/attempt_terms.hpp
@@ -20,7 +20,7 @@
     const PolicySettings& settings;
     const ActiveRequest& request;
     bool endpoint_suspected = false;  // by its error rate
-    double usual_run = 0;             // run time of the request at the current speed of the fleet
+    double typical_run_time = 0;      // run time of the request at the current speed of the fleet
     Micros now = 0;
 };
 
--- a/src/policy/concurrency_limit.hpp
+++ b/src/policy/concurrency_limit.hpp
@@ -20,20 +20,20 @@
 constexpr double kThreadsPerCoreLimit = 2;
 
 // Whether an endpoint has capacity for one more query, and if not, the reason.
-enum class RoomVerdict {
-    room,
+enum class CapacityVerdict {
+    available,
     paused,      // rejected such a query recently
     overloaded,  // far above its limit, by work that no gateway counts
     memory_full,
-    fleet_busy,         // best-effort queries wait until the fleet is below its limit
-    fleet_part_used,    // this gateway's share of the fleet
-    endpoint_part_used  // this gateway's share of the endpoint
+    fleet_busy,               // best-effort queries wait until the fleet is below its limit
+    fleet_share_exhausted,    // this gateway's share of the fleet
+    endpoint_share_exhausted  // this gateway's share of the endpoint
 };
 
-struct RoomInput {
+struct CapacityInput {
     const PolicySettings& settings;
     const Fleet& fleet;
-    const UsualQuery& usual;
+    const TypicalQuery& typical_query;
     Micros now = 0;
     int class_index = 0;
     bool sensitive = false;
@@ -50,10 +50,10 @@
 
     // Returns whether an endpoint has capacity for a query. Also records, until the next `adjust`, that the
     // share of the fleet was exhausted.
-    RoomVerdict check(const RoomInput& input, const EndpointStatus& endpoint);
+    CapacityVerdict check(const CapacityInput& input, const EndpointStatus& endpoint);
 
     // Records the ratio of a run time to that of an endpoint without contention.
-    void observe_contention(double run_over_calm);
+    void observe_contention(double contention);
     // Records whether an attempt exceeded its latency objective by its run time alone.
     void observe_late(bool late);
     // Adjusts this gateway's share if no endpoint reports its load. To be called once per second.
@@ -61,11 +61,11 @@
 
 private:
     double threads_ = 0;
-    std::array<int, 2> attempts_{};  // best-effort, sensitive
-    double part_factor_ = 1;         // share as a multiple of an even split between gateways; at least 1
-    double contention_ = 1;          // mean ratio of run times to those without contention
-    double late_share_ = 0;          // share of attempts that were late
-    bool part_was_binding_ = false;  // since the last adjustment
+    std::array<int, 2> attempts_{};    // best-effort, sensitive
+    double share_factor_ = 1;          // share as a multiple of an even split between gateways; at least 1
+    double contention_ = 1;            // mean ratio of run times to those without contention
+    double late_share_ = 0;            // share of attempts that were late
+    bool share_was_limiting_ = false;  // since the last adjustment
 };
 
 }  // namespace gatetiller::policy
--- a/src/policy/endpoint_selection.cpp
+++ b/src/policy/endpoint_selection.cpp
@@ -13,12 +13,12 @@
 namespace gatetiller::policy {
 namespace {
 
-constexpr double kEnoughEstimates = 30;    // minimum for the mean of a class's work
-constexpr double kEnoughAnswers = 3;       // minimum for a class's work without estimates
-constexpr Micros kObjectivesObserved = 2;  // in latency objectives: time until responses include long queries
-constexpr double kOtherZoneFactor = 1.5;   // on the load of an endpoint in another zone, if that has a price
-constexpr double kLeastWorkLeft = 0.1;     // minimum share of an attempt's work that counts while it is open
-constexpr double kLeastCapacityCores = 0.1;
+constexpr double kMinEstimates = 30;          // minimum for the mean of a class's work
+constexpr double kMinResponses = 3;           // minimum for a class's work without estimates
+constexpr Micros kObservationObjectives = 2;  // objectives until responses include those of long queries
+constexpr double kCrossZoneFactor = 1.5;  // on the load of an endpoint in another zone, if that has a price
+constexpr double kMinRemainingWorkShare = 0.1;  // of an open attempt's work, for the load estimate
+constexpr double kMinCapacityCores = 0.1;
 
 bool allows(const std::optional<std::vector<std::string>>& allowed, const std::string& name) {
     return !allowed || std::find(allowed->begin(), allowed->end(), name) != allowed->end();
@@ -26,8 +26,8 @@
 
 bool slow_start_admits(const SelectionInput& input, const ActiveRequest& request,
                        const EndpointStatus& endpoint) {
-    const SlowStartWorkInput work{input.settings.classes[request.class_index], input.statistics.of(request),
-                                  request.work, input.now};
+    const SlowStartWorkInput work{input.settings.classes[request.class_index],
+                                  input.statistics.class_statistics(request), request.work, input.now};
     SlowStartRequest query;
     query.budget = slow_start_budget(input.settings, endpoint.cores);
     query.gateway_count = input.settings.instance_count;
@@ -53,26 +53,26 @@
 
 std::vector<int> eligible_endpoints(const SelectionInput& input, const ActiveRequest& request) {
     const std::vector<EndpointStatus>& endpoints = input.fleet.endpoints();
-    int outliers_over_others = 0;
+    int outliers_minus_others = 0;
     for (const EndpointStatus& endpoint : endpoints)
         if (endpoint.takes_requests())
-            outliers_over_others += endpoint.accepts(input.now) ? -1 : 1;
-    const bool most_are_outliers = outliers_over_others > 0;
-    const RoomInput room{input.settings,
-                         input.fleet,
-                         input.statistics.usual(),
-                         input.now,
-                         request.class_index,
-                         input.statistics.of(request).sensitive,
-                         input.settings.classes[request.class_index].threads,
-                         request.memory_mb};
+            outliers_minus_others += endpoint.accepts(input.now) ? -1 : 1;
+    const bool most_are_outliers = outliers_minus_others > 0;
+    const CapacityInput capacity_input{input.settings,
+                                       input.fleet,
+                                       input.statistics.typical_query(),
+                                       input.now,
+                                       request.class_index,
+                                       input.statistics.class_statistics(request).sensitive,
+                                       input.settings.classes[request.class_index].threads,
+                                       request.memory_mb};
     std::vector<int> eligible;
     for (std::size_t index = 0; index < endpoints.size(); ++index) {
         const EndpointStatus& endpoint = endpoints[index];
         const bool healthy =
             endpoint.accepts(input.now) || (most_are_outliers && !endpoint.health.refuses_connections());
         if (healthy && permits(input, request, endpoint) &&
-            input.limit.check(room, endpoint) == RoomVerdict::room)
+            input.limit.check(capacity_input, endpoint) == CapacityVerdict::available)
             eligible.push_back(static_cast<int>(index));
     }
     return eligible;
@@ -82,22 +82,22 @@
 
 // Until the work of its class is known, a query is assumed to take as long as its objective. Otherwise a
 // gateway that has just started could overload an endpoint by a guess, by its first responses, which come
-// from the shortest queries, or by the mean of a few estimates, which is usually too low. With enough
-// estimates a query counts as the mean of its own estimate and the usual work, because short estimates are
+// from the shortest queries, or by the mean of a few estimates, which is typically too low. With enough
+// estimates a query counts as the mean of its own estimate and the typical work, because short estimates are
 // mostly too low.
 double slow_start_work(const SlowStartWorkInput& input) {
     const ClassStatistics& statistics = input.statistics;
     const ClassSettings& class_settings = input.class_settings;
     if (statistics.estimated_work > 0) {
-        const double usual_work =
+        const double typical_work =
             std::max(statistics.work, statistics.estimated_work * statistics.work_ratio);
-        if (statistics.estimates >= kEnoughEstimates)
-            return (input.work + usual_work) / 2;
-        return std::max(input.work, usual_work * (1 + 1 / std::sqrt(statistics.estimates)));
+        if (statistics.estimates >= kMinEstimates)
+            return (input.work + typical_work) / 2;
+        return std::max(input.work, typical_work * (1 + 1 / std::sqrt(statistics.estimates)));
     }
     const Micros observed_from =
-        statistics.first_unestimated_at + kObjectivesObserved * class_settings.latency_objective;
-    if (statistics.answers >= kEnoughAnswers && input.now >= observed_from)
+        statistics.first_unestimated_at + kObservationObjectives * class_settings.latency_objective;
+    if (statistics.responses >= kMinResponses && input.now >= observed_from)
         return statistics.work;
     return std::max(statistics.work,
                     static_cast<double>(class_settings.latency_objective) * class_settings.threads);
@@ -106,7 +106,7 @@
 // The first query of an unknown class counts as the guess. Otherwise none might be admitted, and its work
 // would never become known.
 double first_slow_start_work(const SlowStartWorkInput& input) {
-    if (input.statistics.estimates >= kEnoughEstimates)
+    if (input.statistics.estimates >= kMinEstimates)
         return slow_start_work(input);
     return std::max(input.statistics.work, input.work);
 }
@@ -119,22 +119,23 @@
     for (const AttemptRef& ref : endpoint.open_attempts) {
         const ActiveRequest& other = input.requests[ref.slot];
         const Attempt& attempt = other.attempts[ref.attempt];
-        const double left = attempt.work * std::max(kLeastWorkLeft, 1 - attempt.fraction_done);
-        work += left;
+        const double remaining_work =
+            attempt.work * std::max(kMinRemainingWorkShare, 1 - attempt.fraction_done);
+        work += remaining_work;
         // The request would be blocked until that load ends, whatever the number of cores.
         if (waits_for_lock && other.table_group == request.table_group &&
             input.settings.classes[other.class_index].locks_table_group)
-            work += left / attempt.threads * endpoint.cores;
+            work += remaining_work / attempt.threads * endpoint.cores;
     }
-    const UsualQuery& usual = input.statistics.usual();
-    work +=
-        input.fleet.other_queries(endpoint, input.fleet.queries_at(endpoint, usual, input.now)) * usual.work;
+    const TypicalQuery& typical_query = input.statistics.typical_query();
+    work += input.fleet.other_queries(endpoint, input.fleet.queries_at(endpoint, typical_query, input.now)) *
+            typical_query.work;
     const double capacity =
         endpoint.cores * warm_capacity_share(input.settings, endpoint.description.started_at, input.now);
-    const double slowdown = std::max(1.0, endpoint.slowdown / input.fleet.usual_slowdown());
+    const double slowdown = std::max(1.0, endpoint.slowdown / input.fleet.mean_slowdown());
     const bool crosses_zones =
         input.settings.cross_zone_price > 0 && endpoint.description.zone != input.settings.zone;
-    return work / std::max(capacity, kLeastCapacityCores) * slowdown * (crosses_zones ? kOtherZoneFactor : 1);
+    return work / std::max(capacity, kMinCapacityCores) * slowdown * (crosses_zones ? kCrossZoneFactor : 1);
 }
 
 int select_endpoint(const SelectionInput& input, const ActiveRequest& request) {
--- a/src/policy/endpoint_selection.hpp
+++ b/src/policy/endpoint_selection.hpp
@@ -29,7 +29,7 @@
 constexpr int kNoEndpoint = -1;
 
 // Returns the index of the endpoint for the request's next attempt, or kNoEndpoint. Precondition:
-// judge_attempt() allows an attempt.
+// check_attempt() allows an attempt.
 int select_endpoint(const SelectionInput& input, const ActiveRequest& request);
 
 // Work that a query counts for at an endpoint in slow start, in microseconds of one core.
--- a/src/policy/fair_queue.cpp
+++ b/src/policy/fair_queue.cpp
@@ -9,8 +9,8 @@
 constexpr std::size_t kMaxRequestsTried =
     8;  // per queue and free slot, if the requests before them cannot be dispatched
 constexpr double kBacklogShare = 0.5;  // of the shortest latency objective
-constexpr double kLeastValue = 1e-3;
-constexpr double kLeastFairShare = 0.01;
+constexpr double kMinValue = 1e-3;
+constexpr double kMinFairShare = 0.01;
 
 bool misses_objective(const QueueInput& input) {
     return input.now + input.run_time > input.request.objective_at;
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-QueueSide judge_side(const QueueInput& input) {
+QueueSide select_side(const QueueInput& input) {
     if (input.request.deferred || input.request.over_quota || misses_objective(input))
         return QueueSide::deferred;
     return input.sensitive ? QueueSide::sensitive : QueueSide::best_effort;
@@ -29,7 +29,7 @@
     const double value =
         class_settings.priority_weight * (input.request.over_quota ? input.settings.over_quota_weight : 1);
     const double share = misses_objective(input) ? class_settings.late_value_share : 1;
-    return input.request.work / std::max(value * share, kLeastValue);
+    return input.request.work / std::max(value * share, kMinValue);
 }
 
 std::vector<int> select_deferred(std::vector<DeferralCandidate> waiting, double work_limit) {
@@ -59,7 +59,7 @@
       requests_(&requests),
       best_effort_(std::max<std::size_t>(1, settings.tenants.size())) {}
 
-std::set<FairQueue::Entry>& FairQueue::entries_with(const ActiveRequest& request) {
+std::set<FairQueue::Entry>& FairQueue::entries_for(const ActiveRequest& request) {
     if (request.side == QueueSide::deferred)
         return deferred_;
     return request.side == QueueSide::sensitive ? sensitive_ : best_effort_[request.tenant_index].entries;
@@ -70,10 +70,10 @@
     if (request.queued || request.finished)
         return;
     request.queued = true;
-    request.side = judge_side(input);
+    request.side = select_side(input);
     request.rank = request.side == QueueSide::deferred ? static_cast<Micros>(work_per_value(input))
                                                        : request.dispatch_by;
-    entries_with(request).insert({request.rank, request.sequence, slot});
+    entries_for(request).insert({request.rank, request.sequence, slot});
 }
 
 void FairQueue::erase(int slot) {
@@ -81,7 +81,7 @@
     if (!request.queued)
         return;
     request.queued = false;
-    entries_with(request).erase({request.rank, request.sequence, slot});
+    entries_for(request).erase({request.rank, request.sequence, slot});
 }
 
 bool FairQueue::serve(bool sensitive_first, const TryDispatch& try_dispatch) {
@@ -104,25 +104,25 @@
 }
 
 bool FairQueue::serve_best_effort(const TryDispatch& try_dispatch) {
-    std::vector<std::pair<double, std::size_t>> turns;
+    std::vector<std::pair<double, std::size_t>> candidates;
     for (std::size_t tenant = 0; tenant < best_effort_.size(); ++tenant)
         if (!best_effort_[tenant].entries.empty())
-            turns.emplace_back(best_effort_[tenant].served_work, tenant);
-    std::sort(turns.begin(), turns.end());
+            candidates.emplace_back(best_effort_[tenant].served_work, tenant);
+    std::sort(candidates.begin(), candidates.end());
     const auto dispatch_and_count = [&](int slot) {
         if (!try_dispatch(slot))
             return false;
         count_served((*requests_)[slot]);
         return true;
     };
-    return std::any_of(turns.begin(), turns.end(), [&](const auto& turn) {
-        return serve_from(best_effort_[turn.second].entries, dispatch_and_count);
+    return std::any_of(candidates.begin(), candidates.end(), [&](const auto& candidate) {
+        return serve_from(best_effort_[candidate.second].entries, dispatch_and_count);
     });
 }
 
 void FairQueue::count_served(const ActiveRequest& request) {
     const double share = settings_->tenants.empty() ? 1 : settings_->tenants[request.tenant_index].fair_share;
-    best_effort_[request.tenant_index].served_work += request.work / std::max(share, kLeastFairShare);
+    best_effort_[request.tenant_index].served_work += request.work / std::max(share, kMinFairShare);
 }
 
 }  // namespace gatetiller::policy
--- a/src/policy/fair_queue.hpp
+++ b/src/policy/fair_queue.hpp
@@ -31,7 +31,7 @@
 
 // Returns the side on which a request waits. Requests that cannot meet their objective are deferred: ordered
 // by dispatch time alone, they would be served first and delay all others past their objectives.
-QueueSide judge_side(const QueueInput& input);
+QueueSide select_side(const QueueInput& input);
 
 // Returns the work per unit of value that the response can still have.
 double work_per_value(const QueueInput& input);
@@ -61,7 +61,7 @@
     // for that slot before it returns true.
     using TryDispatch = std::function<bool(int slot)>;
 
-    // `settings` and `requests` outlive it.
+    // `settings` and `requests` must outlive this object.
     FairQueue(const PolicySettings& settings, RequestTable& requests);
 
     // Queues a request. Has no effect if the request is queued or finished.
@@ -80,7 +80,7 @@
         double served_work = 0;  // divided by the fair share
     };
 
-    std::set<Entry>& entries_with(const ActiveRequest& request);
+    std::set<Entry>& entries_for(const ActiveRequest& request);
     static bool serve_from(const std::set<Entry>& entries, const TryDispatch& try_dispatch);
     bool serve_best_effort(const TryDispatch& try_dispatch);
     void count_served(const ActiveRequest& request);
--- a/src/policy/fleet.cpp
+++ b/src/policy/fleet.cpp
@@ -7,9 +7,9 @@
 namespace gatetiller::policy {
 namespace {
 
-constexpr double kPressureSlowdown = 2;  // ratio to the expected run time above which an endpoint is slow
-constexpr double kBusyShare = 0.9;       // reported share of cores, disks or memory that counts as busy
-constexpr double kReportStep = 0.1;      // weight of one report in the mean threads per core
+constexpr double kCongestedSlowdown = 2;  // ratio to the expected run time above which an endpoint is slow
+constexpr double kBusyShare = 0.9;        // reported share of cores, disks or memory that counts as busy
+constexpr double kReportWeight = 0.1;     // weight of one report in the mean threads per core
 constexpr Micros kSlowdownDecayTime = 10 * kSecondMicros;
 
 }  // namespace
@@ -17,11 +17,11 @@
 Fleet::Fleet(const PolicySettings& settings) : settings_(&settings) {}
 
 EndpointStatus& Fleet::find_or_add(EngineId id, Micros now, RandomSource& random) {
-    const auto [place, added] = index_by_id_.try_emplace(id, static_cast<int>(endpoints_.size()));
+    const auto [entry, added] = index_by_id_.try_emplace(id, static_cast<int>(endpoints_.size()));
     if (!added)
-        return endpoints_[place->second];
+        return endpoints_[entry->second];
     EndpointStatus& endpoint = endpoints_.emplace_back();
-    endpoint.last_alive = now;
+    endpoint.last_active_at = now;
     // Spreads the first health checks of gateways that start at the same time.
     endpoint.health_checked_at = now - static_cast<Micros>((1 + random.uniform()) * kHealthCheckInterval);
     return endpoint;
@@ -70,10 +70,10 @@
     status.expected_mb -= attempt.memory_mb;
 }
 
-void Fleet::observe_report(int endpoint, const std::optional<LoadReport>& report, const UsualQuery& usual,
-                           Micros now) {
+void Fleet::observe_report(int endpoint, const std::optional<LoadReport>& report,
+                           const TypicalQuery& typical_query, Micros now) {
     EndpointStatus& status = endpoints_[endpoint];
-    status.last_alive = now;
+    status.last_active_at = now;
     if (!report)
         return;
     status.report = *report;
@@ -82,11 +82,11 @@
     std::optional<double>& queries = status.report.running_queries;
     if (!queries && report->busy_cores_share)  // assumes that busy cores are saturated
         queries = *report->busy_cores_share / kBusyShare * kSaturationThreadsPerCore * status.cores /
-                      usual.threads +
+                      typical_query.threads +
                   report->queue_depth.value_or(0);
     if (queries)
-        smooth(threads_per_core_, *queries * usual.threads / status.cores, kReportStep);
-    status.open_at_report = static_cast<int>(status.open_attempts.size());
+        smooth(threads_per_core_, *queries * typical_query.threads / status.cores, kReportWeight);
+    status.open_attempts_at_report = static_cast<int>(status.open_attempts.size());
 }
 
 void Fleet::observe_completion(int endpoint, double slowdown) {
@@ -104,21 +104,22 @@
     smooth(endpoint.slowdown, 1, static_cast<double>(elapsed) / kSlowdownDecayTime);
 }
 
-double Fleet::queries_at(const EndpointStatus& endpoint, const UsualQuery& usual, Micros now) const {
-    const double fleet_mean = threads_per_core(now) * endpoint.cores / usual.threads;
+double Fleet::queries_at(const EndpointStatus& endpoint, const TypicalQuery& typical_query,
+                         Micros now) const {
+    const double fleet_mean = threads_per_core(now) * endpoint.cores / typical_query.threads;
     const double reported = endpoint.report.running_queries.value_or(fleet_mean);
     // The report fades into the mean of the fleet over the time that the reported queries take to run.
-    const double lifetime = std::max<double>(kReportLifetime, reported * usual.work / endpoint.cores);
+    const double lifetime = std::max<double>(kReportLifetime, reported * typical_query.work / endpoint.cores);
     const auto age = static_cast<double>(now - endpoint.reported_at);
     return reported + (fleet_mean - reported) * std::min(1.0, age / lifetime);
 }
 
 double Fleet::other_queries(const EndpointStatus& endpoint, double queries) const {
-    return settings_->instance_count < 2 ? 0 : std::max(0.0, queries - endpoint.open_at_report);
+    return settings_->instance_count < 2 ? 0 : std::max(0.0, queries - endpoint.open_attempts_at_report);
 }
 
-bool Fleet::under_pressure(const EndpointStatus& endpoint, Micros now) {
-    if (endpoint.slowdown > kPressureSlowdown)
+bool Fleet::is_congested(const EndpointStatus& endpoint, Micros now) {
+    if (endpoint.slowdown > kCongestedSlowdown)
         return true;
     if (now - endpoint.reported_at > kReportLifetime)
         return false;
@@ -128,11 +129,12 @@
            report.granted_memory_share.value_or(0) > kBusyShare || report.queue_depth.value_or(0) >= 1;
 }
 
-bool Fleet::reports_room(const EndpointStatus& endpoint, const UsualQuery& usual, Micros now) const {
+bool Fleet::reports_free_capacity(const EndpointStatus& endpoint, const TypicalQuery& typical_query,
+                                  Micros now) const {
     if (now - endpoint.reported_at > kReportLifetime || !endpoint.report.running_queries)
         return false;
-    return !under_pressure(endpoint, now) &&
-           queries_at(endpoint, usual, now) * usual.threads <= kSaturationThreadsPerCore * endpoint.cores;
+    return !is_congested(endpoint, now) && queries_at(endpoint, typical_query, now) * typical_query.threads <=
+                                               kSaturationThreadsPerCore * endpoint.cores;
 }
 
 }  // namespace gatetiller::policy
--- a/src/policy/fleet.hpp
+++ b/src/policy/fleet.hpp
@@ -48,12 +48,12 @@
     // Last load report, and when it was received.
     LoadReport report;
     Micros reported_at = -kReportLifetime;
-    int open_at_report = 0;  // open attempts of this gateway at that time
-    double slowdown = 1;     // mean ratio of run times to expected run times
-    Micros last_alive = 0;   // time of the last response, load report or progress message
+    int open_attempts_at_report = 0;  // open attempts of this gateway at that time
+    double slowdown = 1;              // mean ratio of run times to expected run times
+    Micros last_active_at = 0;        // time of the last response, load report or progress message
     Micros health_checked_at = 0;
     EndpointHealth health;
-    SlowStartUse slow_start;
+    SlowStartUsage slow_start;
 
     bool takes_requests() const {
         return listed && description.state == EndpointState::ready;
@@ -67,7 +67,7 @@
 public:
     static constexpr int kNotFound = -1;
 
-    // `settings` outlives it.
+    // `settings` must outlive this object.
     explicit Fleet(const PolicySettings& settings);
 
     // Applies an endpoint list update. A later start time of an endpoint means a new process, whose health
@@ -79,8 +79,8 @@
     void add_attempt(int endpoint, AttemptRef ref, const Attempt& attempt);
     void remove_attempt(int endpoint, AttemptRef ref, const Attempt& attempt);
     // Marks the endpoint as alive, and records its load report if there is one.
-    void observe_report(int endpoint, const std::optional<LoadReport>& report, const UsualQuery& usual,
-                        Micros now);
+    void observe_report(int endpoint, const std::optional<LoadReport>& report,
+                        const TypicalQuery& typical_query, Micros now);
     // Records the slowdown of an attempt that succeeded.
     void observe_completion(int endpoint, double slowdown);
     // Records the slowdown of a running attempt.
@@ -91,13 +91,14 @@
 
     // Returns the estimated number of all gateways' queries at an endpoint, from its last load report and the
     // mean of the fleet.
-    double queries_at(const EndpointStatus& endpoint, const UsualQuery& usual, Micros now) const;
+    double queries_at(const EndpointStatus& endpoint, const TypicalQuery& typical_query, Micros now) const;
     // Returns how many of all `queries` at an endpoint belong to other gateways.
     double other_queries(const EndpointStatus& endpoint, double queries) const;
     // Returns whether an endpoint is slow or recently reported that it is busy.
-    static bool under_pressure(const EndpointStatus& endpoint, Micros now);
+    static bool is_congested(const EndpointStatus& endpoint, Micros now);
     // Returns whether an endpoint recently reported a load too low to explain a rejection.
-    bool reports_room(const EndpointStatus& endpoint, const UsualQuery& usual, Micros now) const;
+    bool reports_free_capacity(const EndpointStatus& endpoint, const TypicalQuery& typical_query,
+                               Micros now) const;
 
     // Returns whether any endpoint has reported its load recently.
     bool has_recent_report(Micros now) const {
@@ -109,7 +110,7 @@
     }
     // Mean ratio of run times to expected run times, at least 1. Endpoints are compared with it, so that a
     // slowdown of the whole fleet is attributed to none of them.
-    double usual_slowdown() const {
+    double mean_slowdown() const {
         return std::max(1.0, completed_slowdown_);
     }
     // Mean slowdown that also includes running attempts.
--- a/src/policy/gateway_policy.cpp
+++ b/src/policy/gateway_policy.cpp
@@ -23,10 +23,10 @@
 constexpr Micros kRefitPeriod = 500 * kMillisecond;
 constexpr Micros kAdjustPeriod = kSecondMicros;
 constexpr double kWatchRetryShare = 0.25;  // of the watch deadline, after which the subscription is retried
-constexpr Micros kStallTime = 200 * kMillisecond;  // without any event: this gateway was stalled
-constexpr double kWaitsForLoad = 2;                // AttemptProgress::value for waiting on a table group lock
-constexpr int kMovesFromLoad = 2;                  // retries of one request because of table group locks
-constexpr double kLeastFractionDone = 0.01;
+constexpr Micros kStallThreshold = 200 * kMillisecond;  // without any event: this gateway was stalled
+constexpr double kWaitReasonTableLock = 2;  // AttemptProgress::value for waiting on a table group lock
+constexpr int kMaxTableLockRetries = 2;     // retries of one request because of table group locks
+constexpr double kMinFractionDone = 0.01;
 
 // Returns whether the endpoint may still run an attempt with this outcome.
 bool may_still_run(AttemptOutcome outcome) {
@@ -38,7 +38,10 @@
 class GatewayPolicy::Impl {
 public:
     Impl(Micros now, std::uint64_t seed, PolicySettings settings)
-        : state_(now, seed, std::move(settings)), lifecycle_(state_), refit_at_(now), adjusted_at_(now) {}
+        : state_(now, seed, std::move(settings)),
+          lifecycle_(state_),
+          last_refit_at_(now),
+          last_adjusted_at_(now) {}
 
     std::vector<Action> start();
     std::vector<Action> handle(Micros at, const Event& event);
@@ -74,34 +77,34 @@
 
     void advance_key_order();
     void adjust_shares();
-    void watch_again();
+    void resubscribe();
     void check_health();
 
     policy::PolicyState state_;
     policy::RequestLifecycle lifecycle_;
     bool subscribed_ = false;  // to the endpoint list
-    Micros watch_asked_at_ = 0;
-    Micros refit_at_;
-    Micros adjusted_at_;
+    Micros last_watch_at_ = 0;
+    Micros last_refit_at_;
+    Micros last_adjusted_at_;
 };
 
 std::vector<Action> GatewayPolicy::Impl::start() {
     if (state_.settings.watches_endpoints) {
         state_.actions.emplace_back(WatchEndpoints{});
-        watch_asked_at_ = state_.now;
+        last_watch_at_ = state_.now;
     }
     state_.actions.emplace_back(StartTimer{policy::kTickPeriod, 0});
     return std::exchange(state_.actions, {});
 }
 
 std::vector<Action> GatewayPolicy::Impl::handle(Micros at, const Event& event) {
-    if (at > state_.now + kStallTime)
+    if (at > state_.now + kStallThreshold)
         state_.resumed_at = at;
     state_.now = std::max(state_.now, at);
     state_.retry_budget.expire(state_.now - state_.settings.retry_budget_window);
     std::visit(
-        [this](const auto& one) {
-            on(one);
+        [this](const auto& concrete_event) {
+            on(concrete_event);
         },
         event);
     lifecycle_.dispatch_queued();
@@ -119,15 +122,16 @@
 void GatewayPolicy::Impl::on(const HealthCheckCompleted& check) {
     const int endpoint = state_.fleet.find(check.engine);
     if (endpoint != policy::Fleet::kNotFound && check.outcome == AttemptOutcome::succeeded)
-        state_.fleet.observe_report(endpoint, check.load_report, state_.statistics.usual(), state_.now);
+        state_.fleet.observe_report(endpoint, check.load_report, state_.statistics.typical_query(),
+                                    state_.now);
 }
 
 // ---- Arrivals
 
 int GatewayPolicy::Impl::class_index(const std::string& name) const {
     const auto& classes = state_.settings.classes;
-    const auto found = std::find_if(classes.begin(), classes.end(), [&](const ClassSettings& one) {
-        return one.name == name;
+    const auto found = std::find_if(classes.begin(), classes.end(), [&](const ClassSettings& class_settings) {
+        return class_settings.name == name;
     });
     return found == classes.end() ? -1 : static_cast<int>(found - classes.begin());
 }
@@ -151,13 +155,13 @@
     state_.retry_budget.count_request(state_.now);
     state_.health_checks.count_arrival();
     fill_request(request, arrival, index);
-    state_.statistics.count_usual(request);
-    state_.sensitive_share.count_arrival(state_.statistics.of(request).sensitive);
+    state_.statistics.add_to_typical_query(request);
+    state_.sensitive_share.count_arrival(state_.statistics.class_statistics(request).sensitive);
     if (state_.class_of(request).ordered_by_key && !arrival.ordering_key.empty()) {
         request.ordering_key = arrival.ordering_key;
         state_.key_order.add(state_.requests, slot);
     }
-    lifecycle_.proceed(slot);
+    lifecycle_.advance(slot);
 }
 
 void GatewayPolicy::Impl::fill_request(ActiveRequest& request, const RequestArrived& arrival,
@@ -179,7 +183,7 @@
     request.objective_at = now + std::min(arrival.time_left, class_settings.latency_objective + stretch);
     request.dispatch_by = state_.statistics.dispatch_by(request, now);
     if (!state_.quotas.empty())
-        request.over_quota = !state_.quotas[request.tenant_index].take(now);
+        request.over_quota = !state_.quotas[request.tenant_index].try_consume(now);
 }
 
 // ---- Client events
@@ -187,7 +191,7 @@
 void GatewayPolicy::Impl::on(const ResponseStarted& started) {
     const int slot = state_.requests.find(started.id);
     if (slot != policy::RequestTable::kNotFound)
-        state_.requests[slot].streaming = true;
+        state_.requests[slot].response_started = true;
 }
 
 void GatewayPolicy::Impl::on(const ClientDisconnected& disconnected) {
@@ -222,14 +226,15 @@
     state_.fleet.remove_attempt(attempt.endpoint, {slot, completed.attempt}, attempt);
     state_.limit.remove(attempt);
     if (!may_still_run(outcome) && outcome != AttemptOutcome::connection_refused)
-        endpoint.last_alive = state_.now;
+        endpoint.last_active_at = state_.now;
     if (completed.load_report)
-        state_.fleet.observe_report(attempt.endpoint, completed.load_report, state_.statistics.usual(),
-                                    state_.now);
+        state_.fleet.observe_report(attempt.endpoint, completed.load_report,
+                                    state_.statistics.typical_query(), state_.now);
     update_health(request, attempt, outcome);
     const bool succeeded = outcome == AttemptOutcome::succeeded;
-    const bool ended_while_alive = may_still_run(outcome) && endpoint.last_alive >= attempt.dispatched_at;
-    if (!state_.settings.cost_in_responses && (succeeded || ended_while_alive))
+    const bool ended_while_endpoint_active =
+        may_still_run(outcome) && endpoint.last_active_at >= attempt.dispatched_at;
+    if (!state_.settings.cost_in_responses && (succeeded || ended_while_endpoint_active))
         state_.limit.observe_late(!succeeded ||
                                   completed.duration > request.objective_at - request.arrived_at);
     if (!proves_not_executed(outcome) && request.first_executed_endpoint < 0) {
@@ -245,15 +250,15 @@
         request.finished = true;
     }
     if (outcome == AttemptOutcome::rejected)
-        request.not_before = state_.now + policy::kTickPeriod;
-    lifecycle_.proceed(slot);
-    state_.requests.release_if_over(slot);
+        request.earliest_attempt_at = state_.now + policy::kTickPeriod;
+    lifecycle_.advance(slot);
+    state_.requests.release_if_finished(slot);
 }
 
 void GatewayPolicy::Impl::update_health(ActiveRequest& request, Attempt& attempt, AttemptOutcome outcome) {
     EndpointStatus& endpoint = state_.fleet[attempt.endpoint];
     endpoint.health.observe_connection(outcome);
-    switch (policy::judge_health({outcome, attempt.dispatched_at, endpoint.last_alive})) {
+    switch (policy::evaluate_health({outcome, attempt.dispatched_at, endpoint.last_active_at})) {
         case HealthVerdict::none:
             break;
         case HealthVerdict::success:
@@ -289,7 +294,7 @@
 // Pauses dispatch to an endpoint after a rejection. If the endpoint reports free capacity the rejection is
 // specific to this class, and only this class is paused.
 void GatewayPolicy::Impl::pause_after_rejection(EndpointStatus& endpoint, int class_index) const {
-    if (state_.fleet.reports_room(endpoint, state_.statistics.usual(), state_.now))
+    if (state_.fleet.reports_free_capacity(endpoint, state_.statistics.typical_query(), state_.now))
         endpoint.health.pause_class(class_index, state_.now);
     else
         endpoint.health.pause_all(state_.now);
@@ -298,10 +303,10 @@
 void GatewayPolicy::Impl::learn_from_success(const ActiveRequest& request, const Attempt& attempt,
                                              const AttemptCompleted& completed) {
     state_.statistics.learn_cost(request, attempt, completed);
-    const std::optional<double> contention = state_.statistics.learn_run(request, attempt, completed);
+    const std::optional<double> contention = state_.statistics.learn_run_time(request, attempt, completed);
     if (contention)
         state_.limit.observe_contention(*contention);
-    state_.statistics.add_answer(request, completed.duration, state_.now);
+    state_.statistics.add_response(request, completed.duration, state_.now);
     state_.fleet.observe_completion(attempt.endpoint,
                                     attempt.slowdown(static_cast<double>(completed.duration)));
 }
@@ -315,7 +320,7 @@
     Attempt* const attempt = find_attempt(slot, progress.attempt);
     if (attempt == nullptr)
         return;
-    state_.fleet[attempt->endpoint].last_alive = state_.now;
+    state_.fleet[attempt->endpoint].last_active_at = state_.now;
     if (!attempt->open)
         return;
     attempt->last_progress_at = state_.now;
@@ -327,8 +332,8 @@
         case ProgressKind::waiting:
             // An attempt blocked by a load makes no progress, so cancelling it loses no work. If two retries
             // were also blocked, most endpoints probably run a load, and the attempt stays.
-            if (progress.value == kWaitsForLoad && progress.attempt < kMovesFromLoad &&
-                policy::may_move(state_.settings, request))
+            if (progress.value == kWaitReasonTableLock && progress.attempt < kMaxTableLockRetries &&
+                policy::may_cancel_and_retry(state_.settings, request))
                 cancel(request, progress.attempt);
             break;
         case ProgressKind::fraction_done:
@@ -352,16 +357,16 @@
 void GatewayPolicy::Impl::observe_fraction(ActiveRequest& request, Attempt& attempt,
                                            const AttemptProgress& progress) {
     attempt.fraction_done = std::clamp(progress.value, 0.0, 1.0);
-    const double projected_run = static_cast<double>(state_.now - attempt.dispatched_at) /
-                                 std::max(attempt.fraction_done, kLeastFractionDone);
-    state_.fleet.observe_progress(attempt.endpoint, attempt.slowdown(projected_run));
-    const double usual_run =
-        std::max(state_.statistics.run_time(request) * state_.fleet.usual_slowdown(), request.projected_run);
-    if (!policy::may_move(state_.settings, request) ||
-        !policy::is_runaway(projected_run * (1 - attempt.fraction_done), usual_run))
+    const double projected_run_time = static_cast<double>(state_.now - attempt.dispatched_at) /
+                                      std::max(attempt.fraction_done, kMinFractionDone);
+    state_.fleet.observe_progress(attempt.endpoint, attempt.slowdown(projected_run_time));
+    const double typical_run_time = std::max(
+        state_.statistics.run_time(request) * state_.fleet.mean_slowdown(), request.projected_run_time);
+    if (!policy::may_cancel_and_retry(state_.settings, request) ||
+        !policy::is_runaway(projected_run_time * (1 - attempt.fraction_done), typical_run_time))
         return;
-    if (request.estimated_work <= 0 && request.projected_run <= 0)
-        request.projected_run = projected_run;
+    if (request.estimated_work <= 0 && request.projected_run_time <= 0)
+        request.projected_run_time = projected_run_time;
     cancel(request, progress.attempt);
 }
 
@@ -373,39 +378,39 @@
     lifecycle_.expire();
     policy::monitor_attempts(state_);
     lifecycle_.defer_overload();
-    if (state_.now - refit_at_ >= kRefitPeriod) {
-        refit_at_ = state_.now;
+    if (state_.now - last_refit_at_ >= kRefitPeriod) {
+        last_refit_at_ = state_.now;
         state_.statistics.refit(state_.now);
     }
-    if (state_.now - adjusted_at_ >= kAdjustPeriod) {
-        adjusted_at_ = state_.now;
+    if (state_.now - last_adjusted_at_ >= kAdjustPeriod) {
+        last_adjusted_at_ = state_.now;
         adjust_shares();
     }
-    watch_again();
+    resubscribe();
     check_health();
 }
 
 void GatewayPolicy::Impl::advance_key_order() {
     state_.key_order.advance(state_.requests, state_.now, [this](int slot) {
-        lifecycle_.proceed(slot);
+        lifecycle_.advance(slot);
     });
 }
 
 void GatewayPolicy::Impl::adjust_shares() {
-    const auto streams = state_.statistics.sensitive_streams();
+    const auto streams = state_.statistics.summarize_sensitive_streams();
     if (streams)
         state_.sensitive_share.adjust(*streams);
     if (state_.settings.load_report_source == LoadReportSource::none)
-        state_.statistics.relax_calm_runs();
+        state_.statistics.relax_uncontended_run_times();
     state_.limit.adjust(state_.settings);
 }
 
-void GatewayPolicy::Impl::watch_again() {
+void GatewayPolicy::Impl::resubscribe() {
     const auto retry_after =
         static_cast<Micros>(kWatchRetryShare * static_cast<double>(state_.settings.watch_deadline));
-    if (!state_.settings.watches_endpoints || subscribed_ || state_.now - watch_asked_at_ < retry_after)
+    if (!state_.settings.watches_endpoints || subscribed_ || state_.now - last_watch_at_ < retry_after)
         return;
-    watch_asked_at_ = state_.now;
+    last_watch_at_ = state_.now;
     state_.actions.emplace_back(WatchEndpoints{});
 }
 
--- a/src/policy/health_checks.cpp
+++ b/src/policy/health_checks.cpp
@@ -6,12 +6,12 @@
 namespace {
 
 constexpr double kChecksPerRequest = 0.4;
-constexpr double kLargestCredit = 2;
+constexpr double kMaxCredit = 2;
 
 }  // namespace
 
 void HealthCheckSchedule::count_arrival() {
-    credit_ = std::min(credit_ + kChecksPerRequest, kLargestCredit);
+    credit_ = std::min(credit_ + kChecksPerRequest, kMaxCredit);
 }
 
 EndpointStatus* HealthCheckSchedule::next(Fleet& fleet, Micros now) {
--- a/src/policy/key_order.cpp
+++ b/src/policy/key_order.cpp
@@ -5,13 +5,13 @@
 void KeyOrder::add(RequestTable& requests, int slot) {
     ActiveRequest& request = requests[slot];
     request.in_key_order = true;
-    lines_[request.ordering_key].push_back(slot);
+    queues_[request.ordering_key].push_back(slot);
 }
 
-bool KeyOrder::has_turn(const RequestTable& requests, const ActiveRequest& request, Micros now) const {
+bool KeyOrder::allows_dispatch(const RequestTable& requests, const ActiveRequest& request, Micros now) const {
     if (!request.in_key_order)
         return true;
-    if (requests[lines_.at(request.ordering_key).front()].sequence != request.sequence)
+    if (requests[queues_.at(request.ordering_key).front()].sequence != request.sequence)
         return false;
     // The pause applies to later requests, not to retries of the request that caused it.
     const auto pause = paused_until_.find(request.ordering_key);
@@ -22,12 +22,13 @@
     paused_until_[key] = until;
 }
 
-void KeyOrder::drop_finished_heads(RequestTable& requests, std::deque<int>& line) {
-    while (!line.empty() && requests[line.front()].finished && !requests[line.front()].has_open_attempt()) {
-        const int slot = line.front();
+void KeyOrder::drop_finished_heads(RequestTable& requests, std::deque<int>& queue) {
+    while (!queue.empty() && requests[queue.front()].finished &&
+           !requests[queue.front()].has_open_attempt()) {
+        const int slot = queue.front();
         requests[slot].in_key_order = false;
-        requests.release_if_over(slot);
-        line.pop_front();
+        requests.release_if_finished(slot);
+        queue.pop_front();
     }
 }
 
--- a/src/policy/latency_budget.cpp
+++ b/src/policy/latency_budget.cpp
@@ -11,8 +11,8 @@
 constexpr int kBudgetBisections = 12;
 constexpr int kShapeBisections = 60;
 // Range of log(phi). The variation decreases as phi grows.
-constexpr double kLowestLogShape = -14;
-constexpr double kHighestLogShape = 60;
+constexpr double kMinLogShape = -14;
+constexpr double kMaxLogShape = 60;
 
 // Returns the mean of the distribution with this shape, in units of its scale omega.
 double mean_over_scale(double shape) {
@@ -31,9 +31,9 @@
 }  // namespace
 
 double generalized_exponential_shape(double variation) {
-    variation = std::clamp(variation, kLowestVariation, kHighestVariation);
-    double low = kLowestLogShape;
-    double high = kHighestLogShape;
+    variation = std::clamp(variation, kMinVariation, kMaxVariation);
+    double low = kMinLogShape;
+    double high = kMaxLogShape;
     for (int i = 0; i < kShapeBisections; ++i) {
         const double middle = (low + high) / 2;
         const double shape = std::exp(middle);
@@ -62,9 +62,9 @@
         const double by_deadline = cdf(input.deadline, shape, mean / factor);
         const double ratio =
             ((by_deadline - by_objective) * kLateDisengagement + (1 - by_deadline)) / input.target;
-        if (ratio >= kLowestOnTargetRatio && ratio <= kHighestOnTargetRatio)
+        if (ratio >= kMinOnTargetRatio && ratio <= kMaxOnTargetRatio)
             break;
-        if (ratio < kLowestOnTargetRatio)
+        if (ratio < kMinOnTargetRatio)
             low = mean;
         else
             high = mean;
--- a/src/policy/latency_budget.hpp
+++ b/src/policy/latency_budget.hpp
@@ -14,11 +14,11 @@
 constexpr double kLateDisengagement = 0.5;
 // Range of the ratio of disengagement to target in which a stream is on target: it meets its target without
 // slots to spare.
-constexpr double kLowestOnTargetRatio = 0.95;
-constexpr double kHighestOnTargetRatio = 0.98;
+constexpr double kMinOnTargetRatio = 0.95;
+constexpr double kMaxOnTargetRatio = 0.98;
 // Range of the coefficient of variation that the fit resolves.
-constexpr double kLowestVariation = 0.03;
-constexpr double kHighestVariation = 20;
+constexpr double kMinVariation = 0.03;
+constexpr double kMaxVariation = 20;
 
 // Returns the shape (phi) of the fit with the coefficient of variation `variation`, clamped to the range
 // above.
--- a/src/policy/latency_stream.hpp
+++ b/src/policy/latency_stream.hpp
@@ -14,21 +14,21 @@
 struct LatencySample {
     Micros at = 0;
     double latency = 0;        // from arrival to response
-    double run = 0;            // run time of the attempt that succeeded
+    double run_time = 0;       // run time of the attempt that succeeded
     double disengagement = 0;  // 0 within the objective, 0.5 within the deadline, else 1
 };
 
 struct LatencyFitInput {
     Micros now = 0;
-    double expected_run = 0;  // expected run time of the class
+    double expected_run_time = 0;  // expected run time of the class
     double objective = 0;
     double deadline = 0;
 };
 
 struct LatencyFit {
-    bool has_samples = false;  // enough samples; otherwise `variation` and `run` are assumed
+    bool has_samples = false;  // enough samples; otherwise `variation` and `run_time` are assumed
     double variation = 1;      // coefficient of variation of the latencies
-    double run = 0;            // mean run time
+    double run_time = 0;       // mean run time
     double budget = 0;         // mean latency that meets the target
     double target_ratio = 0;   // ratio of disengagement to target
 };
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -5,10 +5,10 @@
 namespace gatetiller::policy {
 namespace {
 
-constexpr double kErrorStep = 0.15;
+constexpr double kErrorWeight = 0.15;
 constexpr double kEjectionErrorRate = 0.25;  // reached by two consecutive failures
 constexpr Micros kFirstEjectionTime = 500 * kMillisecond;
-constexpr Micros kLongestEjectionTime = 4 * kSecondMicros;
+constexpr Micros kMaxEjectionTime = 4 * kSecondMicros;
 constexpr Micros kRejectionPause = kSecondMicros;
 
 }  // namespace
@@ -26,13 +26,13 @@
 }
 
 void EndpointHealth::observe_success() {
-    error_rate_ *= 1 - kErrorStep;
+    error_rate_ *= 1 - kErrorWeight;
     if (!suspected())
         ejection_time_ = 0;
 }
 
 double EndpointHealth::add_error(Micros now) {
-    const double added = kErrorStep * (1 - error_rate_);
+    const double added = kErrorWeight * (1 - error_rate_);
     error_rate_ += added;
     if (error_rate_ >= kEjectionErrorRate)
         eject(now);
@@ -46,7 +46,7 @@
 void EndpointHealth::eject(Micros now) {
     if (now < ejected_until_)
         return;
-    ejection_time_ = std::clamp(ejection_time_ * 2, kFirstEjectionTime, kLongestEjectionTime);
+    ejection_time_ = std::clamp(ejection_time_ * 2, kFirstEjectionTime, kMaxEjectionTime);
     ejected_until_ = now + ejection_time_;
     error_rate_ = std::max(error_rate_, kEjectionErrorRate);
 }
@@ -63,8 +63,8 @@
     *this = EndpointHealth{};
 }
 
-HealthVerdict judge_health(const HealthEvidence& evidence) {
-    switch (evidence.outcome) {
+HealthVerdict evaluate_health(const HealthInput& input) {
+    switch (input.outcome) {
         case AttemptOutcome::succeeded:
             return HealthVerdict::success;
         case AttemptOutcome::failed:
@@ -75,8 +75,8 @@
         case AttemptOutcome::connection_reset:
             return HealthVerdict::unreachable;
         case AttemptOutcome::timed_out:
-            return evidence.endpoint_last_alive < evidence.dispatched_at ? HealthVerdict::unreachable
-                                                                         : HealthVerdict::none;
+            return input.endpoint_last_active_at < input.dispatched_at ? HealthVerdict::unreachable
+                                                                       : HealthVerdict::none;
         case AttemptOutcome::cancelled:
         case AttemptOutcome::not_sent:
             return HealthVerdict::none;
@@ -90,10 +90,10 @@
     });
 }
 
-bool is_silent(const SilenceEvidence& evidence) {
-    const Micros last_sign =
-        std::max({evidence.oldest_dispatch, evidence.last_alive, evidence.gateway_resumed_at});
-    return evidence.now - last_sign >= evidence.progress_period + kSilenceGrace;
+bool is_silent(const SilenceInput& input) {
+    const Micros last_activity =
+        std::max({input.oldest_dispatch, input.last_active_at, input.gateway_resumed_at});
+    return input.now - last_activity >= input.progress_period + kSilenceGrace;
 }
 
 }  // namespace gatetiller::policy
--- a/src/policy/outlier_detector.hpp
+++ b/src/policy/outlier_detector.hpp
@@ -68,29 +68,29 @@
     unreachable  // refused, reset or silent: the endpoint is ejected
 };
 
-struct HealthEvidence {
+struct HealthInput {
     AttemptOutcome outcome = AttemptOutcome::succeeded;
-    Micros dispatched_at = 0;        // dispatch time of the attempt
-    Micros endpoint_last_alive = 0;  // time of the last activity of the endpoint
+    Micros dispatched_at = 0;            // dispatch time of the attempt
+    Micros endpoint_last_active_at = 0;  // time of the last activity of the endpoint
 };
 
-HealthVerdict judge_health(const HealthEvidence& evidence);
+HealthVerdict evaluate_health(const HealthInput& input);
 
 // Returns whether an attempt of the request failed at another endpoint than `attempt` did, so that the
 // failure is attributed to the request.
 bool failed_elsewhere(const ActiveRequest& request, const Attempt& attempt);
 
-struct SilenceEvidence {
+struct SilenceInput {
     Micros now = 0;
     Micros progress_period = 0;     // above 0
     Micros oldest_dispatch = 0;     // dispatch time of its oldest open attempt
-    Micros last_alive = 0;          // time of the last activity of the endpoint
+    Micros last_active_at = 0;      // time of the last activity of the endpoint
     Micros gateway_resumed_at = 0;  // end of this gateway's last stall, during which it got no events
 };
 
 // Returns whether an endpoint with open attempts sent neither a progress message nor a response within the
 // progress period plus kSilenceGrace.
-bool is_silent(const SilenceEvidence& evidence);
+bool is_silent(const SilenceInput& input);
 
 // Delay beyond the progress period after which a missing progress message means silence.
 constexpr Micros kSilenceGrace = 600 * kMillisecond;
--- a/src/policy/request_lifecycle.cpp
+++ b/src/policy/request_lifecycle.cpp
@@ -26,8 +26,8 @@
 
 double shortest_objective(const PolicySettings& settings) {
     Micros shortest = settings.classes.front().latency_objective;
-    for (const ClassSettings& one : settings.classes)
-        shortest = std::min(shortest, one.latency_objective);
+    for (const ClassSettings& class_settings : settings.classes)
+        shortest = std::min(shortest, class_settings.latency_objective);
     return static_cast<double>(shortest);
 }
 
@@ -35,23 +35,23 @@
 
 bool RequestLifecycle::may_attempt(const ActiveRequest& request) const {
     const AttemptInput input{state_->settings, state_->retry_budget, request, state_->now};
-    return judge_attempt(input) == AttemptVerdict::allowed;
+    return check_attempt(input) == AttemptVerdict::allowed;
 }
 
 QueueInput RequestLifecycle::queue_input(const ActiveRequest& request) const {
     return {state_->settings, request, state_->statistics.run_time(request),
-            state_->statistics.of(request).sensitive, state_->now};
+            state_->statistics.class_statistics(request).sensitive, state_->now};
 }
 
-void RequestLifecycle::proceed(int slot) {
+void RequestLifecycle::advance(int slot) {
     const ActiveRequest& request = state_->requests[slot];
     if (request.finished || request.has_open_attempt() || request.queued)
         return;
     if (!may_attempt(request)) {
-        give_up(slot, TerminationReason::attempts_exhausted);
+        terminate(slot, TerminationReason::attempts_exhausted);
         return;
     }
-    if (state_->key_order.has_turn(state_->requests, request, state_->now))
+    if (state_->key_order.allows_dispatch(state_->requests, request, state_->now))
         state_->queue.insert(slot, queue_input(request));
 }
 
@@ -73,7 +73,7 @@
 
 bool RequestLifecycle::try_dispatch(int slot) {
     const ActiveRequest& request = state_->requests[slot];
-    if (state_->now < request.not_before || !may_attempt(request))
+    if (state_->now < request.earliest_attempt_at || !may_attempt(request))
         return false;
     const SelectionInput input{state_->settings, state_->requests, state_->fleet, state_->statistics,
                                state_->limit,    state_->random,   state_->now};
@@ -88,12 +88,12 @@
     ActiveRequest& request = state_->requests[slot];
     EndpointStatus& status = state_->fleet[endpoint];
     const ClassSettings& class_settings = state_->class_of(request);
-    const ClassStatistics& statistics = state_->statistics.of(request);
+    const ClassStatistics& statistics = state_->statistics.class_statistics(request);
     state_->queue.erase(slot);
     const double granted_mb = memory_grant_mb(state_->settings, status.memory_mb, request.memory_mb);
     grant_resources(request, granted_mb);
     const TimeoutInput timeout{state_->settings, request, status.health.suspected(),
-                               state_->statistics.run_time(request) * state_->fleet.usual_slowdown(),
+                               state_->statistics.run_time(request) * state_->fleet.mean_slowdown(),
                                state_->now};
     state_->actions.emplace_back(
         DispatchAttempt{request.id, status.description.id, attempt_timeout(timeout)});
@@ -126,7 +126,7 @@
     request.priority = priority;
 }
 
-void RequestLifecycle::give_up(int slot, TerminationReason reason) {
+void RequestLifecycle::terminate(int slot, TerminationReason reason) {
     ActiveRequest& request = state_->requests[slot];
     if (request.finished)
         return;
@@ -146,12 +146,12 @@
     state_->queue.erase(slot);
     state_->requests[slot].finished = true;
     cancel_open_attempts(slot);
-    state_->requests.release_if_over(slot);
+    state_->requests.release_if_finished(slot);
 }
 
 void RequestLifecycle::cancel_open_attempts(int slot) {
     const ActiveRequest& request = state_->requests[slot];
-    if (!state_->settings.can_cancel || request.streaming)
+    if (!state_->settings.can_cancel || request.response_started)
         return;
     for (std::size_t attempt = 0; attempt < request.attempts.size(); ++attempt)
         if (request.attempts[attempt].open)
@@ -161,7 +161,7 @@
 void RequestLifecycle::expire() {
     for (int slot = 0; slot < state_->requests.size(); ++slot) {
         const ActiveRequest& request = state_->requests[slot];
-        if (!request.in_use || request.finished || request.streaming)
+        if (!request.in_use || request.finished || request.response_started)
             continue;
         if (request.has_open_attempt())
             expire_running(slot);
@@ -172,22 +172,22 @@
 
 void RequestLifecycle::expire_waiting(int slot) {
     const ActiveRequest& request = state_->requests[slot];
-    const std::optional<TerminationReason> reason = judge_waiting(waiting_input(*state_, request));
+    const std::optional<TerminationReason> reason = check_waiting(waiting_input(*state_, request));
     if (reason)
-        give_up(slot, *reason);
+        terminate(slot, *reason);
     else if (!may_attempt(request))
-        give_up(slot, TerminationReason::attempts_exhausted);
+        terminate(slot, TerminationReason::attempts_exhausted);
     else if (request.queued && request.side != QueueSide::deferred &&
-             judge_side(queue_input(request)) == QueueSide::deferred)
+             select_side(queue_input(request)) == QueueSide::deferred)
         requeue(slot);
 }
 
 void RequestLifecycle::expire_running(int slot) {
     ActiveRequest& request = state_->requests[slot];
     const PolicySettings& settings = state_->settings;
-    if (is_worthless(waiting_input(*state_, request)) && settings.can_cancel &&
+    if (has_lost_value(waiting_input(*state_, request)) && settings.can_cancel &&
         state_->class_of(request).idempotency == Idempotency::idempotent) {
-        give_up(slot, TerminationReason::objective_missed);
+        terminate(slot, TerminationReason::objective_missed);
         return;
     }
     if (settings.supports_priorities)
--- a/src/policy/request_lifecycle.hpp
+++ b/src/policy/request_lifecycle.hpp
@@ -9,12 +9,12 @@
 
 class RequestLifecycle {
 public:
-    // `state` outlives it.
+    // `state` must outlive this object.
     explicit RequestLifecycle(PolicyState& state) : state_(&state) {}
 
     // Advances an unfinished request without an open attempt: queues it for a slot, leaves it waiting in the
     // queue of its ordering key, or terminates it.
-    void proceed(int slot);
+    void advance(int slot);
     // Dispatches queued requests until no endpoint has capacity for the next ones.
     void dispatch_queued();
     // Finishes a request whose client has its final response or has disconnected. Removes it from the queue
@@ -34,7 +34,7 @@
     bool try_dispatch(int slot);
     void dispatch(int slot, int endpoint);
     void grant_resources(ActiveRequest& request, double memory_mb);
-    void give_up(int slot, TerminationReason reason);
+    void terminate(int slot, TerminationReason reason);
     void cancel_open_attempts(int slot);
     void expire_waiting(int slot);
     void expire_running(int slot);
--- a/src/policy/request_table.cpp
+++ b/src/policy/request_table.cpp
@@ -24,7 +24,7 @@
     return slot;
 }
 
-void RequestTable::release_if_over(int slot) {
+void RequestTable::release_if_finished(int slot) {
     ActiveRequest& request = requests_[slot];
     if (!request.in_use || !request.finished || request.has_open_attempt() || request.in_key_order)
         return;
--- a/src/policy/request_table.hpp
+++ b/src/policy/request_table.hpp
@@ -20,7 +20,7 @@
     // Adds a request and returns its slot. No active request may have the same id.
     int add(const std::string& id);
     // Frees the slot of a request that is finished, has no open attempt and is in no ordering key's queue.
-    void release_if_over(int slot);
+    void release_if_finished(int slot);
 
     // Returns the number of slots, used and free.
     int size() const {
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -17,14 +17,14 @@
     return static_cast<double>(retries_.size() + 1) <= allowed;
 }
 
-AttemptVerdict judge_attempt(const AttemptInput& input) {
+AttemptVerdict check_attempt(const AttemptInput& input) {
     const ActiveRequest& request = input.request;
-    if (request.finished || request.streaming)
-        return AttemptVerdict::request_over;
+    if (request.finished || request.response_started)
+        return AttemptVerdict::request_finished;
     if (input.now >= request.deadline_at)
         return AttemptVerdict::deadline_passed;
     if (static_cast<int>(request.attempts.size()) >= input.settings.max_attempts)
-        return AttemptVerdict::attempts_used;
+        return AttemptVerdict::attempts_exhausted;
     if (request.has_open_attempt())
         return AttemptVerdict::attempt_open;
     if (request.first_executed_endpoint >= 0) {
@@ -33,10 +33,10 @@
             return AttemptVerdict::may_have_executed;
         if (class_settings.idempotency == Idempotency::keyed &&
             input.now >= request.first_executed_at + class_settings.key_window)
-            return AttemptVerdict::key_window_over;
+            return AttemptVerdict::key_window_expired;
     }
     if (!request.attempts.empty() && !input.budget.allows_retry(input.settings))
-        return AttemptVerdict::budget_used;
+        return AttemptVerdict::budget_exhausted;
     return AttemptVerdict::allowed;
 }
 
@@ -54,8 +54,8 @@
     return class_settings.idempotency == Idempotency::keyed && class_settings.key_scope == KeyScope::all;
 }
 
-bool may_move(const PolicySettings& settings, const ActiveRequest& request) {
-    return settings.can_cancel && !request.finished && !request.streaming &&
+bool may_cancel_and_retry(const PolicySettings& settings, const ActiveRequest& request) {
+    return settings.can_cancel && !request.finished && !request.response_started &&
            settings.classes[request.class_index].idempotency != Idempotency::non_idempotent &&
            static_cast<int>(request.attempts.size()) < settings.max_attempts;
 }
--- a/src/policy/retry_policy.hpp
+++ b/src/policy/retry_policy.hpp
@@ -42,17 +42,17 @@
 
 enum class AttemptVerdict {
     allowed,
-    request_over,  // finished, or its response has started
+    request_finished,  // finished, or its response has started
     deadline_passed,
-    attempts_used,
+    attempts_exhausted,
     attempt_open,
-    may_have_executed,  // and must not execute twice
-    key_window_over,    // may have executed, and endpoints no longer drop a repeat
-    budget_used
+    may_have_executed,   // and must not execute twice
+    key_window_expired,  // may have executed, and endpoints no longer drop a repeat
+    budget_exhausted
 };
 
 // Returns whether the request may get an attempt, first or retry, at any endpoint.
-AttemptVerdict judge_attempt(const AttemptInput& input);
+AttemptVerdict check_attempt(const AttemptInput& input);
 
 // Returns whether `candidate` is within the scope in which the repeat of a keyed request is dropped. `first`
 // is the endpoint of the first attempt that may have executed.
@@ -63,6 +63,6 @@
 bool may_shed(const ClassSettings& class_settings, const ActiveRequest& request);
 
 // Returns whether cancelling the open attempt stops its work and leaves the request another attempt.
-bool may_move(const PolicySettings& settings, const ActiveRequest& request);
+bool may_cancel_and_retry(const PolicySettings& settings, const ActiveRequest& request);
 
 }  // namespace gatetiller::policy
--- a/src/policy/sensitive_share.cpp
+++ b/src/policy/sensitive_share.cpp
@@ -9,33 +9,33 @@
 
 constexpr double kDecreaseStep = 0.05;  // divided by the mean variation
 constexpr double kIncreaseStep = 0.25;  // as a share of the current value
-constexpr double kLowestShare = 0.05;
-constexpr double kHighestShare = 0.95;
-constexpr double kStartingArrivals = 100;
+constexpr double kMinShare = 0.05;
+constexpr double kMaxShare = 0.95;
+constexpr double kInitialArrivals = 100;
 
 }  // namespace
 
 double next_sensitive_share(double share, const SensitiveStreamSummary& streams) {
-    if (streams.worst_ratio > kHighestOnTargetRatio)
+    if (streams.worst_ratio > kMaxOnTargetRatio)
         share *= 1 + kIncreaseStep;
-    else if (streams.worst_ratio < kHighestOnTargetRatio && streams.best_ratio < kLowestOnTargetRatio)
-        share -= kDecreaseStep / std::max(streams.mean_variation, kLowestVariation);
-    return std::clamp(share, kLowestShare, kHighestShare);
+    else if (streams.worst_ratio < kMaxOnTargetRatio && streams.best_ratio < kMinOnTargetRatio)
+        share -= kDecreaseStep / std::max(streams.mean_variation, kMinVariation);
+    return std::clamp(share, kMinShare, kMaxShare);
 }
 
 void SensitiveShare::count_arrival(bool sensitive) {
     arrivals_ += 1;
     sensitive_arrivals_ += sensitive ? 1 : 0;
-    if (starting())
-        share_ = std::clamp(sensitive_arrivals_ / arrivals_, kLowestShare, kHighestShare);
+    if (is_starting())
+        share_ = std::clamp(sensitive_arrivals_ / arrivals_, kMinShare, kMaxShare);
 }
 
-bool SensitiveShare::starting() const {
-    return arrivals_ <= kStartingArrivals;
+bool SensitiveShare::is_starting() const {
+    return arrivals_ <= kInitialArrivals;
 }
 
 void SensitiveShare::adjust(const SensitiveStreamSummary& streams) {
-    if (!starting())
+    if (!is_starting())
         share_ = next_sensitive_share(share_, streams);
 }
 
--- a/src/policy/sensitive_share.hpp
+++ b/src/policy/sensitive_share.hpp
@@ -26,7 +26,7 @@
     // Counts one arrival. The share follows the first arrivals.
     void count_arrival(bool sensitive);
     // Returns whether the share still follows the first arrivals instead of the streams.
-    bool starting() const;
+    bool is_starting() const;
     // Adjusts the share by one step. Has no effect while starting.
     void adjust(const SensitiveStreamSummary& streams);
 
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -33,7 +33,7 @@
 };
 
 // Work that this gateway has sent to one starting endpoint within the overload window.
-class SlowStartUse {
+class SlowStartUsage {
 public:
     // Returns whether one more query is within this gateway's share, or is admitted by the random draw as the
     // only one of the window.
--- a/src/policy/tenant_quota.hpp
+++ b/src/policy/tenant_quota.hpp
@@ -10,15 +10,15 @@
 class TenantQuota {
 public:
     // `rate`: this gateway's requests per second; 0: no quota.
-    TenantQuota(double rate, Micros now) : rate_(rate), tokens_(rate), filled_at_(now) {}
+    TenantQuota(double rate, Micros now) : rate_(rate), tokens_(rate), refilled_at_(now) {}
 
     // Counts a request and returns whether it is within the quota.
-    bool take(Micros now);
+    bool try_consume(Micros now);
 
 private:
     double rate_;
     double tokens_;
-    Micros filled_at_;
+    Micros refilled_at_;
 };
 
 }  // namespace gatetiller::policy
--- a/src/policy/workload_statistics.cpp
+++ b/src/policy/workload_statistics.cpp
@@ -9,15 +9,15 @@
 namespace gatetiller::policy {
 namespace {
 
-constexpr double kSensitiveRunMicros = 1.0 * kSecondMicros;  // classes with a shorter run time are sensitive
+constexpr double kSensitiveRunTimeMicros = 1.0 * kSecondMicros;  // classes below it are sensitive
 constexpr double kSensitiveHysteresis = 0.1;  // share of that limit by which the run time must cross it
-constexpr double kUncontendedShare = 0.3;  // share of the lowest latencies, which include little contention
-constexpr double kUnknownAnswers = 3;      // a guessed work is replaced only after more responses
-constexpr double kCalmAnswers = 10;     // needed for the run time without contention, if work is not reported
-constexpr double kCalmGrowth = 1.002;   // per second; doubles in about six minutes
-constexpr double kLargestRunRatio = 3;  // ratio to the usual one, for one response
-constexpr double kLowestCostRatio = 0.05;  // ratio of actual cost to estimate
-constexpr double kHighestCostRatio = 20;
+constexpr double kUncontendedShare = 0.3;    // share of the lowest latencies, which include little contention
+constexpr double kGuessedWorkResponses = 3;  // a guessed work is replaced only after more responses
+constexpr double kUncontendedResponses = 10;  // minimum for uncontended_run_time_ratio without reported work
+constexpr double kUncontendedGrowth = 1.002;  // per second; doubles in about six minutes
+constexpr double kMaxRunTimeRatioFactor = 3;  // ratio to the typical one, for one response
+constexpr double kMinCostRatio = 0.05;        // ratio of actual cost to estimate
+constexpr double kMaxCostRatio = 20;
 
 }  // namespace
 
@@ -38,7 +38,8 @@
             statistics.estimated_work = cost.estimated_work;
         }
         statistics.estimates += 1;
-        smooth(statistics.estimated_work, cost.estimated_work, std::max(kCostStep, 1 / statistics.estimates));
+        smooth(statistics.estimated_work, cost.estimated_work,
+               std::max(kCostWeight, 1 / statistics.estimates));
         if (!settings_->cost_in_responses)
             statistics.work = statistics.estimated_work * statistics.work_ratio;
         cost.work = cost.estimated_work * statistics.work_ratio;
@@ -60,19 +61,20 @@
     if (stream.fit().budget <= 0) {
         ClassStatistics& statistics = classes_[request.class_index];
         statistics.sensitive =
-            statistics.work / settings_->classes[request.class_index].threads < kSensitiveRunMicros;
+            statistics.work / settings_->classes[request.class_index].threads < kSensitiveRunTimeMicros;
         refit_stream(stream, static_cast<std::size_t>(request.class_index), now);
     }
-    return now + static_cast<Micros>(stream.fit().budget - stream.fit().run);
+    return now + static_cast<Micros>(stream.fit().budget - stream.fit().run_time);
 }
 
-void WorkloadStatistics::count_usual(const ActiveRequest& request) {
-    const double run = run_time(request);
-    smooth(usual_.run, run, kCostStep);
-    const double step = std::min(1.0, kCostStep * run / std::max(usual_.run, 1.0));
-    smooth(usual_.work, request.work, step);
-    smooth(usual_.memory_mb, request.memory_mb, step);
-    smooth(usual_.threads, settings_->classes[request.class_index].threads, step);
+void WorkloadStatistics::add_to_typical_query(const ActiveRequest& request) {
+    const double expected_run_time = run_time(request);
+    smooth(typical_query_.run_time, expected_run_time, kCostWeight);
+    const double weight =
+        std::min(1.0, kCostWeight * expected_run_time / std::max(typical_query_.run_time, 1.0));
+    smooth(typical_query_.work, request.work, weight);
+    smooth(typical_query_.memory_mb, request.memory_mb, weight);
+    smooth(typical_query_.threads, settings_->classes[request.class_index].threads, weight);
 }
 
 // A swapping endpoint gives every query the memory it needs, so its responses show nothing about grants.
@@ -85,32 +87,33 @@
     ClassStatistics& statistics = classes_[request.class_index];
     const double reported_work = completed.work_ms * kMillisecond;
     if (learns_memory() && attempt.granted_mb > 0 && !attempt.spilled)
-        statistics.memory_ratio *= 1 - kCostStep * kUncontendedShare;
+        statistics.memory_ratio *= 1 - kCostWeight * kUncontendedShare;
     if (completed.work_ms > 0) {
         if (request.estimated_work > 0)
             smooth(statistics.work_ratio,
-                   std::clamp(reported_work / request.estimated_work, kLowestCostRatio, kHighestCostRatio),
-                   kCostStep);
+                   std::clamp(reported_work / request.estimated_work, kMinCostRatio, kMaxCostRatio),
+                   kCostWeight);
         // The first response replaces the guess.
-        smooth(statistics.work, reported_work, std::max(kCostStep, 1 / (statistics.answers + 1)));
+        smooth(statistics.work, reported_work, std::max(kCostWeight, 1 / (statistics.responses + 1)));
         if (completed.needed_mb > 0 && request.estimated_memory_mb > 0)
-            smooth(statistics.memory_ratio,
-                   std::clamp(completed.needed_mb / request.estimated_memory_mb, kLowestCostRatio,
-                              kHighestCostRatio),
-                   kCostStep);
+            smooth(
+                statistics.memory_ratio,
+                std::clamp(completed.needed_mb / request.estimated_memory_mb, kMinCostRatio, kMaxCostRatio),
+                kCostWeight);
     } else if (request.estimated_work > 0) {
         // Work is not reported: the ratio follows a low percentile of thread time divided by the estimate.
-        const double seen =
+        const double observed_ratio =
             static_cast<double>(completed.duration) * attempt.threads / request.estimated_work;
-        statistics.work_ratio *= seen > statistics.work_ratio ? 1 + kCostStep * kUncontendedShare
-                                                              : 1 - kCostStep * (1 - kUncontendedShare);
-        statistics.work_ratio = std::clamp(statistics.work_ratio, kLowestCostRatio, kHighestCostRatio);
+        statistics.work_ratio *= observed_ratio > statistics.work_ratio
+                                     ? 1 + kCostWeight * kUncontendedShare
+                                     : 1 - kCostWeight * (1 - kUncontendedShare);
+        statistics.work_ratio = std::clamp(statistics.work_ratio, kMinCostRatio, kMaxCostRatio);
         statistics.work = statistics.estimated_work * statistics.work_ratio;
     }
 }
 
-std::optional<double> WorkloadStatistics::learn_run(const ActiveRequest& request, const Attempt& attempt,
-                                                    const AttemptCompleted& completed) {
+std::optional<double> WorkloadStatistics::learn_run_time(const ActiveRequest& request, const Attempt& attempt,
+                                                         const AttemptCompleted& completed) {
     ClassStatistics& statistics = classes_[request.class_index];
     const double reported_work = completed.work_ms * kMillisecond;
     const double known_work = reported_work > 0 ? reported_work : request.estimated_work;
@@ -118,17 +121,17 @@
                             ? known_work
                             : static_cast<double>(settings_->classes[request.class_index].latency_objective);
     double ratio = static_cast<double>(std::max<Micros>(completed.duration, 1)) * attempt.threads / base;
-    if (statistics.answers > 0)
-        ratio = std::min(ratio, kLargestRunRatio * statistics.run_ratio);
-    statistics.answers += 1;
-    smooth(statistics.run_ratio, ratio, std::max(kCostStep, 1 / statistics.answers));
-    if (known_work <= 0 && statistics.answers > kUnknownAnswers)
-        statistics.work = statistics.run_ratio * base;
-    if (statistics.answers < kCalmAnswers && reported_work <= 0)
+    if (statistics.responses > 0)
+        ratio = std::min(ratio, kMaxRunTimeRatioFactor * statistics.run_time_ratio);
+    statistics.responses += 1;
+    smooth(statistics.run_time_ratio, ratio, std::max(kCostWeight, 1 / statistics.responses));
+    if (known_work <= 0 && statistics.responses > kGuessedWorkResponses)
+        statistics.work = statistics.run_time_ratio * base;
+    if (statistics.responses < kUncontendedResponses && reported_work <= 0)
         return std::nullopt;
-    statistics.calm_run_ratio =
-        reported_work > 0 ? 1 : std::min(statistics.calm_run_ratio, statistics.run_ratio);
-    return ratio / statistics.calm_run_ratio;
+    statistics.uncontended_run_time_ratio =
+        reported_work > 0 ? 1 : std::min(statistics.uncontended_run_time_ratio, statistics.run_time_ratio);
+    return ratio / statistics.uncontended_run_time_ratio;
 }
 
 void WorkloadStatistics::learn_spill(const ActiveRequest& request, const Attempt& attempt, double missing_mb,
@@ -138,14 +141,14 @@
     if (attempt.granted_mb > even_share_mb)
         return;
     const double ratio = (attempt.granted_mb + missing_mb) / request.estimated_memory_mb;
-    smooth(classes_[request.class_index].memory_ratio, std::min(ratio, kHighestCostRatio));
+    smooth(classes_[request.class_index].memory_ratio, std::min(ratio, kMaxCostRatio));
 }
 
-void WorkloadStatistics::add_answer(const ActiveRequest& request, Micros run, Micros now) {
+void WorkloadStatistics::add_response(const ActiveRequest& request, Micros run_time, Micros now) {
     LatencySample sample;
     sample.at = now;
     sample.latency = static_cast<double>(now - request.arrived_at);
-    sample.run = static_cast<double>(run);
+    sample.run_time = static_cast<double>(run_time);
     if (now > request.objective_at)
         sample.disengagement = now <= request.deadline_at ? kLateDisengagement : 1;
     stream_of(request).add(sample);
@@ -159,10 +162,10 @@
     const ClassSettings& class_settings = settings_->classes[class_index];
     LatencyFitInput input;
     input.now = now;
-    input.expected_run = classes_[class_index].work / class_settings.threads;
+    input.expected_run_time = classes_[class_index].work / class_settings.threads;
     input.deadline = static_cast<double>(class_settings.deadline);
     input.objective = std::min(static_cast<double>(class_settings.latency_objective) +
-                                   class_settings.objective_run_factor * input.expected_run,
+                                   class_settings.objective_run_factor * input.expected_run_time,
                                input.deadline);
     stream.refit(input);
 }
@@ -170,7 +173,7 @@
 void WorkloadStatistics::refit(Micros now) {
     for (std::size_t index = 0; index < classes_.size(); ++index) {
         ClassStatistics& statistics = classes_[index];
-        const double limit = kSensitiveRunMicros *
+        const double limit = kSensitiveRunTimeMicros *
                              (statistics.sensitive ? 1 + kSensitiveHysteresis : 1 - kSensitiveHysteresis);
         statistics.sensitive = statistics.work / settings_->classes[index].threads < limit;
         for (std::size_t tenant = 0; tenant < tenant_count_; ++tenant)
@@ -178,12 +181,12 @@
     }
 }
 
-void WorkloadStatistics::relax_calm_runs() {
+void WorkloadStatistics::relax_uncontended_run_times() {
     for (ClassStatistics& statistics : classes_)
-        statistics.calm_run_ratio *= kCalmGrowth;
+        statistics.uncontended_run_time_ratio *= kUncontendedGrowth;
 }
 
-std::optional<SensitiveStreamSummary> WorkloadStatistics::sensitive_streams() const {
+std::optional<SensitiveStreamSummary> WorkloadStatistics::summarize_sensitive_streams() const {
     SensitiveStreamSummary summary{-1, 1e9, 0};
     double count = 0;
     double variations = 0;
--- a/tests/policy/outlier_detector_test.cpp
+++ b/tests/policy/outlier_detector_test.cpp
@@ -36,21 +36,21 @@
 }
 
 TEST(OutlierDetector, ATimeoutCountsOnlyWithoutASignOfLife) {
-    EXPECT_EQ(judge_health({AttemptOutcome::timed_out, 10, 9}), HealthVerdict::unreachable);
-    EXPECT_EQ(judge_health({AttemptOutcome::timed_out, 10, 10}), HealthVerdict::none);
-    EXPECT_EQ(judge_health({AttemptOutcome::connection_reset, 10, 20}), HealthVerdict::unreachable);
-    EXPECT_EQ(judge_health({AttemptOutcome::cancelled, 10, 9}), HealthVerdict::none);
-    EXPECT_EQ(judge_health({AttemptOutcome::rejected, 10, 9}), HealthVerdict::overloaded);
+    EXPECT_EQ(evaluate_health({AttemptOutcome::timed_out, 10, 9}), HealthVerdict::unreachable);
+    EXPECT_EQ(evaluate_health({AttemptOutcome::timed_out, 10, 10}), HealthVerdict::none);
+    EXPECT_EQ(evaluate_health({AttemptOutcome::connection_reset, 10, 20}), HealthVerdict::unreachable);
+    EXPECT_EQ(evaluate_health({AttemptOutcome::cancelled, 10, 9}), HealthVerdict::none);
+    EXPECT_EQ(evaluate_health({AttemptOutcome::rejected, 10, 9}), HealthVerdict::overloaded);
 }
 
 TEST(OutlierDetector, SilenceCountsFromTheLastSignOrTheGatewaysStall) {
-    SilenceEvidence evidence;
-    evidence.progress_period = 1'000'000;
-    evidence.last_alive = 1'000'000;
-    evidence.now = 2'599'999;
-    EXPECT_FALSE(is_silent(evidence));
-    evidence.now = 2'600'000;
-    EXPECT_TRUE(is_silent(evidence));
-    evidence.gateway_resumed_at = 1'000'001;
-    EXPECT_FALSE(is_silent(evidence));
+    SilenceInput input;
+    input.progress_period = 1'000'000;
+    input.last_active_at = 1'000'000;
+    input.now = 2'599'999;
+    EXPECT_FALSE(is_silent(input));
+    input.now = 2'600'000;
+    EXPECT_TRUE(is_silent(input));
+    input.gateway_resumed_at = 1'000'001;
+    EXPECT_FALSE(is_silent(input));
 }
--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -22,8 +22,8 @@
         request_.first_executed_endpoint = 0;
         request_.first_executed_at = 100;
     }
-    AttemptVerdict judge(Micros now) const {
-        return judge_attempt({settings_, budget_, request_, now});
+    AttemptVerdict check(Micros now) const {
+        return check_attempt({settings_, budget_, request_, now});
     }
     Idempotency& idempotency() {
         return settings_.classes[0].idempotency;
@@ -37,47 +37,47 @@
 }  // namespace
 
 TEST_F(RetryPolicy, AllowsAnIdempotentRequestBeforeItsDeadline) {
-    EXPECT_EQ(judge(999), AttemptVerdict::allowed);
-    EXPECT_EQ(judge(1'000), AttemptVerdict::deadline_passed);
+    EXPECT_EQ(check(999), AttemptVerdict::allowed);
+    EXPECT_EQ(check(1'000), AttemptVerdict::deadline_passed);
 }
 
 TEST_F(RetryPolicy, EndsWithTheRequestItsResponseOrItsAttempts) {
     request_.attempts[0].open = true;
-    EXPECT_EQ(judge(500), AttemptVerdict::attempt_open);
+    EXPECT_EQ(check(500), AttemptVerdict::attempt_open);
     request_.attempts[0].open = false;
     request_.attempts.push_back(request_.attempts[0]);
-    EXPECT_EQ(judge(500), AttemptVerdict::attempts_used);
-    request_.streaming = true;
-    EXPECT_EQ(judge(500), AttemptVerdict::request_over);
-    request_.streaming = false;
+    EXPECT_EQ(check(500), AttemptVerdict::attempts_exhausted);
+    request_.response_started = true;
+    EXPECT_EQ(check(500), AttemptVerdict::request_finished);
+    request_.response_started = false;
     request_.finished = true;
-    EXPECT_EQ(judge(500), AttemptVerdict::request_over);
+    EXPECT_EQ(check(500), AttemptVerdict::request_finished);
 }
 
 TEST_F(RetryPolicy, NeverRepeatsWhatMayHaveExecutedAndMustNotTwice) {
     idempotency() = Idempotency::non_idempotent;
-    EXPECT_EQ(judge(500), AttemptVerdict::may_have_executed);
+    EXPECT_EQ(check(500), AttemptVerdict::may_have_executed);
     request_.first_executed_endpoint = -1;
-    EXPECT_EQ(judge(500), AttemptVerdict::allowed);
+    EXPECT_EQ(check(500), AttemptVerdict::allowed);
 }
 
 TEST_F(RetryPolicy, RepeatsAKeyedRequestWithinItsWindow) {
     idempotency() = Idempotency::keyed;
-    EXPECT_EQ(judge(399), AttemptVerdict::allowed);
-    EXPECT_EQ(judge(400), AttemptVerdict::key_window_over);
+    EXPECT_EQ(check(399), AttemptVerdict::allowed);
+    EXPECT_EQ(check(400), AttemptVerdict::key_window_expired);
 }
 
 TEST_F(RetryPolicy, KeepsToTheBudgetOfLaterAttempts) {
     settings_.retry_budget_base = 0;
     settings_.retry_budget_ratio = 0.5;
     budget_.count_request(10);
-    EXPECT_EQ(judge(500), AttemptVerdict::budget_used);
+    EXPECT_EQ(check(500), AttemptVerdict::budget_exhausted);
     budget_.count_request(20);
-    EXPECT_EQ(judge(500), AttemptVerdict::allowed);
+    EXPECT_EQ(check(500), AttemptVerdict::allowed);
     budget_.count_retry(30);
-    EXPECT_EQ(judge(500), AttemptVerdict::budget_used);
+    EXPECT_EQ(check(500), AttemptVerdict::budget_exhausted);
     request_.attempts.clear();  // a first attempt is not limited
-    EXPECT_EQ(judge(500), AttemptVerdict::allowed);
+    EXPECT_EQ(check(500), AttemptVerdict::allowed);
 }
 
 TEST_F(RetryPolicy, ShedsOnlyWhereARepeatDoesNoHarm) {
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -37,7 +37,7 @@
 }
 
 TEST(SlowStart, AGatewayKeepsToItsPartUntilTheWindowEnds) {
-    SlowStartUse use;
+    SlowStartUsage use;
     use.add(100, 30);
     EXPECT_TRUE(use.admits(query(20, 100, 2)));
     EXPECT_FALSE(use.admits(query(21, 100, 2)));
@@ -48,7 +48,7 @@
 }
 
 TEST(SlowStart, AQueryLargerThanAPartIsAdmittedByDraw) {
-    SlowStartUse use;
+    SlowStartUsage use;
     use.set_draw(0.5, 1'000);
     EXPECT_TRUE(use.admits(query(10, 100, 20)));   // half of ten fits in a part of five
     EXPECT_FALSE(use.admits(query(10, 100, 21)));  // and not in a smaller one
