--- a/src/policy/active_request.hpp
+++ b/src/policy/active_request.hpp
@@ -65,9 +65,9 @@
     bool over_quota = false;
     bool queued = false;
     bool finished = false;
-    bool response_started = false;   // the response has started
-    bool in_key_order = false;       // queued or running in the queue of its ordering key
-    Micros earliest_attempt_at = 0;  // earliest time of the next attempt
+    bool response_started = false;
+    bool in_key_order = false;  // queued or running in the queue of its ordering key
+    Micros earliest_attempt_at = 0;
     std::vector<Attempt> attempts;
     double projected_run_time = 0;         // run time projected from the progress of its cancelled attempt
     int first_executed_endpoint = -1;      // endpoint of the first attempt that may have executed; -1: none
--- a/src/policy/attempt_monitor.cpp
+++ b/src/policy/attempt_monitor.cpp
@@ -28,7 +28,7 @@
 
 // Cancels lost and overdue attempts so that they can be retried. The endpoint is not ejected, since it still
 // accepts queries and responds to other attempts.
-void cancel_unanswered(PolicyState& state, const EndpointStatus& endpoint) {
+void cancel_unresponsive_attempts(PolicyState& state, const EndpointStatus& endpoint) {
     for (const AttemptRef& ref : endpoint.open_attempts) {
         ActiveRequest& request = state.requests[ref.slot];
         Attempt& attempt = request.attempts[ref.attempt];
@@ -71,7 +71,7 @@
 void monitor_attempts(PolicyState& state) {
     for (EndpointStatus& endpoint : state.fleet.endpoints()) {
         Fleet::decay_slowdown(endpoint, kTickPeriod);
-        cancel_unanswered(state, endpoint);
+        cancel_unresponsive_attempts(state, endpoint);
         renew_slow_start(state, endpoint);
         eject_if_silent(state, endpoint);
     }
--- a/src/policy/endpoint_selection.cpp
+++ b/src/policy/endpoint_selection.cpp
@@ -40,7 +40,7 @@
 bool permits(const SelectionInput& input, const ActiveRequest& request, const EndpointStatus& endpoint) {
     const ClassSettings& class_settings = input.settings.classes[request.class_index];
     const Endpoint& description = endpoint.description;
-    if (!endpoint.takes_requests() || !allows(class_settings.allowed_kinds, description.kind) ||
+    if (!endpoint.is_ready() || !allows(class_settings.allowed_kinds, description.kind) ||
         !allows(class_settings.allowed_zones, description.zone))
         return false;
     if (request.first_executed_endpoint >= 0 && class_settings.idempotency == Idempotency::keyed &&
@@ -55,7 +55,7 @@
     const std::vector<EndpointStatus>& endpoints = input.fleet.endpoints();
     int outliers_minus_others = 0;
     for (const EndpointStatus& endpoint : endpoints)
-        if (endpoint.takes_requests())
+        if (endpoint.is_ready())
             outliers_minus_others += endpoint.accepts(input.now) ? -1 : 1;
     const bool most_are_outliers = outliers_minus_others > 0;
     const CapacityInput capacity_input{input.settings,
@@ -82,7 +82,7 @@
 
 // Until the work of its class is known, a query is assumed to take as long as its objective. Otherwise a
 // gateway that has just started could overload an endpoint by a guess, by its first responses, which come
-// from the shortest queries, or by the mean of a few estimates, which is typically too low. With enough
+// from the shortest queries, or by the mean of a few estimates, which is usually too low. With enough
 // estimates a query counts as the mean of its own estimate and the typical work, because short estimates are
 // mostly too low.
 double slow_start_work(const SlowStartWorkInput& input) {
@@ -122,7 +122,7 @@
         const double remaining_work =
             attempt.work * std::max(kMinRemainingWorkShare, 1 - attempt.fraction_done);
         work += remaining_work;
-        // The request would be blocked until that load ends, whatever the number of cores.
+        // The request would be blocked until that load ends, so the time until then counts on all cores.
         if (waits_for_lock && other.table_group == request.table_group &&
             input.settings.classes[other.class_index].locks_table_group)
             work += remaining_work / attempt.threads * endpoint.cores;
--- a/src/policy/fleet.hpp
+++ b/src/policy/fleet.hpp
@@ -55,7 +55,7 @@
     EndpointHealth health;
     SlowStartUsage slow_start;
 
-    bool takes_requests() const {
+    bool is_ready() const {
         return listed && description.state == EndpointState::ready;
     }
     bool accepts(Micros now) const {
--- a/src/policy/health_checks.cpp
+++ b/src/policy/health_checks.cpp
@@ -17,7 +17,7 @@
 EndpointStatus* HealthCheckSchedule::next(Fleet& fleet, Micros now) {
     EndpointStatus* oldest = nullptr;
     for (EndpointStatus& endpoint : fleet.endpoints())
-        if (endpoint.takes_requests() &&
+        if (endpoint.is_ready() &&
             (oldest == nullptr || endpoint.health_checked_at < oldest->health_checked_at))
             oldest = &endpoint;
     if (oldest == nullptr || credit_ < 1 || now - oldest->health_checked_at < kHealthCheckInterval)
