--- a/tests/policy/front_test.cpp
+++ b/tests/policy/front_test.cpp
@@ -236,6 +236,7 @@
     return harness.cancels.size();
 }
 
+// Without an estimate, a bad plan cannot be distinguished from a costly query.
 TEST(Cancellation, LetsEquallySlowRetryFinishWithoutEstimate) {
     EXPECT_EQ(count_cancels(std::nullopt), 1u);
     EXPECT_EQ(count_cancels(2'000'000), 2u);
@@ -321,7 +322,7 @@
     return harness.dispatches.size() - before;
 }
 
-// Regression test for the same day: a restarted front assumed a nearly idle fleet, because its average of
+// Regression test for day roll+mass: a restarted front assumed a nearly idle fleet, because its average of
 // load reports started at 0, and had an open attempt at each of 36 engines. 300 fronts did the same.
 TEST(Slots, NewFrontDoesNotAssumeIdleFleet) {
     EXPECT_LE(dispatched_after_report(24, 0),
