--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -1,4 +1,4 @@
-// Whether a request gets another attempt, each verdict once, and how requests may end.
+// Whether a request may get another attempt, with each verdict once, and how requests may end.
 #include "policy/retry_policy.hpp"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 
 namespace {
 
-// A request with one completed attempt, dispatched at 100 and with a deadline at 1000.
+// A request with one completed attempt that was dispatched at 100. Its deadline is 1000.
 class RetryPolicy : public ::testing::Test {
 protected:
     RetryPolicy() {
@@ -22,8 +22,8 @@
         request_.first_executed_endpoint = 0;
         request_.first_executed_at = 100;
     }
-    AttemptVerdict judge(Micros now) const {
-        return judge_attempt({settings_, budget_, request_, now});
+    AttemptVerdict check(Micros now) const {
+        return check_attempt({settings_, budget_, request_, now});
     }
     Idempotency& idempotency() {
         return settings_.classes[0].idempotency;
@@ -36,51 +36,51 @@
 
 }  // namespace
 
-TEST_F(RetryPolicy, AllowsAnIdempotentRequestBeforeItsDeadline) {
-    EXPECT_EQ(judge(999), AttemptVerdict::allowed);
-    EXPECT_EQ(judge(1'000), AttemptVerdict::deadline_passed);
+TEST_F(RetryPolicy, AllowsIdempotentRetryBeforeDeadline) {
+    EXPECT_EQ(check(999), AttemptVerdict::allowed);
+    EXPECT_EQ(check(1'000), AttemptVerdict::deadline_passed);
 }
 
-TEST_F(RetryPolicy, EndsWithTheRequestItsResponseOrItsAttempts) {
+TEST_F(RetryPolicy, DeniesRetryIfOpenExhaustedStartedOrFinished) {
     request_.attempts[0].open = true;
-    EXPECT_EQ(judge(500), AttemptVerdict::attempt_open);
+    EXPECT_EQ(check(500), AttemptVerdict::attempt_open);
     request_.attempts[0].open = false;
     request_.attempts.push_back(request_.attempts[0]);
-    EXPECT_EQ(judge(500), AttemptVerdict::attempts_used);
-    request_.streaming = true;
-    EXPECT_EQ(judge(500), AttemptVerdict::request_over);
-    request_.streaming = false;
+    EXPECT_EQ(check(500), AttemptVerdict::attempts_exhausted);
+    request_.response_started = true;
+    EXPECT_EQ(check(500), AttemptVerdict::request_finished);
+    request_.response_started = false;
     request_.finished = true;
-    EXPECT_EQ(judge(500), AttemptVerdict::request_over);
+    EXPECT_EQ(check(500), AttemptVerdict::request_finished);
 }
 
-TEST_F(RetryPolicy, NeverRepeatsWhatMayHaveExecutedAndMustNotTwice) {
+TEST_F(RetryPolicy, NeverRetriesNonIdempotentThatMayHaveExecuted) {
     idempotency() = Idempotency::non_idempotent;
-    EXPECT_EQ(judge(500), AttemptVerdict::may_have_executed);
+    EXPECT_EQ(check(500), AttemptVerdict::may_have_executed);
     request_.first_executed_endpoint = -1;
-    EXPECT_EQ(judge(500), AttemptVerdict::allowed);
+    EXPECT_EQ(check(500), AttemptVerdict::allowed);
 }
 
-TEST_F(RetryPolicy, RepeatsAKeyedRequestWithinItsWindow) {
+TEST_F(RetryPolicy, RetriesKeyedRequestWithinKeyWindow) {
     idempotency() = Idempotency::keyed;
-    EXPECT_EQ(judge(399), AttemptVerdict::allowed);
-    EXPECT_EQ(judge(400), AttemptVerdict::key_window_over);
+    EXPECT_EQ(check(399), AttemptVerdict::allowed);
+    EXPECT_EQ(check(400), AttemptVerdict::key_window_expired);
 }
 
-TEST_F(RetryPolicy, KeepsToTheBudgetOfLaterAttempts) {
+TEST_F(RetryPolicy, LimitsRetriesByBudget) {
     settings_.retry_budget_base = 0;
     settings_.retry_budget_ratio = 0.5;
     budget_.count_request(10);
-    EXPECT_EQ(judge(500), AttemptVerdict::budget_used);
+    EXPECT_EQ(check(500), AttemptVerdict::budget_exhausted);
     budget_.count_request(20);
-    EXPECT_EQ(judge(500), AttemptVerdict::allowed);
+    EXPECT_EQ(check(500), AttemptVerdict::allowed);
     budget_.count_retry(30);
-    EXPECT_EQ(judge(500), AttemptVerdict::budget_used);
+    EXPECT_EQ(check(500), AttemptVerdict::budget_exhausted);
     request_.attempts.clear();  // a first attempt is not limited
-    EXPECT_EQ(judge(500), AttemptVerdict::allowed);
+    EXPECT_EQ(check(500), AttemptVerdict::allowed);
 }
 
-TEST_F(RetryPolicy, ShedsOnlyWhereARepeatDoesNoHarm) {
+TEST_F(RetryPolicy, ShedsOnlyIfRepeatIsSafe) {
     EXPECT_TRUE(may_shed(settings_.classes[0], request_));
     idempotency() = Idempotency::keyed;
     settings_.classes[0].key_scope = KeyScope::zone;
@@ -93,7 +93,7 @@
     EXPECT_TRUE(may_shed(settings_.classes[0], request_));
 }
 
-TEST(KeyScopes, HoldByZoneAndCell) {
+TEST(KeyScopes, MatchByZoneAndCell) {
     Endpoint first;
     first.zone = "a";
     Endpoint other_cell = first;
