--- a/tests/node/crossing_rig.hpp
+++ b/tests/node/crossing_rig.hpp
@@ -1,5 +1,5 @@
-// Events that cross, over loopback sockets: the peer forces their order. docs/design/front-node.md has the
-// table.
+// Tests of concurrent events over loopback sockets, in an order that the peer forces.
+// docs/design/front-node.md has the table of cases.
 #pragma once
 
 #include "raw_socket.hpp"
@@ -13,59 +13,61 @@
         settings.connect_timeout = 20 * kSecondMicros;
     }
 
-    // What a client's request is, by its bytes.
-    std::string call(const lab::PlatformClient::Ask& a, std::int32_t seq) const {
-        thrift::Fields f{{"route", a.cls},
-                         {"trace", a.trace},
-                         {"customer", a.tenant},
-                         {"patience", std::to_string(a.patience / kMillisecond)}};
-        if (!a.nonce.empty())
-            f["nonce"] = a.nonce;
-        return thrift::process_call(seq, f, a.sql);
+    // Returns the bytes of a client's request.
+    std::string encode_call(const lab::PlatformClient::Ask& request, std::int32_t seq) const {
+        thrift::Fields f{{"route", request.cls},
+                         {"trace", request.trace},
+                         {"customer", request.tenant},
+                         {"patience", std::to_string(request.patience / kMillisecond)}};
+        if (!request.nonce.empty())
+            f["nonce"] = request.nonce;
+        return thrift::process_call(seq, f, request.sql);
     }
-    // Until the node's connection to a held engine has come up; what it then says first.
-    std::string said_once_up(HeldEngine& held, std::size_t least) {
-        held.let_in();
-        std::unique_ptr<RawSocket> up;
+    // Lets the node's connection to a held engine be established, and returns the first bytes received on it,
+    // at least `min_bytes`.
+    std::string receive_once_connected(NonAcceptingEngine& held, std::size_t min_bytes) {
+        held.free_backlog();
+        std::unique_ptr<RawSocket> connection;
         EXPECT_TRUE(run_until([&] {
-            return (up = held.accept()) != nullptr;
+            return (connection = held.accept()) != nullptr;
         }));
         EXPECT_TRUE(run_until([&] {
-            return !up->read() || up->got.size() >= least;
+            return !connection->read() || connection->received.size() >= min_bytes;
         }));
-        return up->got;
+        return connection->received;
     }
-    // More clients than the table has places, each with a request of so much work, and a planned restart.
-    void a_shutdown_behind_a_full_table_answers_everybody(int work_ms) {
+    // Begins a planned restart with more clients than the table has slots, each with a request of
+    // `work_ms`.
+    void expect_shutdown_with_full_table_responds_to_all(int work_ms) {
         settings.sockets = 16;
         add_engine("s-1");
         start();
-        const std::size_t table =
+        const std::size_t table_size =
             decide::derive_limits(settings.sockets, settings.memory_mb).client_connections;
-        std::vector<lab::PlatformClient*> busy;
-        for (std::size_t i = 0; i < table + 3; ++i) {
-            busy.push_back(&add_client());
-            busy.back()->ask(make_request("lookup", work_ms));
+        std::vector<lab::PlatformClient*> busy_clients;
+        for (std::size_t i = 0; i < table_size + 3; ++i) {
+            busy_clients.push_back(&add_client());
+            busy_clients.back()->ask(make_request("lookup", work_ms));
         }
         ASSERT_TRUE(run_until([&] {
             return node->status().find("waits=0") == std::string::npos;
         })) << node->status();
-        bool over = false;
+        bool drained = false;
         node->drain([&] {
-            over = true;
+            drained = true;
         });
         ASSERT_TRUE(run_until([&] {
-            return over;
+            return drained;
         }));
-        for (const auto* c : busy) {
-            EXPECT_EQ(c->open(), 0u);
-            EXPECT_TRUE(c->got().contains(1)) << "ended without an answer";
+        for (const auto* client : busy_clients) {
+            EXPECT_EQ(client->open(), 0u);
+            EXPECT_TRUE(client->got().contains(1)) << "ended without a response";
         }
         expect_no_violations();
     }
-    // With one engine that holds whoever connects: a request that waits to go out to it.
-    void request_waits(lab::PlatformClient& c, const lab::PlatformClient::Ask& a) {
-        c.ask(a);
+    // Sends a request that waits for its connection to the only engine, which is held.
+    void send_waiting_request(lab::PlatformClient& client, const lab::PlatformClient::Ask& request) {
+        client.ask(request);
         ASSERT_TRUE(run_until([&] {
             return node->status().find("s-held:1/1/1") != std::string::npos;
         })) << node->status();
