--- a/src/cli/process.cpp
+++ b/src/cli/process.cpp
@@ -120,7 +120,7 @@
     : loop_(loop), log_(log), until_(loop.now() + patience) {}
 
 bool StartRetry::wait(const Error& error) {
-    if (!net::passes_at_start(error.code) || loop_.now() >= until_)
+    if (!net::is_transient_startup_error(error.code) || loop_.now() >= until_)
         return false;
     if (!std::exchange(told_, true))
         log_.warn(error.text + ": tried again");
--- a/src/discovery/endpoint_source.cpp
+++ b/src/discovery/endpoint_source.cpp
@@ -112,7 +112,7 @@
             fetch();
         });
         const bool requested = std::exchange(poll_requested_, false);
-        if (answer.reached != http::Reached::answered)
+        if (answer.outcome != http::CallOutcome::answered)
             return on_failure(answer.error, requested);
         if (answer.response.status == kStatusNotModified) {
             const bool was_available = std::exchange(available_, true);
--- a/src/engine/service.cpp
+++ b/src/engine/service.cpp
@@ -132,7 +132,7 @@
     heedless_.clear();
     loop_.cancel(std::exchange(timer_, 0));
     server_->stop_listening();
-    server_->break_all();
+    server_->close_all();
     statements_.reset();
     note("down", nullptr, "");
 }
@@ -152,18 +152,18 @@
         machine_->slow(loop_.now(), f.slow), on_ended(), arm();
     if (f.flush)
         machine_->flush_warm();
-    server_->mute(f.hang);
-    http::Server::Mischief m;
+    server_->suppress_responses(f.hang);
+    http::Server::ResponseFaults m;
     m.trickle_bytes = static_cast<std::size_t>(f.trickle);
     if (f.cut > 0)
         m.cuts = [this, share = f.cut] {
             return random_.chance(share);
         };
-    server_->mischief(std::move(m));
+    server_->inject_faults(std::move(m));
     if (!f.silent)
         ignored_.clear();
     if (f.refuse && !before.refuse)
-        server_->stop_listening(), server_->break_all();
+        server_->stop_listening(), server_->close_all();
     if (!f.refuse && before.refuse)
         (void)server_->listen(bound_);
 }
--- a/src/front/engine_registry.cpp
+++ b/src/front/engine_registry.cpp
@@ -30,22 +30,22 @@
 }
 
 bool is_ok(const http::Answer& answer) {
-    return answer.reached == http::Reached::answered && answer.response.status == kStatusOk;
+    return answer.outcome == http::CallOutcome::answered && answer.response.status == kStatusOk;
 }
 
 AttemptOutcome health_outcome_of(const http::Answer& answer) {
-    switch (answer.reached) {
-        case http::Reached::answered:
+    switch (answer.outcome) {
+        case http::CallOutcome::answered:
             return is_ok(answer) ? AttemptOutcome::succeeded : AttemptOutcome::failed;
-        case http::Reached::late:
+        case http::CallOutcome::timed_out:
             return AttemptOutcome::timed_out;
-        case http::Reached::broken:
+        case http::CallOutcome::broken:
             return AttemptOutcome::connection_reset;
-        case http::Reached::lacked_here:
+        case http::CallOutcome::lacks_local_resource:
             return AttemptOutcome::not_sent;
-        case http::Reached::never_sent:
-        case http::Reached::connect_late:
-        case http::Reached::withdrawn:
+        case http::CallOutcome::never_sent:
+        case http::CallOutcome::connect_timed_out:
+        case http::CallOutcome::withdrawn:
             break;
     }
     return AttemptOutcome::connection_refused;
--- a/src/front/statement_intake.cpp
+++ b/src/front/statement_intake.cpp
@@ -80,7 +80,7 @@
     const Micros time_limit =
         context.run_limit > 0 ? std::min(context.run_limit, found->deadline) : found->deadline;
     accepted.class_settings = &*found;
-    accepted.time_left = decide::client_time_left(time_limit, loop_.unseen(), settings_.answer_reserve);
+    accepted.time_left = decide::client_time_left(time_limit, loop_.input_delay(), settings_.answer_reserve);
     accepted.route = std::move(*route);
     return accepted;
 }
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -19,7 +19,8 @@
         if (time_out > 0)
             timer = client.loop_.after(time_out, [this] {
                 timer = 0;
-                fail(connected ? Reached::late : Reached::connect_late, "no answer in time");
+                fail(connected ? CallOutcome::timed_out : CallOutcome::connect_timed_out,
+                     "no answer in time");
             });
         sent = stream->send(std::move(bytes));
     }
@@ -27,14 +28,14 @@
         connected = true;
     }
     void on_sending(std::size_t) override {
-        const bool may = !may_begin || stream->written(sent) != net::Written::nothing || may_begin();
-        if (may || !stream->take_back(sent))
+        const bool may = !may_begin || stream->written(sent) != net::Written::none || may_begin();
+        if (may || !stream->cancel_send(sent))
             return;
         // Told in a later turn, as the stream is at its writing.
         client.loop_.cancel(std::exchange(timer, 0));
         timer = client.loop_.after(0, [this] {
             timer = 0;
-            fail(Reached::withdrawn, "it might not begin any more");
+            fail(CallOutcome::withdrawn, "it might not begin any more");
         });
     }
     void on_data(Buffer& in) override {
@@ -43,11 +44,11 @@
         if (!parser.feed(in))
             return;
         if (parser.failed())
-            return fail(Reached::broken, "an answer that can't be read: " + parser.error());
+            return fail(CallOutcome::broken, "an answer that can't be read: " + parser.error());
         if (parser.response().status < 200) {  // 100 Continue and its like
             parser.reset(answers_head);
             if (!in.empty())
-                stream->offer();
+                stream->schedule_delivery();
             return;
         }
         finish(parser.keep_alive() && in.empty());
@@ -63,19 +64,19 @@
         if (!done)
             return drop();
         if (how == net::Closed::refused)
-            return fail(Reached::never_sent, "connection refused");
+            return fail(CallOutcome::never_sent, "connection refused");
         if (how == net::Closed::local)
-            return fail(Reached::lacked_here, "this machine lacks something for a connection");
-        if (how == net::Closed::too_late)
-            return fail(Reached::connect_late, "no connection in time");
-        fail(Reached::broken, "the connection ended before the answer");
+            return fail(CallOutcome::lacks_local_resource, "this machine lacks something for a connection");
+        if (how == net::Closed::connect_timed_out)
+            return fail(CallOutcome::connect_timed_out, "no connection in time");
+        fail(CallOutcome::broken, "the connection ended before the answer");
     }
     void finish(bool keep) {
         const auto self = shared_from_this();
         client.loop_.cancel(std::exchange(timer, 0));
         const auto call = std::exchange(done, nullptr);
         may_begin = nullptr;
-        Answer answer{Reached::answered, std::move(parser.response()), {}};
+        Answer answer{CallOutcome::answered, std::move(parser.response()), {}};
         if (keep && client.idle_.size() < client.options_.idle_connections) {
             client.idle_.push_back(self);
             timer = client.loop_.after(client.options_.idle_time_out, [this] {
@@ -86,7 +87,7 @@
         }
         call(std::move(answer));
     }
-    void fail(Reached how, std::string what) {
+    void fail(CallOutcome how, std::string what) {
         const auto self = shared_from_this();
         const auto call = std::exchange(done, nullptr);
         drop();
@@ -127,7 +128,7 @@
 
 bool Client::Call::withdraw() {
     const auto c = of_.lock();
-    if (!active() || !c->stream->take_back(c->sent))
+    if (!active() || !c->stream->cancel_send(c->sent))
         return false;
     cancel();
     return true;
--- a/src/http/client.hpp
+++ b/src/http/client.hpp
@@ -11,18 +11,18 @@
 
 namespace gatetiller::http {
 
-enum class Reached {
-    answered,      // a whole response came
-    never_sent,    // no connection came about: the server has not seen the request
-    connect_late,  // the same, after the time for connecting
-    lacked_here,   // the same, for want of a descriptor, a port or the like at this machine
-    withdrawn,     // the same, as it might not begin any more when its first byte was to go out
+enum class CallOutcome {
+    answered,              // a whole response came
+    never_sent,            // no connection came about: the server has not seen the request
+    connect_timed_out,     // the same, after the time for connecting
+    lacks_local_resource,  // the same, for want of a descriptor, a port or the like at this machine
+    withdrawn,             // the same, as it might not begin any more when its first byte was to go out
     broken,  // the connection broke after the request went out, or the answer made no sense: it may have run
-    late,    // no whole answer in time: it may have run, or be running
+    timed_out,  // no whole answer in time: it may have run, or be running
 };
 
 struct Answer {
-    Reached reached = Reached::answered;
+    CallOutcome outcome = CallOutcome::answered;
     Response response;  // where answered
     std::string error;  // else: what happened
 };
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -60,23 +60,22 @@
         }
         const bool close = close_after || server.draining_;
         std::string text = write(response, close, head_only);
-        if (server.mischief_.cuts && server.mischief_.cuts()) {
+        if (server.faults_.cuts && server.faults_.cuts()) {
             stream->send(text.substr(0, text.size() / 2));
             gone = nullptr;
             return enter(Phase::writing_last);
         }
-        if (server.mischief_.trickle_bytes > 0)
+        if (server.faults_.trickle_bytes > 0)
             return trickle(std::make_shared<std::string>(std::move(text)), 0, close);
         stream->send(std::move(text));
         answered(close);
     }
     void trickle(std::shared_ptr<std::string> text, std::size_t from, bool close) {
-        const std::size_t n =
-            server.mischief_.trickle_bytes > 0 ? server.mischief_.trickle_bytes : text->size();
+        const std::size_t n = server.faults_.trickle_bytes > 0 ? server.faults_.trickle_bytes : text->size();
         stream->send(text->substr(from, n));
         if (from + n >= text->size())
             return answered(close);
-        server.loop_.after(server.mischief_.trickle_every, [weak = weak_from_this(), text, from, n, close] {
+        server.loop_.after(server.faults_.trickle_every, [weak = weak_from_this(), text, from, n, close] {
             if (const auto self = weak.lock(); self && self->stream)
                 self->trickle(text, from + n, close);
         });
@@ -88,7 +87,7 @@
             return enter(Phase::writing_last);
         parser.reset();
         enter(Phase::idle);
-        stream->offer();
+        stream->schedule_delivery();
     }
     void answer_and_close(int status, const std::string& what) {
         Response r{status, {}, what + "\n"};
@@ -195,7 +194,7 @@
     to_.reset();
 }
 
-void Server::Reply::on_gone(std::function<void()> call) {
+void Server::Reply::on_disconnect(std::function<void()> call) {
     if (open())
         to_.lock()->gone = std::move(call);
 }
@@ -230,7 +229,7 @@
     connections_.emplace(id, std::make_shared<Connection>(*this, id, std::move(stream)));
 }
 
-void Server::mute(bool on) {
+void Server::suppress_responses(bool on) {
     if (!std::exchange(mute_, on) || on)
         return;
     std::vector<std::shared_ptr<Connection>> owed;
@@ -241,7 +240,7 @@
         c->end();
 }
 
-void Server::break_all() {
+void Server::close_all() {
     std::vector<std::shared_ptr<Connection>> all;
     for (auto& [id, c] : connections_)
         all.push_back(c);
--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -45,7 +45,7 @@
         bool open() const;        // the client still waits for it
         void break_connection();  // in place of an answer
         // Called once if the connection ends before the answer was sent.
-        void on_gone(std::function<void()> call);
+        void on_disconnect(std::function<void()> call);
 
     private:
         friend class Server;
@@ -68,17 +68,17 @@
     void drain();
     // For stand-ins with faults. Mute: requests are handled, but no answer leaves; once unmuted those
     // connections break.
-    void mute(bool on);
+    void suppress_responses(bool on);
     // And: answers leave a few bytes at a time, or break off in the middle. `cuts` is asked for each answer.
-    struct Mischief {
+    struct ResponseFaults {
         std::size_t trickle_bytes = 0;  // 0: whole
         Micros trickle_every = 10 * kMillisecond;
         std::function<bool()> cuts;
     };
-    void mischief(Mischief m) {
-        mischief_ = std::move(m);
+    void inject_faults(ResponseFaults m) {
+        faults_ = std::move(m);
     }
-    void break_all();  // resets every connection
+    void close_all();  // resets every connection
     std::size_t connections() const {
         return connections_.size();
     }
@@ -93,7 +93,7 @@
     ServerOptions options_;
     Handler handler_;
     bool draining_ = false, mute_ = false;
-    Mischief mischief_;
+    ResponseFaults faults_;
     std::uint64_t last_ = 0;
     ServerCounts counts_;
     std::vector<std::unique_ptr<net::Listener>> listeners_;
--- a/src/lab/platform.cpp
+++ b/src/lab/platform.cpp
@@ -55,9 +55,9 @@
         const std::weak_ptr<char> here = engine.alive_;
         while (!over) {
             const auto reading = resp::read_array(in.view(), kCommand, words, size);
-            if (reading == resp::Reading::none)
+            if (reading == resp::ParseStatus::incomplete)
                 return;
-            if (reading == resp::Reading::spoilt) {
+            if (reading == resp::ParseStatus::malformed) {
                 engine.unusable_.push_back("what can't be read from " + front);
                 return close();
             }
@@ -536,7 +536,7 @@
 
 void PlatformClient::on_data(Buffer& in) {
     std::string_view frame;
-    while (thrift::next_frame(in, 1 << 20, frame) == thrift::Framing::whole) {
+    while (thrift::next_frame(in, 1 << 20, frame) == thrift::FrameStatus::complete) {
         take(frame);
         in.consume(thrift::kFrameHead + frame.size());
     }
--- a/src/net/kernel_address.cpp
+++ b/src/net/kernel_address.cpp
@@ -44,7 +44,7 @@
     return a;
 }
 
-Address bound_to(int fd, const Address& asked) {
+Address bound_address(int fd, const Address& asked) {
     sockaddr_storage got{};
     socklen_t size = sizeof got;
     ::getsockname(fd, reinterpret_cast<sockaddr*>(&got), &size);
@@ -58,7 +58,7 @@
     return ::socket(family, type | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 }
 
-void no_delay(int fd) {
+void set_no_delay(int fd) {
     const int on = 1;
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -37,11 +37,11 @@
 };
 
 enum class Closed {
-    by_peer,   // the peer ended it in order
-    reset,     // the connection broke; what was sent may have arrived
-    refused,   // nothing was sent: no connection came about (refused, unreachable)
-    too_late,  // nothing was sent: no connection came about in time
-    local,     // nothing was sent: this machine lacked something (descriptors, memory, ports, a route)
+    by_peer,            // the peer ended it in order
+    reset,              // the connection broke; what was sent may have arrived
+    refused,            // nothing was sent: no connection came about (refused, unreachable)
+    connect_timed_out,  // nothing was sent: no connection came about in time
+    local,  // nothing was sent: this machine lacked something (descriptors, memory, ports, a route)
 };
 
 class StreamEvents {
@@ -59,9 +59,9 @@
 
 using SendId = std::uint64_t;  // of what was given to one call of send(); they climb. 0: it was not kept
 enum class Written {
-    nothing,
-    part,
-    whole
+    none,
+    partial,
+    all
 };
 
 class Stream {
@@ -77,14 +77,14 @@
     // told.
     virtual std::optional<std::size_t> unacknowledged() const = 0;
     // Takes it out of the buffer where the kernel has none of it: then it never arrives. Whether that was so.
-    virtual bool take_back(SendId id) = 0;
+    virtual bool cancel_send(SendId id) = 0;
     // Puts other bytes in its place where the kernel has none of it. Whether that was so.
     virtual bool replace(SendId id, std::string bytes) = 0;
     // Nothing more goes out, not even the rest of what is written in part; what has come is still heard.
-    virtual void drop_unsent() = 0;
-    // Nothing more arrives: as drop_unsent(), and what the kernel holds and the peer has not acknowledged is
-    // discarded when this is destroyed, which then resets the connection. Of what was acknowledged nothing is
-    // taken back.
+    virtual void discard_unsent() = 0;
+    // Nothing more arrives: as discard_unsent(), and what the kernel holds and the peer has not acknowledged
+    // is discarded when this is destroyed, which then resets the connection. Of what was acknowledged nothing
+    // is taken back.
     virtual void discard() = 0;
     // Graceful close: what was given to send() goes out, then this side is shut (half-close). What still
     // comes is read and dropped, so that no reset takes away what the peer has not read yet; on_closed() once
@@ -97,9 +97,9 @@
     // only where the kernel tells of a reset.
     virtual void read(bool on) = 0;
     // How long at most what is delivered now can have waited unread, because this machine lacked what reading
-    // or accepting it needs; beside Loop::unseen().
-    virtual Micros starved() const = 0;
-    virtual void offer() = 0;                     // calls on_data once more soon, if bytes wait
+    // or accepting it needs; beside Loop::input_delay().
+    virtual Micros resource_delay() const = 0;
+    virtual void schedule_delivery() = 0;         // calls on_data once more soon, if bytes wait
     virtual const std::string& peer() const = 0;  // address of the other side, for logs and limits
 };
 
@@ -111,7 +111,7 @@
     virtual void accept(bool on) = 0;
     // Takes in who waits in the listen backlog, now, so many at most: before the listener is destroyed, which
     // resets the others. Whether nobody waits any more.
-    virtual bool accept_waiting(std::size_t most) = 0;
+    virtual bool accept_pending(std::size_t most) = 0;
 };
 
 // A socket for datagrams (UDP over IPv4 or IPv6). What can't be sent is lost without a word, as on the way.
@@ -132,7 +132,7 @@
     virtual Micros now() const = 0;  // monotonic; a step of the wall clock doesn't show
     // How long at most what comes up in this turn can have waited unseen, because the process was busy or
     // stood still. Whoever reckons with another side's time takes it off.
-    virtual Micros unseen() const = 0;
+    virtual Micros input_delay() const = 0;
     virtual Micros wall() const = 0;  // since 1970, for records and logs only
     virtual TimerId after(Micros delay, std::function<void()> call) = 0;
     virtual void cancel(TimerId timer) = 0;  // 0 and ids that have rung are passed over
--- a/src/net/poll_listener.cpp
+++ b/src/net/poll_listener.cpp
@@ -58,11 +58,11 @@
             return Took::none;
         }
         if (starved_since == 0)
-            starved_since = loop.now() - loop.unseen();
+            starved_since = loop.now() - loop.input_delay();
         pause(kAcceptRest);
         return Took::not_now;
     }
-    no_delay(got);
+    set_no_delay(got);
     auto socket = std::make_shared<Socket>(loop, got);
     socket->peer =
         address.family == Address::Family::local ? address.text() : from_kernel(from, address).text();
@@ -111,7 +111,7 @@
         socket_->accepting = on;
         socket_->update_wanted();
     }
-    bool accept_waiting(std::size_t most) override {
+    bool accept_pending(std::size_t most) override {
         const auto kept = socket_;  // the owner may destroy this listener in what it hears
         while (most-- > 0 && kept->fd >= 0 && kept->accept_one() == ListeningSocket::Took::one) {}
         return kept->fd < 0 || !kept->somebody_waits();
@@ -141,7 +141,7 @@
     if (::listen(fd, kBacklog) != 0)
         return failed(fd);
     auto socket = std::make_shared<ListeningSocket>(*this, fd);
-    socket->address = bound_to(fd, at);
+    socket->address = bound_address(fd, at);
     socket->accepted = std::move(accepted);
     socket->watch();
     return std::unique_ptr<Listener>(std::make_unique<SocketListener>(std::move(socket)));
@@ -192,7 +192,7 @@
     if (fd < 0 || ::bind(fd, kernel.get(), kernel.size) != 0)
         return system_failure("cannot receive datagrams on", at, fd);
     auto socket = std::make_shared<DatagramSocket>(*this, fd);
-    socket->address = bound_to(fd, at);
+    socket->address = bound_address(fd, at);
     socket->received = std::move(received);
     socket->watch();
     return std::unique_ptr<Datagrams>(std::make_unique<SocketDatagrams>(std::move(socket)));
--- a/src/net/poll_loop.hpp
+++ b/src/net/poll_loop.hpp
@@ -33,7 +33,7 @@
     Micros now() const override {
         return now_;
     }
-    Micros unseen() const override {
+    Micros input_delay() const override {
         return unseen_;
     }
     Micros wall() const override;
--- a/src/net/poll_socket.cpp
+++ b/src/net/poll_socket.cpp
@@ -42,7 +42,7 @@
     auto error = fd < 0 ? ConnectError::local : ConnectError::in_progress;
     if (fd >= 0) {
         if (destination.family != Address::Family::local)
-            no_delay(fd);
+            set_no_delay(fd);
         auto kernel = to_kernel(destination);
         if (::connect(fd, kernel.get(), kernel.size) != 0)
             error = connect_error(errno);
@@ -51,7 +51,7 @@
     switch (error) {
         case ConnectError::in_progress:
             watch();
-            return end_later(left, Closed::too_late);
+            return end_later(left, Closed::connect_timed_out);
         case ConnectError::refused:
             ::close(std::exchange(fd, -1));
             return end_later(0, Closed::refused);
@@ -141,7 +141,7 @@
     // What is left unread has waited for as long as what was read.
     const bool left_over = paused || (!all && !ended);
     if (left_over && starved_since == 0)
-        starved_since = loop.now() - loop.unseen();
+        starved_since = loop.now() - loop.input_delay();
     if (got > 0)
         deliver();
     if (!left_over)
@@ -229,7 +229,7 @@
 // Nothing more goes out. What the peer said before it closed may still be there to be read: it may be the
 // answer. The kernel need not tell of the end once more, so that it is looked for here.
 void PollLoop::Socket::end_after_reading() {
-    drop_unsent();
+    discard_unsent();
     send_failed = true;
     const std::weak_ptr<Watched> weak = weak_from_this();
     connect_timer = loop.after(0, [this, weak] {
@@ -242,14 +242,14 @@
     });
 }
 
-void PollLoop::Socket::drop_unsent() {
+void PollLoop::Socket::discard_unsent() {
     broken = true;
     out.clear();
     update_wanted();
 }
 
 void PollLoop::Socket::discard() {
-    drop_unsent();
+    discard_unsent();
     const linger at_once{
         1, 0};  // close() resets the connection, and the kernel sends nothing more of what it holds
     if (fd >= 0)
@@ -274,11 +274,11 @@
 
 Written PollLoop::Socket::written(SendId id) const {
     if (id == 0)
-        return Written::nothing;
+        return Written::none;
     const auto at = piece(id);
     if (at == pieces.end())
-        return Written::whole;
-    return at->begun ? Written::part : Written::nothing;
+        return Written::all;
+    return at->begun ? Written::partial : Written::none;
 }
 
 std::optional<std::size_t> PollLoop::Socket::unacknowledged() const {
@@ -288,8 +288,8 @@
     return static_cast<std::size_t>(bytes);
 }
 
-bool PollLoop::Socket::take_back(SendId id) {
-    if (written(id) != Written::nothing)
+bool PollLoop::Socket::cancel_send(SendId id) {
+    if (written(id) != Written::none)
         return false;
     if (id == 0)
         return true;
@@ -301,7 +301,7 @@
 }
 
 bool PollLoop::Socket::replace(SendId id, const std::string& bytes) {
-    if (id == 0 || broken || bytes.empty() || written(id) != Written::nothing)
+    if (id == 0 || broken || bytes.empty() || written(id) != Written::none)
         return false;
     const auto at = piece(id);
     out.replace(bytes_ahead(at), at->left, bytes);
@@ -394,11 +394,11 @@
     socket_->update_wanted();
 }
 
-Micros PollLoop::SocketStream::starved() const {
+Micros PollLoop::SocketStream::resource_delay() const {
     return socket_->starved_since > 0 ? socket_->loop.now() - socket_->starved_since : 0;
 }
 
-void PollLoop::SocketStream::offer() {
+void PollLoop::SocketStream::schedule_delivery() {
     if (socket_->in.empty() || std::exchange(socket_->offering, true))
         return;
     socket_->loop.to_offer_.push_back(socket_);
--- a/src/net/poll_watched.hpp
+++ b/src/net/poll_watched.hpp
@@ -72,9 +72,9 @@
     void send_later(std::string bytes);
     Written written(SendId id) const;
     std::optional<std::size_t> unacknowledged() const;
-    bool take_back(SendId id);
+    bool cancel_send(SendId id);
     bool replace(SendId id, const std::string& bytes);
-    void drop_unsent();
+    void discard_unsent();
     void discard();
     void end_after_reading();
     void finish();
@@ -167,14 +167,14 @@
     std::optional<std::size_t> unacknowledged() const override {
         return socket_->unacknowledged();
     }
-    bool take_back(SendId id) override {
-        return socket_->take_back(id);
+    bool cancel_send(SendId id) override {
+        return socket_->cancel_send(id);
     }
     bool replace(SendId id, std::string bytes) override {
         return socket_->replace(id, bytes);
     }
-    void drop_unsent() override {
-        socket_->drop_unsent();
+    void discard_unsent() override {
+        socket_->discard_unsent();
     }
     void discard() override {
         socket_->discard();
@@ -184,8 +184,8 @@
     }
     bool read_now() override;
     void read(bool on) override;
-    Micros starved() const override;
-    void offer() override;
+    Micros resource_delay() const override;
+    void schedule_delivery() override;
     const std::string& peer() const override {
         return socket_->peer;
     }
--- a/src/net/system_error.cpp
+++ b/src/net/system_error.cpp
@@ -61,7 +61,7 @@
     }
 }
 
-bool passes_at_start(int error) {
+bool is_transient_startup_error(int error) {
     switch (error) {
         case EINTR:
         case EAGAIN:
--- a/src/net/system_error.hpp
+++ b/src/net/system_error.hpp
@@ -28,6 +28,6 @@
 AcceptError accept_error(int error);
 
 // Whether opening, reading, binding or listening may succeed a moment later.
-bool passes_at_start(int error);
+bool is_transient_startup_error(int error);
 
 }  // namespace gatetiller::net
--- a/src/net/tap.cpp
+++ b/src/net/tap.cpp
@@ -31,7 +31,7 @@
         return below_->unacknowledged();
     }
     // What was told as sent stays so: the sink hears of no retreat.
-    bool take_back(SendId) override {
+    bool cancel_send(SendId) override {
         return false;
     }
     void finish() override {
@@ -40,8 +40,8 @@
     bool replace(SendId, std::string) override {
         return false;
     }
-    void drop_unsent() override {
-        below_->drop_unsent();
+    void discard_unsent() override {
+        below_->discard_unsent();
     }
     void discard() override {
         below_->discard();
@@ -52,11 +52,11 @@
     void read(bool on) override {
         below_->read(on);
     }
-    Micros starved() const override {
-        return below_->starved();
+    Micros resource_delay() const override {
+        return below_->resource_delay();
     }
-    void offer() override {
-        below_->offer();
+    void schedule_delivery() override {
+        below_->schedule_delivery();
     }
     const std::string& peer() const override {
         return peer_;
--- a/src/node/client_sessions.cpp
+++ b/src/node/client_sessions.cpp
@@ -119,16 +119,16 @@
 ClientSessions::Connection::Reading ClientSessions::Connection::read_message(Buffer& in, int calls) {
     std::string_view frame;
     const auto framing = thrift::next_frame(in, kMaxFrameBytes, frame);
-    if (framing == thrift::Framing::none)
+    if (framing == thrift::FrameStatus::incomplete)
         return Reading::incomplete;
     if (calls == kCallsPerTurn) {
         state_.partial_request_since = 0;
         deferred_ = true;
         deferred_since_ = sessions_.loop_.now() - waited_unseen();
-        stream_->offer();
+        stream_->schedule_delivery();
         return Reading::deferred;
     }
-    if (framing == thrift::Framing::too_long) {
+    if (framing == thrift::FrameStatus::too_long) {
         end_malformed(0, thrift::Fault::protocol,
                       "a message of over " + std::to_string(kMaxFrameBytes) + " bytes");
         return Reading::incomplete;
@@ -187,7 +187,7 @@
 // How long at most what is read now has waited, at this machine, to be read.
 Micros ClientSessions::Connection::waited_unseen() const {
     const Micros deferred = waiting_since_ > 0 ? sessions_.loop_.now() - waiting_since_ : 0;
-    return std::max({sessions_.loop_.unseen(), stream_->starved(), deferred});
+    return std::max({sessions_.loop_.input_delay(), stream_->resource_delay(), deferred});
 }
 
 decide::ClientSnapshot ClientSessions::Connection::snapshot() const {
@@ -466,7 +466,7 @@
     // Past the limit there may be no descriptor for them.
     const std::size_t capacity =
         limits_.client_connections - std::min(limits_.client_connections, connections_.size());
-    if (listener_->accept_waiting(capacity) || now)
+    if (listener_->accept_pending(capacity) || now)
         listener_.reset();
 }
 
--- a/src/node/engine_connection.cpp
+++ b/src/node/engine_connection.cpp
@@ -100,7 +100,7 @@
 void EngineConnection::on_closed(net::Closed how) {
     switch (how) {
         case net::Closed::refused:
-        case net::Closed::too_late:
+        case net::Closed::connect_timed_out:
             ++pool_.refused;
             return end_all(ConnectionEnd::never_established, StreamState::ended, "no connection");
         case net::Closed::local:
@@ -137,11 +137,11 @@
 // Requests that waited, as far as they may go out now: each must bear the time that is left to it.
 void EngineConnection::on_sending(std::size_t most) {
     std::erase_if(unsent_, [&](const Exchange* exchange) {
-        return stream_->written(exchange->request_send_) == net::Written::whole;
+        return stream_->written(exchange->request_send_) == net::Written::all;
     });
     auto waiting = unsent_;  // a copy, as withdrawing a request changes `unsent_`
     const bool first_has_begun =
-        !waiting.empty() && stream_->written(waiting.front()->request_send_) == net::Written::part;
+        !waiting.empty() && stream_->written(waiting.front()->request_send_) == net::Written::partial;
     if (first_has_begun) {
         if (loop_.now() - waiting.front()->written_at_ > kMaxPartialWriteTime)
             return cut_off("its first part had gone out too long ago");
@@ -185,11 +185,11 @@
 // It may not begin any more. Its owner is notified in a later turn, as the stream is in the middle of
 // writing.
 void EngineConnection::withdraw_while_sending(Exchange& exchange) {
-    if (!stream_->take_back(exchange.request_send_))
+    if (!stream_->cancel_send(exchange.request_send_))
         return;
     exchange.request_send_ = 0;
     for (const auto change : std::exchange(exchange.priority_changes_, {}))
-        stream_->take_back(change);
+        stream_->cancel_send(change);
     std::erase(unsent_, &exchange);
     loop_.after(0, [this, alive = std::weak_ptr<char>(alive_), id = exchange.id_] {
         if (!alive.expired())
@@ -210,7 +210,7 @@
 // A part of a request has gone out, and the rest must not follow it. All other open requests end too, each
 // with what that proves; in a later turn, as the caller still uses this connection.
 void EngineConnection::cut_off(const char* reason) {
-    stream_->drop_unsent();
+    stream_->discard_unsent();
     loop_.after(0, [this, alive = std::weak_ptr<char>(alive_), reason] {
         if (!alive.expired())
             end_all(ConnectionEnd::broken, StreamState::ended, reason);
@@ -225,9 +225,9 @@
     std::size_t size = 0;
     for (;;) {
         const auto reading = resp::read_array(in.view(), kResponseLimits, parts, size);
-        if (reading == resp::Reading::none)
+        if (reading == resp::ParseStatus::incomplete)
             return;
-        if (reading == resp::Reading::spoilt || parts.size() != kResponseParts) {
+        if (reading == resp::ParseStatus::malformed || parts.size() != kResponseParts) {
             end_malformed("an answer that can't be read");
             return;
         }
@@ -419,10 +419,10 @@
     std::vector<std::pair<Exchange::Events*, Status>> ended;
     for (const auto& [id, exchange] : std::exchange(open_, {})) {
         auto progress = WriteProgress::complete;
-        if (stream_->take_back(exchange->request_send_))
+        if (stream_->cancel_send(exchange->request_send_))
             progress = WriteProgress::none;
         else if (stream_state == StreamState::ended &&
-                 stream_->written(exchange->request_send_) != net::Written::whole)
+                 stream_->written(exchange->request_send_) != net::Written::all)
             progress = WriteProgress::partial;
         ended.emplace_back(&exchange->events_, decide::classify_connection_end(end, progress));
         exchange->connection_ = nullptr;
@@ -447,10 +447,10 @@
 }
 
 bool EngineConnection::withdraw_unsent(Exchange& exchange) {
-    if (!stream_->take_back(exchange.request_send_))
+    if (!stream_->cancel_send(exchange.request_send_))
         return false;
     for (const auto change : exchange.priority_changes_)
-        stream_->take_back(change);  // behind the request, so not written either
+        stream_->cancel_send(change);  // behind the request, so not written either
     sent_ids_.erase(exchange.id_);
     remove(exchange);
     close_if_unused();
@@ -458,7 +458,7 @@
 }
 
 bool EngineConnection::reset_partial(Exchange& exchange) {
-    if (stream_->written(exchange.request_send_) != net::Written::part)
+    if (stream_->written(exchange.request_send_) != net::Written::partial)
         return false;
     cut_off("cut off in the middle of a request given up");
     give_up(exchange);
@@ -480,13 +480,13 @@
 std::string EngineConnection::describe(const Exchange& exchange) const {
     const char* progress = "not gone out";
     switch (stream_->written(exchange.request_send_)) {
-        case net::Written::whole:
+        case net::Written::all:
             progress = "gone out completely";
             break;
-        case net::Written::part:
+        case net::Written::partial:
             progress = "gone out in part";
             break;
-        case net::Written::nothing:
+        case net::Written::none:
             break;
     }
     const auto unacknowledged = stream_->unacknowledged();
--- a/src/resp/resp.cpp
+++ b/src/resp/resp.cpp
@@ -8,29 +8,29 @@
 constexpr std::size_t kLine = 16;  // a marker, digits and the line's end: no bound needs more
 
 // A line "<marker><digits>\r\n" at `at`.
-Reading read_number(std::string_view bytes, std::size_t& at, char marker, std::size_t most,
-                    std::size_t& value) {
+ParseStatus read_number(std::string_view bytes, std::size_t& at, char marker, std::size_t most,
+                        std::size_t& value) {
     const auto line = bytes.substr(at, kLine);
     if (line.empty())
-        return Reading::none;
+        return ParseStatus::incomplete;
     if (line.front() != marker)
-        return Reading::spoilt;
+        return ParseStatus::malformed;
     const std::size_t end = line.find('\r');
     const auto digits = line.substr(1, end == std::string_view::npos ? end : end - 1);
     if (end == std::string_view::npos) {
         if (line.size() == kLine || digits.find_first_not_of("0123456789") != std::string_view::npos)
-            return Reading::spoilt;
-        return Reading::none;
+            return ParseStatus::malformed;
+        return ParseStatus::incomplete;
     }
     const auto [stop, error] = std::from_chars(digits.data(), digits.data() + digits.size(), value);
     if (digits.empty() || error != std::errc() || stop != digits.data() + digits.size() || value > most)
-        return Reading::spoilt;
+        return ParseStatus::malformed;
     if (end + 1 >= line.size())
-        return line.size() == kLine ? Reading::spoilt : Reading::none;
+        return line.size() == kLine ? ParseStatus::malformed : ParseStatus::incomplete;
     if (line[end + 1] != '\n')
-        return Reading::spoilt;
+        return ParseStatus::malformed;
     at += end + 2;
-    return Reading::whole;
+    return ParseStatus::complete;
 }
 
 void put(std::string& to, char marker, std::size_t value) {
@@ -40,28 +40,28 @@
 
 }  // namespace
 
-Reading read_array(std::string_view bytes, const Limits& limits, std::vector<std::string_view>& words,
-                   std::size_t& size) {
+ParseStatus read_array(std::string_view bytes, const Limits& limits, std::vector<std::string_view>& words,
+                       std::size_t& size) {
     words.clear();
     std::size_t at = 0, count = 0;
-    if (const auto r = read_number(bytes, at, '*', limits.words, count); r != Reading::whole)
+    if (const auto r = read_number(bytes, at, '*', limits.words, count); r != ParseStatus::complete)
         return r;
     for (std::size_t i = 0; i < count; ++i) {
         std::size_t length = 0;
-        if (const auto r = read_number(bytes, at, '$', limits.word_bytes, length); r != Reading::whole)
+        if (const auto r = read_number(bytes, at, '$', limits.word_bytes, length); r != ParseStatus::complete)
             return r;
         const auto rest = bytes.substr(at);
         if (rest.size() > length && rest[length] != '\r')
-            return Reading::spoilt;
+            return ParseStatus::malformed;
         if (rest.size() < length + 2)
-            return Reading::none;
+            return ParseStatus::incomplete;
         if (rest[length + 1] != '\n')
-            return Reading::spoilt;
+            return ParseStatus::malformed;
         words.push_back(rest.substr(0, length));
         at += length + 2;
     }
     size = at;
-    return Reading::whole;
+    return ParseStatus::complete;
 }
 
 std::string array(std::initializer_list<std::string_view> words) {
--- a/src/resp/resp.hpp
+++ b/src/resp/resp.hpp
@@ -14,15 +14,15 @@
     std::size_t word_bytes = 16 * 1024;
 };
 
-enum class Reading {
-    none,
-    whole,
-    spoilt
+enum class ParseStatus {
+    incomplete,
+    complete,
+    malformed
 };
 // The next array at the front of `bytes`: its words and how many bytes it takes. `none`: not all there yet.
 // `spoilt`: no array within the limits will ever stand here; nothing after it on the stream can be trusted.
-Reading read_array(std::string_view bytes, const Limits& limits, std::vector<std::string_view>& words,
-                   std::size_t& size);
+ParseStatus read_array(std::string_view bytes, const Limits& limits, std::vector<std::string_view>& words,
+                       std::size_t& size);
 
 std::string array(std::initializer_list<std::string_view> words);
 
--- a/src/sim/virtual_loop.cpp
+++ b/src/sim/virtual_loop.cpp
@@ -52,7 +52,7 @@
         last_arrival = std::max(last_arrival, loop.now_ + loop.delay());
         loop.after(last_arrival - loop.now_, std::move(what));
     }
-    bool take_back(net::SendId id) {
+    bool cancel_send(net::SendId id) {
         return id == 0 || std::erase_if(early, [&](const auto& kept) {
                               return kept.first == id;
                           }) > 0;
@@ -136,13 +136,13 @@
         const auto kept = std::any_of(end_->early.begin(), end_->early.end(), [&](const auto& held) {
             return held.first == id;
         });
-        return id == 0 || kept ? net::Written::nothing : net::Written::whole;
+        return id == 0 || kept ? net::Written::none : net::Written::all;
     }
     std::optional<std::size_t> unacknowledged() const override {
         return std::nullopt;
     }
-    bool take_back(net::SendId id) override {
-        return end_->take_back(id);
+    bool cancel_send(net::SendId id) override {
+        return end_->cancel_send(id);
     }
     void finish() override {
         end_->finish();
@@ -153,11 +153,11 @@
                 return held = std::move(bytes), true;
         return false;
     }
-    void drop_unsent() override {
+    void discard_unsent() override {
         end_->early.clear(), end_->finishing = true;
     }
     void discard() override {
-        drop_unsent();
+        discard_unsent();
     }  // bytes on their way arrive: nothing here holds them
     bool read_now() override {
         if (const auto kept = end_; kept->open)
@@ -171,10 +171,10 @@
             e->deliver();
         });
     }
-    Micros starved() const override {
+    Micros resource_delay() const override {
         return 0;
     }
-    void offer() override {
+    void schedule_delivery() override {
         if (end_->in.empty() || std::exchange(end_->offering, true))
             return;
         end_->loop.after(0, [e = end_] {
@@ -216,7 +216,7 @@
             return door.accepting;
         });
     }
-    bool accept_waiting(std::size_t most) override {
+    bool accept_pending(std::size_t most) override {
         const auto door = door_;
         take_waiting([&](const Door&) {
             return most-- > 0;
@@ -305,7 +305,7 @@
     mine->peer = to.text();
     mine->connect_timer = after(time_out, [mine] {
         mine->connect_timer = 0;
-        mine->end(Closed::too_late);
+        mine->end(Closed::connect_timed_out);
     });
     after(delay(), [this, mine, to] {
         if (!mine->open)
--- a/src/sim/virtual_loop.hpp
+++ b/src/sim/virtual_loop.hpp
@@ -31,7 +31,7 @@
     Micros now() const override {
         return now_;
     }
-    Micros unseen() const override {
+    Micros input_delay() const override {
         return 0;
     }
     Micros wall() const override {
--- a/src/statement/engine_call.cpp
+++ b/src/statement/engine_call.cpp
@@ -28,7 +28,7 @@
         [this, cancelled, &client, head = headers_, time_out = options_.answer_time_out](http::Answer a) {
             if (!*cancelled)
                 return on_post(std::move(a));
-            if (a.reached != http::Reached::answered || a.response.status != 200)
+            if (a.outcome != http::CallOutcome::answered || a.response.status != 200)
                 return;
             const auto d = read_document(a.response.body);
             if (d && !d->final())
@@ -47,20 +47,20 @@
 
 void EngineCall::on_post(http::Answer a) {
     using How = CallEnd::How;
-    switch (a.reached) {
-        case http::Reached::never_sent:
+    switch (a.outcome) {
+        case http::CallOutcome::never_sent:
             return end({How::not_sent, 0, a.error, 0});
-        case http::Reached::connect_late:
+        case http::CallOutcome::connect_timed_out:
             return end({How::connect_late, 0, a.error, 0});
-        case http::Reached::lacked_here:
+        case http::CallOutcome::lacks_local_resource:
             return end({How::lacked_here, 0, a.error, 0});
-        case http::Reached::withdrawn:
+        case http::CallOutcome::withdrawn:
             return end({How::withdrawn, 0, a.error, 0});
-        case http::Reached::broken:
+        case http::CallOutcome::broken:
             return end({How::lost, 0, a.error, 0});
-        case http::Reached::late:
+        case http::CallOutcome::timed_out:
             return end({How::late, 0, a.error, 0});
-        case http::Reached::answered:
+        case http::CallOutcome::answered:
             break;
     }
     if (a.response.status != 200) {
@@ -107,13 +107,13 @@
 }
 
 void EngineCall::on_poll(http::Answer a) {
-    const bool answered = a.reached == http::Reached::answered;
+    const bool answered = a.outcome == http::CallOutcome::answered;
     const int status = a.response.status;
     if (answered && status == 200)
         return take(a);
     // A poll may be asked again: the engine keeps its latest document.
-    const bool again = a.reached == http::Reached::broken || a.reached == http::Reached::never_sent ||
-                       a.reached == http::Reached::lacked_here ||
+    const bool again = a.outcome == http::CallOutcome::broken || a.outcome == http::CallOutcome::never_sent ||
+                       a.outcome == http::CallOutcome::lacks_local_resource ||
                        (answered && (status == 502 || status == 503 || status == 504 || status == 429));
     if (again && ++tries_ < options_.poll_tries) {
         again_ = loop_.after(options_.poll_again_after, [this] {
@@ -121,7 +121,8 @@
         });
         return;
     }
-    const bool late = a.reached == http::Reached::late || a.reached == http::Reached::connect_late;
+    const bool late =
+        a.outcome == http::CallOutcome::timed_out || a.outcome == http::CallOutcome::connect_timed_out;
     end({late ? CallEnd::How::late : CallEnd::How::lost, answered ? status : 0,
          answered ? "a poll was answered with status " + std::to_string(status) : a.error, 0});
 }
--- a/src/statement/server.cpp
+++ b/src/statement/server.cpp
@@ -172,7 +172,7 @@
                    ? &found->second
                    : nullptr;
     };
-    s.held->on_gone([this, mine] {
+    s.held->on_disconnect([this, mine] {
         if (Session* held = mine()) {
             held->held.reset();
             touch(*held);
--- a/src/thrift/binary.cpp
+++ b/src/thrift/binary.cpp
@@ -142,17 +142,17 @@
     return std::move(bytes_);
 }
 
-Framing next_frame(const Buffer& in, std::size_t most, std::string_view& frame) {
+FrameStatus next_frame(const Buffer& in, std::size_t most, std::string_view& frame) {
     const auto bytes = in.view();
     if (bytes.size() < kFrameHead)
-        return Framing::none;
+        return FrameStatus::incomplete;
     const std::uint32_t size = read_big_endian(bytes.substr(0, kFrameHead));
     if (size > most)
-        return Framing::too_long;
+        return FrameStatus::too_long;
     if (bytes.size() - kFrameHead < size)
-        return Framing::none;
+        return FrameStatus::incomplete;
     frame = bytes.substr(kFrameHead, size);
-    return Framing::whole;
+    return FrameStatus::complete;
 }
 
 }  // namespace gatetiller::thrift
--- a/src/thrift/binary.hpp
+++ b/src/thrift/binary.hpp
@@ -89,12 +89,12 @@
 };
 
 // The next frame of a stream, without its length; it stays in `in` until taken. `none`: not all there yet.
-enum class Framing {
-    none,
-    whole,
+enum class FrameStatus {
+    incomplete,
+    complete,
     too_long
 };
-Framing next_frame(const Buffer& in, std::size_t most, std::string_view& frame);
+FrameStatus next_frame(const Buffer& in, std::size_t most, std::string_view& frame);
 inline constexpr std::size_t kFrameHead = 4;
 
 }  // namespace gatetiller::thrift
--- a/tests/faults/http_client_faults_test.cpp
+++ b/tests/faults/http_client_faults_test.cpp
@@ -23,16 +23,16 @@
     for (const auto& [call, error] : failing) {
         control.fail(call, error);
         http::Client client(loop, *net::Address::parse("127.0.0.1:1"), options);
-        std::optional<http::Reached> reached;
+        std::optional<http::CallOutcome> reached;
         auto asked = client.send({"GET", "/", 1, {}, {}, {}}, kSecondMicros, [&](const http::Answer& a) {
-            reached = a.reached;
+            reached = a.outcome;
         });
         ASSERT_TRUE(await(loop, [&] {
             return reached.has_value();
         }));
         control.heal();
-        EXPECT_NE(reached, http::Reached::broken) << std::strerror(error);
-        EXPECT_NE(reached, http::Reached::late) << std::strerror(error);
+        EXPECT_NE(reached, http::CallOutcome::broken) << std::strerror(error);
+        EXPECT_NE(reached, http::CallOutcome::timed_out) << std::strerror(error);
     }
 }
 
--- a/tests/faults/loop_faults_test.cpp
+++ b/tests/faults/loop_faults_test.cpp
@@ -27,7 +27,7 @@
     }
     void on_data(Buffer& in) override {
         if (!waited)
-            waited = std::max(loop.unseen(), stream.starved());
+            waited = std::max(loop.input_delay(), stream.resource_delay());
         in.consume(in.size());
     }
     void on_closed(Closed) override {}
@@ -101,7 +101,7 @@
         return client.closed.has_value();
     }));
     EXPECT_NE(client.closed, Closed::refused);
-    EXPECT_NE(client.closed, Closed::too_late);
+    EXPECT_NE(client.closed, Closed::connect_timed_out);
     // Not in every turn: a machine that lacks something is not asked thousands of times.
     EXPECT_LT(control.of(Call::connect).failed, 100u);
 }
@@ -220,7 +220,7 @@
         }));
         control.fail(Call::accept, error, 1000, 2);
         for (int i = 0; i < 5 && !server.stream; ++i)
-            listener->accept_waiting(10);
+            listener->accept_pending(10);
         EXPECT_TRUE(server.stream) << std::strerror(error);
         control.heal();
     }
@@ -270,7 +270,7 @@
     struct TakesBack final : net::StreamEvents {
         void on_data(Buffer& in) override {
             in.consume(in.size());
-            taken = stream->take_back(id);
+            taken = stream->cancel_send(id);
         }
         void on_closed(Closed) override {}
         net::Stream* stream = nullptr;
--- a/tests/front/front_test_bed.hpp
+++ b/tests/front/front_test_bed.hpp
@@ -38,8 +38,8 @@
     Micros now() const override {
         return below_.now();
     }
-    Micros unseen() const override {
-        return below_.unseen();
+    Micros input_delay() const override {
+        return below_.input_delay();
     }
     Micros wall() const override {
         return below_.wall() + step;
--- a/tests/fuzz/platform_fuzz.cpp
+++ b/tests/fuzz/platform_fuzz.cpp
@@ -24,11 +24,11 @@
             std::vector<std::string_view> whole, pieces;
             std::size_t whole_size = 0, pieces_size = 0;
             const auto all = resp::read_array(bytes, limits, whole, whole_size);
-            auto step = resp::Reading::none;
-            for (std::size_t n = 1; n <= bytes.size() && step == resp::Reading::none; ++n)
+            auto step = resp::ParseStatus::incomplete;
+            for (std::size_t n = 1; n <= bytes.size() && step == resp::ParseStatus::incomplete; ++n)
                 step = resp::read_array(bytes.substr(0, n), limits, pieces, pieces_size);
             if (step != all ||
-                (all == resp::Reading::whole && (whole_size != pieces_size || whole != pieces)))
+                (all == resp::ParseStatus::complete && (whole_size != pieces_size || whole != pieces)))
                 std::abort();
             break;
         }
--- a/tests/http/server_test.cpp
+++ b/tests/http/server_test.cpp
@@ -145,12 +145,12 @@
         EXPECT_TRUE(until([&] {
             return !answers.empty();
         }));
-        return answers.at(0).reached;
+        return answers.at(0).outcome;
     };
-    EXPECT_EQ(call(client, "/1", 0), Reached::answered);
-    EXPECT_EQ(call(client, "/2", 0), Reached::answered);
+    EXPECT_EQ(call(client, "/1", 0), CallOutcome::answered);
+    EXPECT_EQ(call(client, "/2", 0), CallOutcome::answered);
     EXPECT_EQ(client.open(), 1u);  // the connection was used again
-    EXPECT_EQ(call(client, "/later", 50 * kMillisecond), Reached::late);
+    EXPECT_EQ(call(client, "/later", 50 * kMillisecond), CallOutcome::timed_out);
     answers.clear();
     auto broken = client.send({"GET", "/later", 1, {}, {}, {}}, 0, keep);
     ASSERT_TRUE(until([&] {
@@ -160,10 +160,10 @@
     ASSERT_TRUE(until([&] {
         return !answers.empty();
     }));
-    EXPECT_EQ(answers[0].reached, Reached::broken);
+    EXPECT_EQ(answers[0].outcome, CallOutcome::broken);
     server->stop_listening();
-    server->break_all();
-    EXPECT_EQ(call(client, "/3", 0), Reached::never_sent);
+    server->close_all();
+    EXPECT_EQ(call(client, "/3", 0), CallOutcome::never_sent);
 }
 
 TEST_F(ServerTest, ACallThatIsLetGoNeverCallsBackAndHarmsNoLaterOne) {
@@ -208,7 +208,7 @@
         Client client(loop, address, {});
         bool fine = false;
         auto call = client.send({"GET", "/", 1, {}, {}, {}}, kSecondMicros, [&](const Answer& a) {
-            fine = a.reached == Reached::answered;
+            fine = a.outcome == CallOutcome::answered;
         });
         EXPECT_TRUE(until([&] {
             return fine;
--- a/tests/net/loop_test.cpp
+++ b/tests/net/loop_test.cpp
@@ -63,7 +63,7 @@
               size / 2);  // the kernel's buffers are full, and this side holds the rest
     EXPECT_EQ(client.sent, 0);
     server.take = true;
-    server.stream->offer();
+    server.stream->schedule_delivery();
     ASSERT_TRUE(until([&] {
         return server.got == size;
     }));
@@ -138,7 +138,7 @@
     nanosleep(&stall, nullptr);
     loop.turn(0);
     EXPECT_FALSE(late);
-    EXPECT_GE(loop.unseen(), 25 * kMillisecond);
+    EXPECT_GE(loop.input_delay(), 25 * kMillisecond);
 }
 
 TEST_F(LoopTest, WhatCameWithNewConnectionsDuringAStallIsKnownToHaveWaited) {
@@ -149,7 +149,7 @@
             stream->events(*this);
         }
         void on_data(Buffer& in) override {
-            in.clear(), waited = loop.unseen();
+            in.clear(), waited = loop.input_delay();
         }
         void on_closed(Closed) override {}
         PollLoop& loop;
@@ -191,15 +191,15 @@
     client.stream = loop.connect(listener->address(), client, kSecondMicros);
     const auto first = client.stream->send("one "), second = client.stream->send("two "),
                third = client.stream->send("three");
-    EXPECT_EQ(client.stream->written(second), Written::nothing);
-    EXPECT_TRUE(client.stream->take_back(second));
+    EXPECT_EQ(client.stream->written(second), Written::none);
+    EXPECT_TRUE(client.stream->cancel_send(second));
     ASSERT_TRUE(until([&] {
         return server.got == 9;
     }));
-    EXPECT_EQ(client.stream->written(first), Written::whole);
-    EXPECT_FALSE(client.stream->take_back(third));
+    EXPECT_EQ(client.stream->written(first), Written::all);
+    EXPECT_FALSE(client.stream->cancel_send(third));
     const auto later = client.stream->send("in this turn");
-    EXPECT_TRUE(client.stream->take_back(later));
+    EXPECT_TRUE(client.stream->cancel_send(later));
     client.stream->send("!");
     ASSERT_TRUE(until([&] {
         return server.got > 9;
@@ -218,10 +218,10 @@
         loop.turn(0);
     const auto behind = client.stream->send("behind");
     loop.turn(0);
-    EXPECT_EQ(client.stream->written(large), Written::part);
-    EXPECT_FALSE(client.stream->take_back(large));
+    EXPECT_EQ(client.stream->written(large), Written::partial);
+    EXPECT_FALSE(client.stream->cancel_send(large));
     const std::size_t unsent = client.stream->unsent();
-    EXPECT_TRUE(client.stream->take_back(behind));
+    EXPECT_TRUE(client.stream->cancel_send(behind));
     EXPECT_EQ(client.stream->unsent(), unsent - 6);
     // The peer ends over it: known to have been handed over in part, and nothing of what follows.
     const auto last = client.stream->send("last");
@@ -229,8 +229,8 @@
     ASSERT_TRUE(until([&] {
         return client.closed.has_value();
     }));
-    EXPECT_EQ(client.stream->written(large), Written::part);
-    EXPECT_EQ(client.stream->written(last), Written::nothing);
+    EXPECT_EQ(client.stream->written(large), Written::partial);
+    EXPECT_EQ(client.stream->written(last), Written::none);
 }
 
 // A close over unread bytes would be a reset, and take away what the peer has not read yet.
@@ -288,9 +288,9 @@
     }));
     server.stream.reset();
     client.closed.reset(), server.got = 0;
-    listener->accept_waiting(0);
+    listener->accept_pending(0);
     EXPECT_FALSE(server.stream);
-    listener->accept_waiting(8);
+    listener->accept_pending(8);
     ASSERT_TRUE(server.stream);
     EXPECT_EQ(server.got, 5u);
     late.stream->send("more");
--- a/tests/node/engine_connections_test.cpp
+++ b/tests/node/engine_connections_test.cpp
@@ -108,7 +108,7 @@
     std::vector<std::string_view> words;
     std::size_t size = 0;
     std::string_view rest = peer->got;
-    while (resp::read_array(rest, {4, 64 * 1024}, words, size) == resp::Reading::whole)
+    while (resp::read_array(rest, {4, 64 * 1024}, words, size) == resp::ParseStatus::complete)
         rest.remove_prefix(size);
     EXPECT_EQ(rest.find("undo"), std::string_view::npos);
     EXPECT_EQ(rest.find("\r\n*"), std::string_view::npos) << "something followed a request cut in its middle";
--- a/tests/resp/resp_test.cpp
+++ b/tests/resp/resp_test.cpp
@@ -10,7 +10,7 @@
 
 const Limits kLimits{4, 100};
 
-Reading read(std::string_view bytes, std::vector<std::string_view>& words, std::size_t& size) {
+ParseStatus read(std::string_view bytes, std::vector<std::string_view>& words, std::size_t& size) {
     return read_array(bytes, kLimits, words, size);
 }
 
@@ -19,10 +19,10 @@
     std::vector<std::string_view> words;
     std::size_t size = 0;
     const std::string both = one + two;
-    ASSERT_EQ(read(both, words, size), Reading::whole);
+    ASSERT_EQ(read(both, words, size), ParseStatus::complete);
     EXPECT_EQ(size, one.size());
     EXPECT_EQ(words, (std::vector<std::string_view>{"id", "HIT", "-", std::string_view("a\r\nb\0", 5)}));
-    ASSERT_EQ(read(std::string_view(both).substr(size), words, size), Reading::whole);
+    ASSERT_EQ(read(std::string_view(both).substr(size), words, size), ParseStatus::complete);
     EXPECT_EQ(words, std::vector<std::string_view>{"x"});
 }
 
@@ -31,7 +31,7 @@
     std::vector<std::string_view> words;
     std::size_t size = 0;
     for (std::size_t n = 0; n < one.size(); ++n)
-        EXPECT_EQ(read(std::string_view(one).substr(0, n), words, size), Reading::none) << n;
+        EXPECT_EQ(read(std::string_view(one).substr(0, n), words, size), ParseStatus::incomplete) << n;
 }
 
 TEST(Resp, WhatCanNeverBecomeAnArrayIsSpoiltAtOnce) {
@@ -41,7 +41,7 @@
          {"noise", "+OK\r\n", "*5\r\n", "*-1\r\n", "*x\r\n", "*1\n", "*1\r\r", "*\r\n",
           "*11111111111111111111", "*1\r\n$3000000000\r\n", "*1\r\n$101\r\n", "*1\r\n$-1\r\n", "*1\r\n:1\r\n",
           "*1\r\n$1\r\nab", "*1\r\n$1\r\na\rb", "*1\r\n$1\nab", "*1\r\n$00000000000000000001\r\n"})
-        EXPECT_EQ(read(bytes, words, size), Reading::spoilt) << bytes;
+        EXPECT_EQ(read(bytes, words, size), ParseStatus::malformed) << bytes;
 }
 
 TEST(Resp, ChangedBytesAreReadWholeAsInPieces) {
@@ -53,14 +53,14 @@
             bad[random.below(bad.size())] = static_cast<char>(random.next());
         std::vector<std::string_view> words, again;
         std::size_t size = 0, size_again = 0;
-        const Reading whole = read(bad, words, size);
+        const ParseStatus whole = read(bad, words, size);
         // Byte by byte the first verdict must be the same: a spoilt stream is told no later than when all is
         // there.
-        Reading pieces = Reading::none;
-        for (std::size_t n = 1; n <= bad.size() && pieces == Reading::none; ++n)
+        ParseStatus pieces = ParseStatus::incomplete;
+        for (std::size_t n = 1; n <= bad.size() && pieces == ParseStatus::incomplete; ++n)
             pieces = read(std::string_view(bad).substr(0, n), again, size_again);
         ASSERT_EQ(pieces, whole) << "seed " << seed;
-        if (whole == Reading::whole) {
+        if (whole == ParseStatus::complete) {
             ASSERT_EQ(size, size_again) << "seed " << seed;
         }
     }
--- a/tests/soak/fault_proxy.cpp
+++ b/tests/soak/fault_proxy.cpp
@@ -97,7 +97,7 @@
     if (link->listener < 0 || ::bind(link->listener, kernel.get(), kernel.size) != 0 ||
         ::listen(link->listener, 512) != 0)
         return Error{std::string("proxy: ") + std::strerror(errno), errno};
-    link->address = net::bound_to(link->listener, any);
+    link->address = net::bound_address(link->listener, any);
     link->engine = engine, link->target = target;
     id = link->id = links_.size();
     links_.push_back(std::move(link));
@@ -221,7 +221,7 @@
         if (fd < 0)
             return;
         ++connections_;
-        net::no_delay(fd);
+        net::set_no_delay(fd);
         auto pair = std::make_unique<Pair>();
         pair->link = &link, pair->front = fd;
         pair->target = net::open_socket(link.target);
@@ -230,7 +230,7 @@
             end(*pair, true);
             continue;
         }
-        net::no_delay(pair->target);
+        net::set_no_delay(pair->target);
         pairs_.push_back(std::move(pair));
     }
 }
@@ -352,7 +352,7 @@
 void take_messages_of(std::string& said, Take take) {
     std::vector<std::string_view> words;
     std::size_t size = 0;
-    while (resp::read_array(said, kMessage, words, size) == resp::Reading::whole) {
+    while (resp::read_array(said, kMessage, words, size) == resp::ParseStatus::complete) {
         take(words);
         said.erase(0, size);
     }
--- a/tests/thrift/thrift_test.cpp
+++ b/tests/thrift/thrift_test.cpp
@@ -53,7 +53,7 @@
         Buffer in;
         in.append(std::string_view(frame).substr(0, n));
         std::string_view got;
-        EXPECT_EQ(next_frame(in, 1000, got), Framing::none) << n;
+        EXPECT_EQ(next_frame(in, 1000, got), FrameStatus::incomplete) << n;
         if (n >= kFrameHead) {
             EXPECT_FALSE(read_call(inside(frame).substr(0, n - kFrameHead))) << n;
         }
@@ -61,7 +61,7 @@
     Buffer in;
     in.append(frame + frame);
     std::string_view got;
-    ASSERT_EQ(next_frame(in, 1000, got), Framing::whole);
+    ASSERT_EQ(next_frame(in, 1000, got), FrameStatus::complete);
     EXPECT_EQ(got, inside(frame));
 }
 
@@ -73,7 +73,7 @@
             head.push_back(static_cast<char>(length >> shift & 0xff));
         in.append(head);
         std::string_view got;
-        EXPECT_EQ(next_frame(in, 1000, got), Framing::too_long) << length;
+        EXPECT_EQ(next_frame(in, 1000, got), FrameStatus::too_long) << length;
     }
     // A map that claims more entries than there are bytes, a negative string, a key that comes twice.
     const std::string good = process_call(1, {{"a", "b"}, {"c", "d"}}, "x");
