--- a/src/node/engine_connection.cpp
+++ b/src/node/engine_connection.cpp
@@ -100,7 +100,7 @@
 void EngineConnection::on_closed(net::Closed reason) {
     switch (reason) {
         case net::Closed::refused:
-        case net::Closed::too_late:
+        case net::Closed::connect_timed_out:
             ++pool_.refused;
             return end_all(ConnectionEnd::never_established, StreamState::ended,
                            "the connection could not be established");
@@ -138,11 +138,11 @@
 // Prepares the waiting requests that fit into the next write: each must carry its current time left.
 void EngineConnection::on_sending(std::size_t max_bytes) {
     std::erase_if(unsent_, [&](const Exchange* exchange) {
-        return stream_->written(exchange->request_send_id_) == net::Written::whole;
+        return stream_->written(exchange->request_send_id_) == net::Written::all;
     });
     auto waiting = unsent_;  // a copy, as withdrawing a request changes `unsent_`
     const bool first_has_begun =
-        !waiting.empty() && stream_->written(waiting.front()->request_send_id_) == net::Written::part;
+        !waiting.empty() && stream_->written(waiting.front()->request_send_id_) == net::Written::partial;
     if (first_has_begun) {
         if (loop_.now() - waiting.front()->written_at_ > kMaxPartialWriteTime)
             return schedule_abort("a request was partly sent for too long");
@@ -186,11 +186,11 @@
 // Withdraws a request that may no longer begin. Its caller is notified in a later turn, as the stream is in
 // the middle of a write.
 void EngineConnection::withdraw_while_sending(Exchange& exchange) {
-    if (!stream_->take_back(exchange.request_send_id_))
+    if (!stream_->cancel_send(exchange.request_send_id_))
         return;
     exchange.request_send_id_ = 0;
     for (const auto change : std::exchange(exchange.priority_changes_, {}))
-        stream_->take_back(change);
+        stream_->cancel_send(change);
     std::erase(unsent_, &exchange);
     loop_.after(0, [this, alive = std::weak_ptr<char>(alive_), id = exchange.id_] {
         if (!alive.expired())
@@ -212,7 +212,7 @@
 // requests end too, each with the status that follows for it. This happens in a later turn, as the caller
 // still uses the connection.
 void EngineConnection::schedule_abort(const char* reason) {
-    stream_->drop_unsent();
+    stream_->discard_unsent();
     loop_.after(0, [this, alive = std::weak_ptr<char>(alive_), reason] {
         if (!alive.expired())
             end_all(ConnectionEnd::broken, StreamState::ended, reason);
@@ -227,9 +227,9 @@
     std::size_t size = 0;
     for (;;) {
         const auto reading = resp::read_array(in.view(), kResponseLimits, parts, size);
-        if (reading == resp::Reading::none)
+        if (reading == resp::ParseStatus::incomplete)
             return;
-        if (reading == resp::Reading::spoilt || parts.size() != kResponseFields) {
+        if (reading == resp::ParseStatus::malformed || parts.size() != kResponseFields) {
             end_malformed("malformed response");
             return;
         }
@@ -423,10 +423,10 @@
     std::vector<std::pair<Exchange::Events*, Status>> ended;
     for (const auto& [id, exchange] : std::exchange(open_, {})) {
         auto progress = WriteProgress::complete;
-        if (stream_->take_back(exchange->request_send_id_))
+        if (stream_->cancel_send(exchange->request_send_id_))
             progress = WriteProgress::none;
         else if (stream_state == StreamState::ended &&
-                 stream_->written(exchange->request_send_id_) != net::Written::whole)
+                 stream_->written(exchange->request_send_id_) != net::Written::all)
             progress = WriteProgress::partial;
         ended.emplace_back(&exchange->events_, decide::classify_connection_end(end, progress));
         exchange->connection_ = nullptr;
@@ -451,10 +451,10 @@
 }
 
 bool EngineConnection::withdraw_unsent(Exchange& exchange) {
-    if (!stream_->take_back(exchange.request_send_id_))
+    if (!stream_->cancel_send(exchange.request_send_id_))
         return false;
     for (const auto change : exchange.priority_changes_)
-        stream_->take_back(change);  // queued behind the request, so not written either
+        stream_->cancel_send(change);  // queued behind the request, so not written either
     sent_ids_.erase(exchange.id_);
     remove(exchange);
     close_if_unused();
@@ -462,7 +462,7 @@
 }
 
 bool EngineConnection::reset_partial(Exchange& exchange) {
-    if (stream_->written(exchange.request_send_id_) != net::Written::part)
+    if (stream_->written(exchange.request_send_id_) != net::Written::partial)
         return false;
     schedule_abort("a partly sent request was cancelled");
     remove_and_retire(exchange);
@@ -484,13 +484,13 @@
 std::string EngineConnection::describe(const Exchange& exchange) const {
     const char* progress = "not sent";
     switch (stream_->written(exchange.request_send_id_)) {
-        case net::Written::whole:
+        case net::Written::all:
             progress = "sent completely";
             break;
-        case net::Written::part:
+        case net::Written::partial:
             progress = "sent in part";
             break;
-        case net::Written::nothing:
+        case net::Written::none:
             break;
     }
     const auto unacknowledged = stream_->unacknowledged();
