--- a/src/decide/account.cpp
+++ b/src/decide/account.cpp
@@ -9,7 +9,7 @@
 
 // Rank for supersedes(): an interrupted state may be final in another copy of the ledger.
 template <typename State>
-int knowledge(State s) {
+int finality(State s) {
     return s == State{} ? 0 : s == State::interrupted ? 1 : 2;
 }
 
@@ -45,10 +45,10 @@
 }
 
 bool supersedes(RequestState a, RequestState b) {
-    return knowledge(a) > knowledge(b);
+    return finality(a) > finality(b);
 }
 bool supersedes(AttemptState a, AttemptState b) {
-    return knowledge(a) > knowledge(b);
+    return finality(a) > finality(b);
 }
 
 AttemptState state_of(const AttemptEndRecord& f) {
@@ -75,10 +75,10 @@
 }
 
 WastedWork classify_waste(const RequestRow& r, const AttemptRow& a) {
-    const bool left = r.state == RequestState::cancelled || r.state == RequestState::abandoned;
+    const bool disconnected = r.state == RequestState::cancelled || r.state == RequestState::abandoned;
     switch (a.state) {
         case AttemptState::answered:
-            return left ? WastedWork::unfetched : WastedWork::none;
+            return disconnected ? WastedWork::unfetched : WastedWork::none;
         case AttemptState::error:
             return r.state == RequestState::truncated ? WastedWork::truncated : WastedWork::failed;
         case AttemptState::connection_lost:
@@ -88,11 +88,11 @@
         // The client's disconnecting is the reason where the attempt ended no earlier than the request,
         // whatever cancelled it.
         case AttemptState::cancelled:
-            return left && a.ended_after >= r.ended_after ? WastedWork::client_disconnected
-                                                          : WastedWork::cancelled;
+            return disconnected && a.ended_after >= r.ended_after ? WastedWork::client_disconnected
+                                                                  : WastedWork::cancelled;
         case AttemptState::in_flight:
         case AttemptState::interrupted:
-            return left ? WastedWork::client_disconnected : WastedWork::interrupted;
+            return disconnected ? WastedWork::client_disconnected : WastedWork::interrupted;
         case AttemptState::rejected:
         case AttemptState::unreachable:
         case AttemptState::not_sent:
--- a/src/decide/charge.cpp
+++ b/src/decide/charge.cpp
@@ -33,7 +33,7 @@
 }
 
 void Charges::add_work(ChargeLine& line, const std::string& kind, Micros received_at, const Settlement& s,
-                       Micros span, std::int64_t grant_bytes) {
+                       Micros duration, std::int64_t grant_bytes) {
     auto& finding = findings_[static_cast<std::size_t>(s.finding)];
     ++finding.queries;
     finding.work += s.work;
@@ -42,7 +42,7 @@
     line.work[static_cast<std::size_t>(s.waste)] += s.work;
     line.work_after_disconnect += s.work_after_disconnect;
     const std::size_t wasted = s.waste != WastedWork::none;
-    Usage u{s.work, Exact{grant_bytes} * span, Exact{s.peak_bytes} * span, s.spilled_bytes};
+    Usage u{s.work, Exact{grant_bytes} * duration, Exact{s.peak_bytes} * duration, s.spilled_bytes};
     line.granted_byte_micros += u.granted_byte_micros;
     line.used_byte_micros += u.used_byte_micros;
     line.spilled[wasted] += s.spilled_bytes;
@@ -75,8 +75,8 @@
 
 void Charges::add_unmatched(ChargeLineKey key, const LoggedQuery& logged, const Settlement& settled) {
     const std::string kind = key.kind;
-    const Micros span = std::max<Micros>(0, logged.ended - logged.created);
-    add_work(lines_[std::move(key)], kind, logged.created, settled, span, 0);
+    const Micros duration = std::max<Micros>(0, logged.ended - logged.created);
+    add_work(lines_[std::move(key)], kind, logged.created, settled, duration, 0);
 }
 
 }  // namespace gatetiller::decide
--- a/src/decide/charge.hpp
+++ b/src/decide/charge.hpp
@@ -79,7 +79,7 @@
 
 private:
     void add_work(ChargeLine& line, const std::string& kind, Micros received_at, const Settlement& s,
-                  Micros span, std::int64_t grant_bytes);
+                  Micros duration, std::int64_t grant_bytes);
     const PriceList& prices_;
     std::map<ChargeLineKey, ChargeLine> lines_;
     std::array<FindingTotal, kFindings> findings_{};
--- a/src/decide/engine_exchange.cpp
+++ b/src/decide/engine_exchange.cpp
@@ -6,38 +6,38 @@
 namespace {
 
 constexpr int kColumns = 3;
-constexpr std::size_t kFieldsMost = 32;
+constexpr std::size_t kMaxFields = 32;
 
 }  // namespace
 
-AttemptOutcome outcome_of(ExchangeResult::Status how) {
-    using How = ExchangeResult::Status;
-    switch (how) {
-        case How::completed:
+AttemptOutcome outcome_of(ExchangeResult::Status status) {
+    using Status = ExchangeResult::Status;
+    switch (status) {
+        case Status::completed:
             return AttemptOutcome::succeeded;
-        case How::rejected:
+        case Status::rejected:
             return AttemptOutcome::rejected;
-        case How::failed:
+        case Status::failed:
             return AttemptOutcome::failed;
-        case How::deadline_passed:
+        case Status::deadline_passed:
             return AttemptOutcome::not_sent;
-        case How::connection_refused:
+        case Status::connection_refused:
             return AttemptOutcome::connection_refused;
-        case How::not_sent:
+        case Status::not_sent:
             return AttemptOutcome::not_sent;
-        case How::connection_lost:
+        case Status::connection_lost:
             break;
     }
     return AttemptOutcome::connection_reset;
 }
 
-ExchangeResult::Status classify_connection_end(ConnectionEnd end, WriteProgress handed) {
+ExchangeResult::Status classify_connection_end(ConnectionEnd end, WriteProgress written) {
     if (end == ConnectionEnd::never_established)
         return ExchangeResult::Status::connection_refused;
     if (end == ConnectionEnd::local_resource_exhausted)
         return ExchangeResult::Status::not_sent;
-    return handed == WriteProgress::complete ? ExchangeResult::Status::connection_lost
-                                             : ExchangeResult::Status::not_sent;
+    return written == WriteProgress::complete ? ExchangeResult::Status::connection_lost
+                                              : ExchangeResult::Status::not_sent;
 }
 
 bool ResponseFields::parse(std::string_view text) {
@@ -46,11 +46,11 @@
         return true;
     for (std::size_t at = 0; at <= text.size();) {
         const std::size_t end = std::min(text.find(',', at), text.size());
-        const auto part = text.substr(at, end - at);
-        const std::size_t equals = part.find('=');
-        if (equals == std::string_view::npos || equals == 0 || fields_.size() >= kFieldsMost)
+        const auto field = text.substr(at, end - at);
+        const std::size_t equals = field.find('=');
+        if (equals == std::string_view::npos || equals == 0 || fields_.size() >= kMaxFields)
             return false;
-        fields_.emplace_back(part.substr(0, equals), part.substr(equals + 1));
+        fields_.emplace_back(field.substr(0, equals), field.substr(equals + 1));
         at = end + 1;
     }
     return true;
@@ -63,13 +63,13 @@
     return {};
 }
 
-bool ResultPages::fits(std::string_view page) {
+bool ResultPages::check_and_count(std::string_view page) {
     bytes_ += page.size();
     return page.size() <= kMaxPageBytes && bytes_ <= kMaxResultBytes && is_complete_rows(page, kColumns);
 }
 
 bool ResultPages::start(std::size_t pages, std::string_view first) {
-    if (pages == 0 || pages > kMaxPages || !fits(first))
+    if (pages == 0 || pages > kMaxPages || !check_and_count(first))
         return false;
     pages_.resize(pages);
     pages_.front() = first;
@@ -80,7 +80,7 @@
 ResultPages::PageVerdict ResultPages::add(std::size_t number, std::string_view page) {
     if (number == 0 || number >= pages_.size() || pages_[number])
         return PageVerdict::not_requested;
-    if (!fits(page))
+    if (!check_and_count(page))
         return PageVerdict::malformed;
     pages_[number] = page;
     --missing_;
--- a/src/decide/engine_exchange.hpp
+++ b/src/decide/engine_exchange.hpp
@@ -41,7 +41,7 @@
     std::string detail;
 };
 
-AttemptOutcome outcome_of(ExchangeResult::Status how);
+AttemptOutcome outcome_of(ExchangeResult::Status status);
 
 // How much of a request was written to the kernel when its connection ended. A request that was not written
 // completely cannot have arrived completely, and an engine executes only complete requests.
@@ -60,7 +60,7 @@
     local_resource_exhausted
 };
 // The status of a request on a connection that ended.
-ExchangeResult::Status classify_connection_end(ConnectionEnd end, WriteProgress handed);
+ExchangeResult::Status classify_connection_end(ConnectionEnd end, WriteProgress written);
 
 // The fields of a message on an engine's connection: "name=value,name=value", or "-" for none. Refers to the
 // parsed text, which must outlive it.
@@ -105,7 +105,7 @@
     std::string take_rows();
 
 private:
-    bool fits(std::string_view page);
+    bool check_and_count(std::string_view page);
     std::vector<std::optional<std::string>> pages_;
     std::size_t missing_ = 0, bytes_ = 0;
 };
--- a/src/decide/ledger_state.hpp
+++ b/src/decide/ledger_state.hpp
@@ -44,11 +44,11 @@
     std::int64_t requests = 0, updates = 0;
 };
 
-// The interval in which requests of a killed incarnation may be missing: from its last commit (`last`) until
-// the next incarnation's start (`began`), both by the wall clock. Where the clock was set back in between,
+// The interval in which requests of a killed incarnation may be missing: from its last commit until the
+// next incarnation's start, both by the wall clock. Where the clock was set back in between,
 // the time of the step is unknown, and the interval is extended in both directions. `tail`: the longest time
 // between the arrival of a row and its commit.
-LedgerGap gap_after_kill(Micros last, Micros began, Micros tail);
+LedgerGap gap_after_kill(Micros last_commit, Micros next_start, Micros tail);
 
 struct LedgerLimits {
     // Rows in the queue and in the batch that is being written.
@@ -82,14 +82,14 @@
     }
     // The number of rows lost since the start.
     std::int64_t lost_rows() const {
-        return lost_;
+        return lost_rows_;
     }
 
 private:
-    void lose(Micros wall, bool request);
+    void record_loss(Micros wall, bool request);
     LedgerLimits limits_;
     std::optional<LedgerGap> gap_;
-    std::int64_t lost_ = 0;
+    std::int64_t lost_rows_ = 0;
 };
 
 // Used on the store's thread: decides what is done next.
@@ -105,7 +105,7 @@
         // Move the corrupt file away.
         quarantine
     };
-    explicit LedgerState(LedgerLimits limits) : limits_(limits), pause_(limits.retry_delay) {}
+    explicit LedgerState(LedgerLimits limits) : limits_(limits), retry_delay_(limits.retry_delay) {}
 
     Step next_step(Micros now) const;
     void on_opened();
@@ -124,26 +124,26 @@
     }
     // When the store may be tried again.
     Micros retry_at() const {
-        return again_at_;
+        return retry_at_;
     }
 
 private:
     LedgerLimits limits_;
     bool open_ = false;
     StoreError error_ = StoreError::none;
-    Micros pause_, again_at_ = 0, said_at_ = 0;
+    Micros retry_delay_, retry_at_ = 0, logged_at_ = 0;
 };
 
 // Detects steps of the wall clock.
 class ClockStepDetector {
 public:
     // The step of the wall clock since the last call, in microseconds; nothing where it advanced like the
-    // monotonic clock (`now`), within kNoticed.
+    // monotonic clock (`now`), within kMinStep.
     std::optional<Micros> detect(Micros now, Micros wall);
 
 private:
-    static constexpr Micros kNoticed = 200 * kMillisecond;
-    std::optional<Micros> difference_;
+    static constexpr Micros kMinStep = 200 * kMillisecond;
+    std::optional<Micros> offset_;
 };
 
 }  // namespace gatetiller::decide
--- a/src/decide/money.cpp
+++ b/src/decide/money.cpp
@@ -21,15 +21,15 @@
     return a / unit - (a % unit < 0 ? 1 : 0);
 }
 
-std::string with_point(Exact units, int decimals) {
-    const bool minus = units < 0;
-    std::string digits = integer_text(minus ? -units : units);
+std::string format_units(Exact units, int decimals) {
+    const bool negative = units < 0;
+    std::string digits = integer_text(negative ? -units : units);
     if (decimals > 0) {
         if (digits.size() <= static_cast<std::size_t>(decimals))
             digits.insert(0, static_cast<std::size_t>(decimals) + 1 - digits.size(), '0');
         digits.insert(digits.size() - static_cast<std::size_t>(decimals), ".");
     }
-    return (minus ? "-" : "") + digits;
+    return (negative ? "-" : "") + digits;
 }
 
 }  // namespace
@@ -38,34 +38,34 @@
     if (n == 0)
         return "0";
     std::string text;
-    const bool minus = n < 0;
+    const bool negative = n < 0;
     for (; n != 0; n /= 10)
-        text += static_cast<char>('0' + (minus ? -(n % 10) : n % 10));
-    if (minus)
+        text += static_cast<char>('0' + (negative ? -(n % 10) : n % 10));
+    if (negative)
         text += '-';
     std::reverse(text.begin(), text.end());
     return text;
 }
 
 Result<std::int64_t> parse_price(std::string_view text) {
-    const auto wrong = [&](const char* why) {
-        return Error{"'" + std::string(text) + "' is not a price: " + why +
+    const auto invalid = [&](const char* reason) {
+        return Error{"'" + std::string(text) + "' is not a price: " + reason +
                      "; write a decimal such as '0.000125'"};
     };
     const auto point = text.find('.');
     const std::string_view integer = text.substr(0, point);
     const std::string_view fraction = point == std::string_view::npos ? "" : text.substr(point + 1);
     if (integer.empty() || (point != std::string_view::npos && fraction.empty()))
-        return wrong("digits are missing");
+        return invalid("digits are missing before or after the point");
     if (fraction.size() > kPriceDecimals)
-        return wrong("more than nine decimals");
+        return invalid("more than nine decimals");
     if (integer.size() > 9)
-        return wrong("it is too large");
+        return invalid("more than nine digits before the point");
     std::string digits(integer);
     digits += fraction;
     digits.append(kPriceDecimals - fraction.size(), '0');
     if (digits.find_first_not_of("0123456789") != std::string::npos)
-        return wrong("not a plain decimal");
+        return invalid("only digits and one point are allowed");
     return *to_number<std::int64_t>(digits);
 }
 
@@ -85,36 +85,36 @@
 std::vector<std::string> round_preserving_total(const std::vector<Exact>& parts, int decimals) {
     const Exact unit = power_of_ten(kAmountDecimals - decimals);
     Exact total = 0;
-    Exact given = 0;
+    Exact rounded_down = 0;
     std::vector<Exact> units;
     units.reserve(parts.size());
     for (const Exact part : parts) {
         total += part;
         units.push_back(floor_of(part, unit));
-        given += units.back();
+        rounded_down += units.back();
     }
     std::vector<std::size_t> order(parts.size());
     std::iota(order.begin(), order.end(), std::size_t{0});
-    const auto rest = [&](std::size_t i) {
+    const auto remainder = [&](std::size_t i) {
         return parts[i] - units[i] * unit;
     };
     std::stable_sort(order.begin(), order.end(), [&](auto a, auto b) {
-        return rest(a) > rest(b);
+        return remainder(a) > remainder(b);
     });
-    Exact missing = floor_of(total + unit / 2, unit) - given;
-    std::vector<Exact> fair = units;
+    Exact missing = floor_of(total + unit / 2, unit) - rounded_down;
+    std::vector<Exact> adjusted = units;
     for (std::size_t i = 0; missing > 0 && i < order.size(); ++i, --missing)
-        ++fair[order[i]];
+        ++adjusted[order[i]];
     std::vector<std::string> texts;
-    texts.reserve(fair.size());
-    for (const Exact n : fair)
-        texts.push_back(with_point(n, decimals));
+    texts.reserve(adjusted.size());
+    for (const Exact n : adjusted)
+        texts.push_back(format_units(n, decimals));
     return texts;
 }
 
 std::string decimal_text(Exact amount, int decimals) {
     const Exact unit = power_of_ten(kAmountDecimals - decimals);
-    return with_point(floor_of(amount + unit / 2, unit), decimals);
+    return format_units(floor_of(amount + unit / 2, unit), decimals);
 }
 
 }  // namespace gatetiller::decide
--- a/src/decide/quota.cpp
+++ b/src/decide/quota.cpp
@@ -54,10 +54,10 @@
         return;
     expire_slots(*t, now);
     // Counts slots back from now, as the monotonic clock may have started less than a window ago.
-    const std::int64_t back = ago / slot_;
-    if (back >= kSlots)
+    const std::int64_t slots_back = ago / slot_;
+    if (slots_back >= kSlots)
         return;
-    t->slots[static_cast<std::size_t>(((t->newest - back) % kSlots + kSlots) % kSlots)] += work;
+    t->slots[static_cast<std::size_t>(((t->newest - slots_back) % kSlots + kSlots) % kSlots)] += work;
     t->sum += work;
 }
 
@@ -98,11 +98,11 @@
     const Team* t = find(team);
     if (!t || t->budget.hard_limit <= 0)
         return settings_.min_state_duration;
-    const auto open_at =
+    const auto exit_threshold =
         static_cast<Micros>(settings_.exit_fraction * static_cast<double>(t->budget.hard_limit));
     Micros sum = t->sum;
     Micros after = 0;
-    for (std::int64_t slot = t->newest - kSlots + 1; slot <= t->newest && sum >= open_at; ++slot) {
+    for (std::int64_t slot = t->newest - kSlots + 1; slot <= t->newest && sum >= exit_threshold; ++slot) {
         sum -= t->slots[static_cast<std::size_t>((slot % kSlots + kSlots) % kSlots)];
         after = (slot + kSlots) * slot_ - now;  // when the slot has left the window
     }
@@ -113,9 +113,9 @@
     const Team* t = find(team);
     if (!t)
         return 0;
-    Team copy = *t;
-    expire_slots(copy, now);
-    return copy.sum;
+    Team expired = *t;
+    expire_slots(expired, now);
+    return expired.sum;
 }
 
 }  // namespace gatetiller::decide
--- a/src/decide/routing.cpp
+++ b/src/decide/routing.cpp
@@ -49,13 +49,13 @@
     });
     if (found == routes_.end())
         return std::nullopt;
-    RoutingResult to{found->cls, found->tenant, value_of(found->key_from, traits),
-                     group_number(value_of(found->group_from, traits))};
-    if (to.tenant.empty())
-        to.tenant = value_of(found->tenant_from, traits);
-    if (!tenants_.empty() && std::find(tenants_.begin(), tenants_.end(), to.tenant) == tenants_.end())
-        to.tenant = tenants_.back();
-    return to;
+    RoutingResult result{found->cls, found->tenant, value_of(found->key_from, traits),
+                         group_number(value_of(found->group_from, traits))};
+    if (result.tenant.empty())
+        result.tenant = value_of(found->tenant_from, traits);
+    if (!tenants_.empty() && std::find(tenants_.begin(), tenants_.end(), result.tenant) == tenants_.end())
+        result.tenant = tenants_.back();
+    return result;
 }
 
 }  // namespace gatetiller::decide
--- a/src/decide/serial_tracker.hpp
+++ b/src/decide/serial_tracker.hpp
@@ -54,7 +54,7 @@
     Micros accepted_at_ = 0;
     // Older responses since the last one with the accepted serial: their number, the first one's arrival, and
     // the newest serial among them.
-    int older_answers_ = 0;
+    int older_responses_ = 0;
     Micros older_since_ = 0;
     std::uint32_t newest_older_ = 0;
 };
--- a/src/decide/settlement.cpp
+++ b/src/decide/settlement.cpp
@@ -22,48 +22,49 @@
     Settlement s;
     s.waste = classify_waste(r, a);
     s.observed_work = a.work;
-    const bool never = a.state == AttemptState::rejected || a.state == AttemptState::unreachable ||
-                       a.state == AttemptState::not_sent;
+    const bool not_executed = a.state == AttemptState::rejected || a.state == AttemptState::unreachable ||
+                              a.state == AttemptState::not_sent;
     if (logged.empty()) {
         s.work = a.work;
         s.peak_bytes = a.peak_bytes;
         s.spilled_bytes = a.spilled_bytes;
-        s.finding = never        ? SettlementFinding::never_ran
+        s.finding = not_executed ? SettlementFinding::never_ran
                     : a.is_final ? SettlementFinding::missing_in_journal
                                  : SettlementFinding::unlogged;
         return s;
     }
     s.logged = true;
-    Micros ran = 0;
+    Micros run_duration = 0;
     for (const LoggedQuery& q : logged) {
         s.work += q.work;
         s.spilled_bytes += q.spilled_bytes;
         s.peak_bytes = std::max(s.peak_bytes, q.peak_bytes);
-        ran = std::max(ran, q.ended - q.created);
+        run_duration = std::max(run_duration, q.ended - q.created);
     }
-    if (never) {
+    if (not_executed) {
         // An engine that rejects a query in its queue logs it nevertheless, without work.
         s.finding = s.work == 0 ? SettlementFinding::never_ran : SettlementFinding::unexpected_work;
         return s;
     }
     if (a.is_final) {
         // The protocol reports milliseconds. The journal has a finer resolution, and its figure is charged.
-        const bool same = s.work / kMillisecond == a.work / kMillisecond &&
-                          s.spilled_bytes == a.spilled_bytes && s.peak_bytes == a.peak_bytes;
-        const bool later = s.work > a.work && a.sent_after + ran > a.ended_after;
-        s.finding = same    ? SettlementFinding::agreed
-                    : later ? SettlementFinding::ended_later
-                            : SettlementFinding::mismatched;
+        const bool equal = s.work / kMillisecond == a.work / kMillisecond &&
+                           s.spilled_bytes == a.spilled_bytes && s.peak_bytes == a.peak_bytes;
+        const bool ended_after_observation = s.work > a.work && a.sent_after + run_duration > a.ended_after;
+        s.finding = equal                     ? SettlementFinding::agreed
+                    : ended_after_observation ? SettlementFinding::ended_later
+                                              : SettlementFinding::mismatched;
         return s;
     }
     s.finding = SettlementFinding::end_not_observed;
-    const bool left = r.state == RequestState::cancelled || r.state == RequestState::abandoned;
-    const Micros over = a.sent_after + ran - r.ended_after;
-    if (left && over > 0 && ran > 0) {
-        const auto part = static_cast<double>(s.work) *
-                          (static_cast<double>(std::min(over, ran)) / static_cast<double>(ran));
+    const bool disconnected = r.state == RequestState::cancelled || r.state == RequestState::abandoned;
+    const Micros time_after_disconnect = a.sent_after + run_duration - r.ended_after;
+    if (disconnected && time_after_disconnect > 0 && run_duration > 0) {
+        const auto work_share = static_cast<double>(s.work) *
+                                (static_cast<double>(std::min(time_after_disconnect, run_duration)) /
+                                 static_cast<double>(run_duration));
         s.work_after_disconnect =
-            std::clamp(static_cast<Micros>(part), Micros{0}, std::max<Micros>(0, s.work - a.work));
+            std::clamp(static_cast<Micros>(work_share), Micros{0}, std::max<Micros>(0, s.work - a.work));
     }
     return s;
 }
--- a/src/decide/table_group.cpp
+++ b/src/decide/table_group.cpp
@@ -16,16 +16,16 @@
     bool name = false, quoted = false;
 };
 
-bool starts_name(char c) {
+bool is_name_start(char c) {
     return (lower(c) >= 'a' && lower(c) <= 'z') || c == '_' || (c & 0x80) != 0;
 }
-bool in_name(char c) {
-    return starts_name(c) || (c >= '0' && c <= '9') || c == '$';
+bool is_name_char(char c) {
+    return is_name_start(c) || (c >= '0' && c <= '9') || c == '$';
 }
 
 // The position after the quoted text that begins at `at` and ends with `end`; a doubled `end` is an escaped
 // one.
-std::size_t past_quoted(std::string_view sql, std::size_t at, char end) {
+std::size_t end_of_quoted(std::string_view sql, std::size_t at, char end) {
     for (++at; at < sql.size(); ++at) {
         if (sql[at] != end)
             continue;
@@ -63,21 +63,21 @@
     const std::size_t begin = at;
     const char first = sql[begin];
     if (first == '\'') {
-        at = past_quoted(sql, begin, first);
+        at = end_of_quoted(sql, begin, first);
         return {"'"};
     }
     if (first == '"' || first == '`') {
-        at = past_quoted(sql, begin, first);
+        at = end_of_quoted(sql, begin, first);
         return quoted_name(sql.substr(begin, at - begin));
     }
-    if (starts_name(first)) {
-        while (at < sql.size() && in_name(sql[at]))
+    if (is_name_start(first)) {
+        while (at < sql.size() && is_name_char(sql[at]))
             ++at;
         return {std::string(sql.substr(begin, at - begin)), true};
     }
     if (is_digit(first)) {
         // The dots in a number do not separate names.
-        while (at < sql.size() && (in_name(sql[at]) || sql[at] == '.'))
+        while (at < sql.size() && (is_name_char(sql[at]) || sql[at] == '.'))
             ++at;
         return {"0"};
     }
@@ -98,14 +98,14 @@
     return tokens;
 }
 
-std::int64_t group_in(std::string_view schema) {
+std::int64_t group_of_schema(std::string_view schema) {
     const std::size_t underscore = schema.rfind('_');
     if (underscore == std::string_view::npos || underscore == 0)
         return 0;
     return to_number<std::int64_t>(schema.substr(underscore + 1)).value_or(0);
 }
 
-bool before_table(const Token& t) {
+bool precedes_table(const Token& t) {
     if (!t.name || t.quoted)
         return false;
     static constexpr std::array kKeywords = {"from", "join", "into", "update", "table"};
@@ -118,7 +118,7 @@
 
 std::int64_t table_group(std::string_view sql) {
     const auto tokens = tokens_of(sql);
-    std::int64_t otherwise = 0;
+    std::int64_t fallback = 0;
     for (std::size_t i = 0; i < tokens.size(); ++i) {
         if (!tokens[i].name)
             continue;
@@ -129,14 +129,14 @@
         if (last == i)
             continue;
         const std::string& schema = tokens[last - 2].text;
-        const std::int64_t group = same_word(schema, "staging") ? 0 : group_in(schema);
-        if (group > 0 && i > 0 && before_table(tokens[i - 1]))
+        const std::int64_t group = same_word(schema, "staging") ? 0 : group_of_schema(schema);
+        if (group > 0 && i > 0 && precedes_table(tokens[i - 1]))
             return group;
-        if (group > 0 && otherwise == 0)
-            otherwise = group;
+        if (group > 0 && fallback == 0)
+            fallback = group;
         i = last;
     }
-    return otherwise;
+    return fallback;
 }
 
 }  // namespace gatetiller::decide
--- a/src/decide/teams.cpp
+++ b/src/decide/teams.cpp
@@ -8,10 +8,10 @@
 namespace gatetiller::decide {
 namespace {
 
-constexpr std::size_t kKnown = 200'000;  // cached requesters
+constexpr std::size_t kMaxCachedRequesters = 200'000;
 const std::string kNoTeam;
 
-bool fits(const TeamRule& r, const Requester& w) {
+bool matches(const TeamRule& r, const Requester& w) {
     if (!pattern_matches(r.tenant, w.tenant) || !pattern_matches(r.user, w.user) ||
         !pattern_matches(r.source, w.source))
         return false;
@@ -23,12 +23,12 @@
 Teams::Teams(std::vector<TeamRule> rules, std::map<std::string, std::vector<TeamName>> names)
     : rules_(std::move(rules)), names_(std::move(names)) {}
 
-std::vector<Teams::Interval> Teams::intervals_of(const Requester& who) const {
-    std::vector<const TeamRule*> fitting;
+std::vector<Teams::Interval> Teams::intervals_of(const Requester& requester) const {
+    std::vector<const TeamRule*> matching;
     std::vector<Micros> changes{std::numeric_limits<Micros>::min()};
     for (const TeamRule& r : rules_)
-        if (fits(r, who)) {
-            fitting.push_back(&r);
+        if (matches(r, requester)) {
+            matching.push_back(&r);
             changes.push_back(r.from);
             if (r.until != 0)
                 changes.push_back(r.until);
@@ -37,23 +37,23 @@
     changes.erase(std::unique(changes.begin(), changes.end()), changes.end());
     std::vector<Interval> intervals;
     for (const Micros at : changes) {
-        const auto rule = std::find_if(fitting.begin(), fitting.end(), [&](const TeamRule* r) {
+        const auto rule = std::find_if(matching.begin(), matching.end(), [&](const TeamRule* r) {
             return at >= r->from && (r->until == 0 || at < r->until);
         });
-        intervals.push_back({at, rule == fitting.end() ? kNoTeam : (*rule)->team});
+        intervals.push_back({at, rule == matching.end() ? kNoTeam : (*rule)->team});
     }
     return intervals;
 }
 
-const std::string& Teams::team_of(const Requester& who, Micros received_at) {
+const std::string& Teams::team_of(const Requester& requester, Micros received_at) {
     std::string key;
-    for (const std::string* part : {&who.tenant, &who.user, &who.source, &who.tags})
+    for (const std::string* part : {&requester.tenant, &requester.user, &requester.source, &requester.tags})
         (key += *part) += '\0';
-    auto found = known_.find(key);
-    if (found == known_.end()) {
-        if (known_.size() >= kKnown)
-            known_.clear();
-        found = known_.emplace(std::move(key), intervals_of(who)).first;
+    auto found = cached_.find(key);
+    if (found == cached_.end()) {
+        if (cached_.size() >= kMaxCachedRequesters)
+            cached_.clear();
+        found = cached_.emplace(std::move(key), intervals_of(requester)).first;
     }
     const auto& s = found->second;
     const auto after =
@@ -73,10 +73,10 @@
 }
 
 std::vector<std::string> Teams::former_names(const std::string& team, Micros from, Micros until) const {
-    std::vector<std::string> before;
+    std::vector<std::string> former;
     const auto names = names_.find(team);
     if (names == names_.end())
-        return before;
+        return former;
     const std::string last = name_at(team, until - 1);
     for (const Micros at : [&] {
              std::vector<Micros> times{from};
@@ -86,10 +86,10 @@
              return times;
          }()) {
         const std::string name = name_at(team, at);
-        if (name != last && std::find(before.begin(), before.end(), name) == before.end())
-            before.push_back(name);
+        if (name != last && std::find(former.begin(), former.end(), name) == former.end())
+            former.push_back(name);
     }
-    return before;
+    return former;
 }
 
 }  // namespace gatetiller::decide
--- a/src/decide/teams.hpp
+++ b/src/decide/teams.hpp
@@ -35,8 +35,8 @@
     Teams(std::vector<TeamRule> rules, std::map<std::string, std::vector<TeamName>> names);
 
     // The id of the team by the first rule that applies at `received_at`; empty where none does. Results are
-    // cached by the content of `who`.
-    const std::string& team_of(const Requester& who, Micros received_at);
+    // cached by the content of `requester`.
+    const std::string& team_of(const Requester& requester, Micros received_at);
     std::string name_at(const std::string& team, Micros at) const;
     // The names other than the last that the team had in [from, until), in the order of time.
     std::vector<std::string> former_names(const std::string& team, Micros from, Micros until) const;
@@ -47,11 +47,11 @@
         Micros from = 0;
         std::string team;
     };
-    std::vector<Interval> intervals_of(const Requester& who) const;
+    std::vector<Interval> intervals_of(const Requester& requester) const;
 
     std::vector<TeamRule> rules_;
     std::map<std::string, std::vector<TeamName>> names_;
-    std::unordered_map<std::string, std::vector<Interval>> known_;
+    std::unordered_map<std::string, std::vector<Interval>> cached_;
 };
 
 }  // namespace gatetiller::decide
--- a/tests/decide/client_eviction_test.cpp
+++ b/tests/decide/client_eviction_test.cpp
@@ -10,7 +10,7 @@
 namespace gatetiller::decide {
 namespace {
 
-TEST(Clients, WhoNeverAsksOrStopsHalfwayIsClosedInTime) {
+TEST(ClientEviction, TimesOutClientsWithoutACompleteRequest) {
     ClientTimeouts t;
     ClientSnapshot c;
     c.connected_at = 1;
@@ -30,12 +30,12 @@
     EXPECT_TRUE(has_timed_out(c, 5 + t.linger_timeout, t));
 }
 
-TEST(Clients, RoomIsMadeByWhoNeedsItsConnectionLeast) {
-    const ClientTimeouts times;
-    const Micros later = 3600 * kSecondMicros;  // after all graces
-    const auto makes_room = [&](const std::vector<ClientSnapshot>& clients) -> std::optional<std::size_t> {
-        const auto leaver = decide::select_eviction(clients, later, times);
-        return leaver ? std::optional(leaver->index) : std::nullopt;
+TEST(ClientEviction, EvictsClosingThenUnusedThenLongestIdleClients) {
+    const ClientTimeouts timeouts;
+    const Micros now = 3600 * kSecondMicros;  // after all graces
+    const auto evicted = [&](const std::vector<ClientSnapshot>& clients) -> std::optional<std::size_t> {
+        const auto candidate = decide::select_eviction(clients, now, timeouts);
+        return candidate ? std::optional(candidate->index) : std::nullopt;
     };
     std::vector<ClientSnapshot> all(4);
     // Open request.
@@ -43,18 +43,18 @@
     all[1] = {.connected_at = 2, .last_active_at = 50, .has_sent_request = true};
     all[2] = {.connected_at = 3, .last_active_at = 40, .has_sent_request = true};  // longest idle
     all[3] = {.connected_at = 99, .last_active_at = 99};                           // no request sent
-    EXPECT_EQ(makes_room(all), 3u);
+    EXPECT_EQ(evicted(all), 3u);
     all[3].open_requests = 1;
-    EXPECT_EQ(makes_room(all), 2u);
+    EXPECT_EQ(evicted(all), 2u);
     all[1].closing = true;
-    EXPECT_EQ(makes_room(all), 1u);
+    EXPECT_EQ(evicted(all), 1u);
     for (auto& c : all)
         c.open_requests = 1;
-    EXPECT_FALSE(makes_room(all));
+    EXPECT_FALSE(evicted(all));
 }
 
 // All pairs of the kinds of clients: both, one or neither of them is evictable now.
-TEST(Clients, WhoMayLeaveNowGoesBeforeWhoMustBeWaitedFor) {
+TEST(ClientEviction, PrefersClientsThatAreEvictableNow) {
     const ClientTimeouts t;
     const Micros now = 100 * kSecondMicros;
     const std::vector<ClientSnapshot> kinds{
@@ -75,18 +75,18 @@
     for (const auto& a : kinds)
         for (const auto& b : kinds) {
             const auto at_a = evictable_at(a, t), at_b = evictable_at(b, t);
-            const auto leaver = select_eviction({a, b}, now, t);
-            ASSERT_EQ(leaver.has_value(), at_a || at_b);
-            if (!leaver)
+            const auto candidate = select_eviction({a, b}, now, t);
+            ASSERT_EQ(candidate.has_value(), at_a || at_b);
+            if (!candidate)
                 continue;
-            EXPECT_EQ(leaver->evictable_at, leaver->index == 0 ? at_a : at_b);
+            EXPECT_EQ(candidate->evictable_at, candidate->index == 0 ? at_a : at_b);
             if ((at_a && *at_a <= now) || (at_b && *at_b <= now)) {
-                EXPECT_LE(leaver->evictable_at, now);
+                EXPECT_LE(candidate->evictable_at, now);
             } else
-                EXPECT_EQ(leaver->evictable_at, std::min(at_a.value_or(now * 2), at_b.value_or(now * 2)));
+                EXPECT_EQ(candidate->evictable_at, std::min(at_a.value_or(now * 2), at_b.value_or(now * 2)));
         }
-    for (const std::size_t owed : {0u, 1u})
-        EXPECT_FALSE(evictable_at(kinds[owed], t));
+    for (const std::size_t busy : {0u, 1u})
+        EXPECT_FALSE(evictable_at(kinds[busy], t));
     // Among idle clients and one within first_byte_grace, an idle one is evicted, so that the new client need
     // not wait. When the one in its grace was evicted first, at most 300 clients a second could connect
     // (incident herd+crowd, seed 430580087865).
--- a/tests/decide/client_request_test.cpp
+++ b/tests/decide/client_request_test.cpp
@@ -20,48 +20,48 @@
     return s;
 }
 
-TEST(ClientRequest, OnlyWhatIsWholeAndInRangeGetsBeforeTheModule) {
+TEST(ClientRequest, RejectsMissingAndInvalidFields) {
     const PolicySettings s = settings();
-    const std::map<std::string, std::string> good{{"route", "lookup"},  {"trace", "9b1f03aa5c7e2d41"},
-                                                  {"customer", "acme"}, {"patience", "1500"},
-                                                  {"weight", "820.5"},  {"heap_mb", "96"}};
+    const std::map<std::string, std::string> valid_fields{{"route", "lookup"},  {"trace", "9b1f03aa5c7e2d41"},
+                                                          {"customer", "acme"}, {"patience", "1500"},
+                                                          {"weight", "820.5"},  {"heap_mb", "96"}};
     const auto with = [&](std::map<std::string, std::string> changes, std::string body = "SELECT 1") {
-        auto fields = good;
+        auto fields = valid_fields;
         for (auto& [name, value] : changes)
             fields[name] = value;
         return check_request(fields, body, s);
     };
-    const auto fine = with({});
-    ASSERT_TRUE(fine) << fine.error();
-    EXPECT_EQ(fine->cls->name, "lookup");
-    EXPECT_EQ(fine->client_timeout, 1500 * kMillisecond);
-    EXPECT_EQ(fine->estimated_work, 820'500);
-    EXPECT_EQ(fine->estimated_memory_mb, 96);
+    const auto valid = with({});
+    ASSERT_TRUE(valid) << valid.error();
+    EXPECT_EQ(valid->cls->name, "lookup");
+    EXPECT_EQ(valid->client_timeout, 1500 * kMillisecond);
+    EXPECT_EQ(valid->estimated_work, 820'500);
+    EXPECT_EQ(valid->estimated_memory_mb, 96);
     EXPECT_TRUE(with({{"route", "load"}, {"nonce", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"}}));
     EXPECT_TRUE(with({}, "SELECT 'h\xc3\xa9'"));
-    const std::pair<const char*, const char*> wrong[] = {{"trace", ""},
-                                                         {"trace", "9b1f03aa5c7e2d4"},
-                                                         {"trace", "9b1f03aa5c7e2d4x"},
-                                                         {"route", "nosuch"},
-                                                         {"route", ""},
-                                                         {"customer", ""},
-                                                         {"customer", "nobody"},
-                                                         {"patience", ""},
-                                                         {"patience", "0"},
-                                                         {"patience", "-5"},
-                                                         {"patience", "1e3"},
-                                                         {"patience", "99999999"},
-                                                         {"patience", "99999999999999999999"},
-                                                         {"weight", "nan"},
-                                                         {"weight", "inf"},
-                                                         {"weight", "-1"},
-                                                         {"weight", "much"},
-                                                         {"weight", "1e300"},
-                                                         {"heap_mb", "-1"},
-                                                         {"heap_mb", "x"},
-                                                         {"nonce", "short"},
-                                                         {"route", "load"}};
-    for (const auto& [name, value] : wrong) {
+    const std::pair<const char*, const char*> invalid_fields[] = {{"trace", ""},
+                                                                  {"trace", "9b1f03aa5c7e2d4"},
+                                                                  {"trace", "9b1f03aa5c7e2d4x"},
+                                                                  {"route", "nosuch"},
+                                                                  {"route", ""},
+                                                                  {"customer", ""},
+                                                                  {"customer", "nobody"},
+                                                                  {"patience", ""},
+                                                                  {"patience", "0"},
+                                                                  {"patience", "-5"},
+                                                                  {"patience", "1e3"},
+                                                                  {"patience", "99999999"},
+                                                                  {"patience", "99999999999999999999"},
+                                                                  {"weight", "nan"},
+                                                                  {"weight", "inf"},
+                                                                  {"weight", "-1"},
+                                                                  {"weight", "much"},
+                                                                  {"weight", "1e300"},
+                                                                  {"heap_mb", "-1"},
+                                                                  {"heap_mb", "x"},
+                                                                  {"nonce", "short"},
+                                                                  {"route", "load"}};
+    for (const auto& [name, value] : invalid_fields) {
         const auto r = with({{name, value}});
         ASSERT_FALSE(r) << name << "=" << value;
         EXPECT_NE(
--- a/tests/decide/client_sequence_numbers_test.cpp
+++ b/tests/decide/client_sequence_numbers_test.cpp
@@ -6,20 +6,20 @@
 namespace gatetiller::decide {
 namespace {
 
-TEST(ClientNumbers, ClimbAndAreFewAtATime) {
+TEST(ClientSequenceNumbers, MustIncreaseAndAreLimitedInNumber) {
     using Verdict = ClientSequenceNumbers::Verdict;
-    ClientSequenceNumbers n;
-    EXPECT_EQ(n.accept(0), Verdict::not_increasing);
+    ClientSequenceNumbers numbers;
+    EXPECT_EQ(numbers.accept(0), Verdict::not_increasing);
     for (int i = 1; i <= 32; ++i)
-        EXPECT_EQ(n.accept(i), Verdict::accepted);
-    EXPECT_EQ(n.accept(32), Verdict::not_increasing);
-    EXPECT_EQ(n.accept(33), Verdict::too_many_open);
-    EXPECT_TRUE(n.release(5));
-    EXPECT_FALSE(n.release(5));
-    EXPECT_EQ(n.accept(5), Verdict::not_increasing);  // a released number is not reused
-    EXPECT_EQ(n.accept(40), Verdict::accepted);
-    EXPECT_EQ(n.release_all().size(), 32u);
-    EXPECT_EQ(n.open_count(), 0u);
+        EXPECT_EQ(numbers.accept(i), Verdict::accepted);
+    EXPECT_EQ(numbers.accept(32), Verdict::not_increasing);
+    EXPECT_EQ(numbers.accept(33), Verdict::too_many_open);
+    EXPECT_TRUE(numbers.release(5));
+    EXPECT_FALSE(numbers.release(5));
+    EXPECT_EQ(numbers.accept(5), Verdict::not_increasing);  // a released number is not reused
+    EXPECT_EQ(numbers.accept(40), Verdict::accepted);
+    EXPECT_EQ(numbers.release_all().size(), 32u);
+    EXPECT_EQ(numbers.open_count(), 0u);
 }
 
 }  // namespace
--- a/tests/decide/client_time_left_test.cpp
+++ b/tests/decide/client_time_left_test.cpp
@@ -6,7 +6,7 @@
 namespace gatetiller::decide {
 namespace {
 
-TEST(Patience, TheReserveTakesAtMostATenth) {
+TEST(ClientTimeLeft, DeductsAtMostATenthAsReserve) {
     EXPECT_EQ(client_time_left(10'000'000, 0, 50'000), 9'950'000);
     EXPECT_EQ(client_time_left(100'000, 0, 50'000), 90'000);
     EXPECT_EQ(client_time_left(10'000'000, 600'000, 50'000), 9'350'000);
--- a/tests/decide/close_guard_test.cpp
+++ b/tests/decide/close_guard_test.cpp
@@ -8,7 +8,7 @@
 namespace gatetiller::decide {
 namespace {
 
-TEST(CloseGuardTest, ARestingConnectionIsClosedAndNoOther) {
+TEST(CloseGuardTest, RejectsClosingBusyConnectionsUnlessTheReasonPermitsIt) {
     for (const auto reason : {CloseReason::evicted, CloseReason::request_timeout, CloseReason::shutdown}) {
         EXPECT_EQ(CloseGuard::find_violation({}, reason), std::nullopt);
         EXPECT_TRUE(CloseGuard::permit({}, reason));
--- a/tests/decide/connection_choice_test.cpp
+++ b/tests/decide/connection_choice_test.cpp
@@ -8,7 +8,7 @@
 namespace gatetiller::decide {
 namespace {
 
-TEST(EngineConnections, AFreeOneGoesFirstAndThenANewOneAndThenTheLeastShared) {
+TEST(ConnectionChoice, PrefersIdleThenNewThenLeastSharedConnections) {
     ConnectionLimits limits;
     limits.max_connections = 3, limits.idle_timeout = 30 * kSecondMicros;
     const Micros now = 100 * kSecondMicros;
@@ -23,18 +23,19 @@
     EXPECT_FALSE(choose_connection(all, now, limits).open_if_capacity);  // max_connections reached
 }
 
-TEST(EngineConnections, OnesThatCouldMisleadAreNotUsed) {
+TEST(ConnectionChoice, RejectsUnusableConnections) {
     ConnectionLimits limits;
     limits.idle_timeout = 30 * kSecondMicros, limits.max_streams = 4;
     const Micros now = 100 * kSecondMicros;
-    const ConnectionSnapshot bad[] = {{.retired = true, .last_used = now},
-                                      {.requests_sent = 1, .carried_this_request = true, .last_used = now},
-                                      {.last_used = now - 29 * kSecondMicros},
-                                      {.open_requests = 4, .last_used = now},
-                                      {.requests_sent = 2000, .last_used = now}};
-    for (const auto& c : bad)
+    const ConnectionSnapshot unusable[] = {
+        {.retired = true, .last_used = now},
+        {.requests_sent = 1, .carried_this_request = true, .last_used = now},
+        {.last_used = now - 29 * kSecondMicros},
+        {.open_requests = 4, .last_used = now},
+        {.requests_sent = 2000, .last_used = now}};
+    for (const auto& c : unusable)
         EXPECT_FALSE(choose_connection({c}, now, limits).reuse);
-    EXPECT_EQ(choose_connection({bad[0], {.last_used = now}}, now, limits).reuse, 1u);
+    EXPECT_EQ(choose_connection({unusable[0], {.last_used = now}}, now, limits).reuse, 1u);
     EXPECT_FALSE(near_idle_timeout({.open_requests = 1, .last_used = 0}, now, limits));
 }
 
--- a/tests/decide/endpoint_state_tracker_test.cpp
+++ b/tests/decide/endpoint_state_tracker_test.cpp
@@ -8,57 +8,58 @@
 namespace gatetiller::decide {
 namespace {
 
-TEST(EngineWatch, TheStricterAccountHoldsAndANewProcessIsCold) {
-    EndpointStateTracker w;
-    Endpoint e;
-    e.id = 4;
-    EXPECT_TRUE(w.on_listed(e));
-    EXPECT_FALSE(w.on_listed(e));
+TEST(EndpointStateTracker, ReportsTheMoreRestrictiveStateAndTheLaterStart) {
+    EndpointStateTracker tracker;
+    Endpoint entry;
+    entry.id = 4;
+    EXPECT_TRUE(tracker.on_listed(entry));
+    EXPECT_FALSE(tracker.on_listed(entry));
     Micros now = 100 * kSecondMicros;
-    EXPECT_TRUE(w.on_status_reported(now, false, false, 50 * kSecondMicros));
-    const Micros first = w.endpoint().started_at;
-    EXPECT_FALSE(w.on_status_reported(now += kSecondMicros, false, false,
-                                      51 * kSecondMicros - 300));  // the same start
-    EXPECT_TRUE(w.on_status_reported(now += kSecondMicros, false, false, kSecondMicros / 2));
-    EXPECT_GT(w.endpoint().started_at, first);
-    EXPECT_TRUE(w.on_status_reported(now, true, false, std::nullopt));
-    EXPECT_EQ(w.endpoint().state, EndpointState::draining);
-    e.state = EndpointState::removed;
-    EXPECT_TRUE(w.on_listed(e));
-    EXPECT_EQ(w.endpoint().state, EndpointState::removed);
-    e.state = EndpointState::ready;
-    EXPECT_TRUE(w.on_listed(e));
-    EXPECT_EQ(w.endpoint().state, EndpointState::draining);  // by its status
-    EXPECT_TRUE(w.on_status_reported(now, false, false, std::nullopt));
-    EXPECT_EQ(w.endpoint().state, EndpointState::ready);
-    EXPECT_TRUE(w.on_status_reported(now, false, true, std::nullopt));
-    EXPECT_EQ(w.endpoint().state, EndpointState::draining);  // still starting
+    EXPECT_TRUE(tracker.on_status_reported(now, false, false, 50 * kSecondMicros));
+    const Micros first = tracker.endpoint().started_at;
+    EXPECT_FALSE(tracker.on_status_reported(now += kSecondMicros, false, false,
+                                            51 * kSecondMicros - 300));  // the same start
+    EXPECT_TRUE(tracker.on_status_reported(now += kSecondMicros, false, false, kSecondMicros / 2));
+    EXPECT_GT(tracker.endpoint().started_at, first);
+    EXPECT_TRUE(tracker.on_status_reported(now, true, false, std::nullopt));
+    EXPECT_EQ(tracker.endpoint().state, EndpointState::draining);
+    entry.state = EndpointState::removed;
+    EXPECT_TRUE(tracker.on_listed(entry));
+    EXPECT_EQ(tracker.endpoint().state, EndpointState::removed);
+    entry.state = EndpointState::ready;
+    EXPECT_TRUE(tracker.on_listed(entry));
+    EXPECT_EQ(tracker.endpoint().state, EndpointState::draining);  // by its status
+    EXPECT_TRUE(tracker.on_status_reported(now, false, false, std::nullopt));
+    EXPECT_EQ(tracker.endpoint().state, EndpointState::ready);
+    EXPECT_TRUE(tracker.on_status_reported(now, false, true, std::nullopt));
+    EXPECT_EQ(tracker.endpoint().state, EndpointState::draining);  // still starting
 }
 
 // A front that has just started regards no engine as warm before it has received its status, and withholds
 // engines in slow start while the attempts of its earlier incarnation may count towards their budgets.
-TEST(EngineWatch, NothingGoesToAnEngineThatMayBeColdUnknown) {
+TEST(EndpointStateTracker, ReportsDrainingUntilSlowStartIsKnown) {
     const Endpoint listed{1, EndpointState::ready, "z", "k", 0, 0, 1};
-    const Micros now = 100 * kSecondMicros, warm_up = 15 * kSecondMicros;
-    EndpointStateTracker w;
-    w.await_status();
-    w.on_listed(listed);
-    EXPECT_EQ(w.endpoint().state, EndpointState::draining);
-    EndpointStateTracker unanswered = w;
-    EXPECT_TRUE(unanswered.on_status_unavailable());
-    EXPECT_EQ(unanswered.endpoint().state, EndpointState::ready);
-    EXPECT_TRUE(w.on_status_reported(now, false, false, 3 * kSecondMicros));
-    EXPECT_EQ(w.endpoint().state, EndpointState::ready);
-    EXPECT_EQ(w.endpoint().started_at, now - 3 * kSecondMicros);
-    EXPECT_TRUE(w.hold_in_slow_start(now, now + kSecondMicros, warm_up));
-    EXPECT_EQ(w.endpoint().state, EndpointState::draining);
-    EXPECT_TRUE(w.hold_in_slow_start(now + kSecondMicros, now + kSecondMicros, warm_up));
-    EXPECT_EQ(w.endpoint().state, EndpointState::ready);
+    const Micros now = 100 * kSecondMicros, slow_start_window = 15 * kSecondMicros;
+    EndpointStateTracker tracker;
+    tracker.await_status();
+    tracker.on_listed(listed);
+    EXPECT_EQ(tracker.endpoint().state, EndpointState::draining);
+    EndpointStateTracker unavailable = tracker;
+    EXPECT_TRUE(unavailable.on_status_unavailable());
+    EXPECT_EQ(unavailable.endpoint().state, EndpointState::ready);
+    EXPECT_TRUE(tracker.on_status_reported(now, false, false, 3 * kSecondMicros));
+    EXPECT_EQ(tracker.endpoint().state, EndpointState::ready);
+    EXPECT_EQ(tracker.endpoint().started_at, now - 3 * kSecondMicros);
+    EXPECT_TRUE(tracker.hold_in_slow_start(now, now + kSecondMicros, slow_start_window));
+    EXPECT_EQ(tracker.endpoint().state, EndpointState::draining);
+    EXPECT_TRUE(tracker.hold_in_slow_start(now + kSecondMicros, now + kSecondMicros, slow_start_window));
+    EXPECT_EQ(tracker.endpoint().state, EndpointState::ready);
     // A warm engine is never withheld, and a draining one remains draining.
-    EXPECT_FALSE(w.hold_in_slow_start(now + warm_up, now + 2 * warm_up, warm_up));
-    w.on_status_reported(now + warm_up, true, false, std::nullopt);
-    EXPECT_FALSE(w.hold_in_slow_start(now + warm_up, 0, warm_up));
-    EXPECT_EQ(w.endpoint().state, EndpointState::draining);
+    EXPECT_FALSE(
+        tracker.hold_in_slow_start(now + slow_start_window, now + 2 * slow_start_window, slow_start_window));
+    tracker.on_status_reported(now + slow_start_window, true, false, std::nullopt);
+    EXPECT_FALSE(tracker.hold_in_slow_start(now + slow_start_window, 0, slow_start_window));
+    EXPECT_EQ(tracker.endpoint().state, EndpointState::draining);
 }
 
 }  // namespace
--- a/tests/decide/engine_exchange_test.cpp
+++ b/tests/decide/engine_exchange_test.cpp
@@ -8,7 +8,7 @@
 namespace gatetiller::decide {
 namespace {
 
-TEST(ResultPages, AreWholeOnceEachPageIsThereOnce) {
+TEST(ResultPages, AreCompleteOnceEveryPageArrived) {
     ResultPages pages;
     ASSERT_TRUE(pages.start(3, "a\tb\tc\n"));
     EXPECT_FALSE(pages.complete());
@@ -20,7 +20,7 @@
     EXPECT_EQ(pages.take_rows(), "a\tb\tc\n2\t\t\n3\t\t\n");
 }
 
-TEST(ResultPages, AreSpoiltByWhatNoEngineWouldSend) {
+TEST(ResultPages, RejectMalformedAndOversizedPages) {
     for (const std::string& page :
          {std::string("a\tb\n"), std::string("a\tb\tc\td\n"), std::string("a\tb\tc"),
           std::string("a\tb\t\x01\n"), std::string("a\tb\t\xff\n"),
@@ -37,24 +37,26 @@
     EXPECT_EQ(large.add(9, page), ResultPages::PageVerdict::malformed);  // over kMaxResultBytes
 }
 
-TEST(Exchange, OnlyWhatProvesItCountsAsNeverRun) {
-    using How = ExchangeResult::Status;
-    EXPECT_EQ(outcome_of(How::completed), AttemptOutcome::succeeded);
-    EXPECT_EQ(outcome_of(How::rejected), AttemptOutcome::rejected);
-    EXPECT_EQ(outcome_of(How::deadline_passed), AttemptOutcome::not_sent);
-    EXPECT_EQ(outcome_of(How::connection_refused), AttemptOutcome::connection_refused);
-    EXPECT_EQ(outcome_of(How::failed), AttemptOutcome::failed);
-    EXPECT_EQ(outcome_of(How::connection_lost), AttemptOutcome::connection_reset);
+TEST(EngineExchange, MapsEachStatusToItsOutcome) {
+    using Status = ExchangeResult::Status;
+    EXPECT_EQ(outcome_of(Status::completed), AttemptOutcome::succeeded);
+    EXPECT_EQ(outcome_of(Status::rejected), AttemptOutcome::rejected);
+    EXPECT_EQ(outcome_of(Status::deadline_passed), AttemptOutcome::not_sent);
+    EXPECT_EQ(outcome_of(Status::connection_refused), AttemptOutcome::connection_refused);
+    EXPECT_EQ(outcome_of(Status::failed), AttemptOutcome::failed);
+    EXPECT_EQ(outcome_of(Status::connection_lost), AttemptOutcome::connection_reset);
 }
 
-TEST(Exchange, AnEndProvesWhatTheKernelWasHanded) {
-    using How = ExchangeResult::Status;
-    for (const auto handed : {WriteProgress::none, WriteProgress::partial, WriteProgress::complete}) {
-        EXPECT_EQ(classify_connection_end(ConnectionEnd::never_established, handed), How::connection_refused);
-        EXPECT_EQ(classify_connection_end(ConnectionEnd::local_resource_exhausted, handed), How::not_sent);
-        const How how = classify_connection_end(ConnectionEnd::broken, handed);
-        EXPECT_EQ(how, handed == WriteProgress::complete ? How::connection_lost : How::not_sent);
-        EXPECT_EQ(proves_not_executed(outcome_of(how)), handed != WriteProgress::complete);
+TEST(EngineExchange, CountsAsNotExecutedUnlessCompletelyWritten) {
+    using Status = ExchangeResult::Status;
+    for (const auto written : {WriteProgress::none, WriteProgress::partial, WriteProgress::complete}) {
+        EXPECT_EQ(classify_connection_end(ConnectionEnd::never_established, written),
+                  Status::connection_refused);
+        EXPECT_EQ(classify_connection_end(ConnectionEnd::local_resource_exhausted, written),
+                  Status::not_sent);
+        const Status status = classify_connection_end(ConnectionEnd::broken, written);
+        EXPECT_EQ(status, written == WriteProgress::complete ? Status::connection_lost : Status::not_sent);
+        EXPECT_EQ(proves_not_executed(outcome_of(status)), written != WriteProgress::complete);
     }
 }
 
--- a/tests/decide/graceful_shutdown_test.cpp
+++ b/tests/decide/graceful_shutdown_test.cpp
@@ -8,16 +8,16 @@
 namespace gatetiller::decide {
 namespace {
 
-TEST(PlannedRestart, EndsBeforeThePlatformKillsWhateverTheDeadlines) {
+TEST(GracefulShutdown, ExitsBeforeThePlatformKillsForAnyDeadline) {
     for (const Micros deadline : {300, 900, 2'000, 3'000, 25'000}) {
         PolicySettings settings;
         settings.classes.emplace_back().deadline = deadline * kMillisecond;
-        const auto t = derive_shutdown_schedule(settings);
-        const Micros killed = std::min<Micros>(deadline, 3'000) * kMillisecond + 700 * kMillisecond;
-        EXPECT_LE(t.admit_until, t.listen_until) << deadline;
-        EXPECT_LE(t.listen_until, t.final_responses_at) << deadline;
-        EXPECT_LT(t.final_responses_at, t.exit_at) << deadline;
-        EXPECT_LT(t.exit_at, killed) << deadline;
+        const auto schedule = derive_shutdown_schedule(settings);
+        const Micros killed_at = std::min<Micros>(deadline, 3'000) * kMillisecond + 700 * kMillisecond;
+        EXPECT_LE(schedule.admit_until, schedule.listen_until) << deadline;
+        EXPECT_LE(schedule.listen_until, schedule.final_responses_at) << deadline;
+        EXPECT_LT(schedule.final_responses_at, schedule.exit_at) << deadline;
+        EXPECT_LT(schedule.exit_at, killed_at) << deadline;
     }
 }
 
--- a/tests/decide/invariants_test.cpp
+++ b/tests/decide/invariants_test.cpp
@@ -6,7 +6,7 @@
 namespace gatetiller::decide {
 namespace {
 
-TEST(ViolationCountsTest, NamesWhatWasRefused) {
+TEST(ViolationCountsTest, ListsTheCountOfEachInvariant) {
     ViolationCounts counts;
     EXPECT_EQ(counts.text(), "0");
     counts.count(Invariant::retry_of_non_idempotent);
--- a/tests/decide/money_test.cpp
+++ b/tests/decide/money_test.cpp
@@ -13,19 +13,19 @@
 TEST(Money, PartsSumToTheTotalAndPricesAreExact) {
     EXPECT_EQ(*parse_price("0.000125"), 125'000);
     EXPECT_EQ(*parse_price("12"), 12'000'000'000);
-    for (const char* wrong : {"", ".5", "1.", "-1", "1e3", "0.0000000001", "1234567890", "0,5"})
-        EXPECT_FALSE(parse_price(wrong)) << wrong;
+    for (const char* malformed : {"", ".5", "1.", "-1", "1e3", "0.0000000001", "1234567890", "0,5"})
+        EXPECT_FALSE(parse_price(malformed)) << malformed;
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
         Random random(seed);
         std::vector<Exact> parts;
         Exact total = 0;
         for (auto n = random.below(40); n > 0; --n) {
-            Usage u{static_cast<Micros>(random.below(1'000'000'000)),
-                    Exact{1} * static_cast<std::int64_t>(random.next() >> 8),
-                    Exact{1} * static_cast<std::int64_t>(random.next() >> 8),
-                    static_cast<std::int64_t>(random.below(1ULL << 40))};
+            Usage usage{static_cast<Micros>(random.below(1'000'000'000)),
+                        Exact{1} * static_cast<std::int64_t>(random.next() >> 8),
+                        Exact{1} * static_cast<std::int64_t>(random.next() >> 8),
+                        static_cast<std::int64_t>(random.below(1ULL << 40))};
             const Rates r{static_cast<std::int64_t>(random.below(1'000'000'000)), 7, 3, 1'234'567};
-            parts.push_back(amount_of(u, r));
+            parts.push_back(amount_of(usage, r));
             total += parts.back();
         }
         const int decimals = static_cast<int>(random.below(10));
--- a/tests/decide/readiness_guard_test.cpp
+++ b/tests/decide/readiness_guard_test.cpp
@@ -6,7 +6,7 @@
 namespace gatetiller::decide {
 namespace {
 
-TEST(StartGuardTest, ReadyMeansAListAListenerAndSignals) {
+TEST(ReadinessGuardTest, RequiresEndpointsListenerAndSignals) {
     EXPECT_TRUE(ReadinessGuard::permit({true, true, true}));
     EXPECT_EQ(ReadinessGuard::find_violation({false, true, true}), Invariant::ready_without_endpoints);
     EXPECT_EQ(ReadinessGuard::find_violation({true, false, true}), Invariant::ready_without_listener);
--- a/tests/decide/resource_limits_test.cpp
+++ b/tests/decide/resource_limits_test.cpp
@@ -6,12 +6,14 @@
 namespace gatetiller::decide {
 namespace {
 
-TEST(NodeBounds, StayWithinTheMachine) {
-    for (const std::int64_t sockets : {16, 64, 256, 384, 1024, 4096}) {
-        const auto b = derive_limits(sockets, 32);
-        EXPECT_LT(b.client_connections + b.engine_connections, static_cast<std::size_t>(sockets)) << sockets;
-        EXPECT_GE(b.client_connections, static_cast<std::size_t>(sockets) / 4) << sockets;
-        EXPECT_GT(b.engine_connections, 0u);
+TEST(ResourceLimits, StayWithinTheMachine) {
+    for (const std::int64_t descriptors : {16, 64, 256, 384, 1024, 4096}) {
+        const auto limits = derive_limits(descriptors, 32);
+        EXPECT_LT(limits.client_connections + limits.engine_connections,
+                  static_cast<std::size_t>(descriptors))
+            << descriptors;
+        EXPECT_GE(limits.client_connections, static_cast<std::size_t>(descriptors) / 4) << descriptors;
+        EXPECT_GT(limits.engine_connections, 0u);
     }
     EXPECT_LE(derive_limits(256, 32).statement_bytes, 32u << 18);
 }
--- a/tests/decide/routing_test.cpp
+++ b/tests/decide/routing_test.cpp
@@ -6,31 +6,31 @@
 namespace gatetiller::decide {
 namespace {
 
-TEST(Routing, TheFirstRouteThatMatchesDecides) {
-    Router r({{"", "batch*", "", "", {}, "load", "", "user", "tag:key=", "tag:group="},
-              {"", "", "", "", {"report", "x*"}, "report", "fixed", "", "", ""},
-              {"ann", "", "", "", {}, "short", "", "tag:team=", "trace_token", "catalog"}},
-             {"a", "ann", "others"});
-    StatementTraits t{"ann", "batch-7", "cat", "sch", "trace", {"key=k1", "group=g", "team=a"}};
-    auto to = r.route(t);
-    EXPECT_EQ(to->cls, "load");
-    EXPECT_EQ(to->tenant, "ann");
-    EXPECT_EQ(to->key, "k1");
-    EXPECT_GT(to->group, 0);
-    const auto same = r.route(t)->group;
-    t.tags[1] = "group=h";
-    EXPECT_NE(r.route(t)->group, same);
-    t.source = "cli";
-    to = r.route(t);
-    EXPECT_EQ(to->cls, "short");
-    EXPECT_EQ(to->tenant, "a");
-    EXPECT_EQ(to->key, "trace");
-    t.tags = {"report", "xyz"};
-    EXPECT_EQ(r.route(t)->cls, "report");
-    t.tags = {"report"};
-    EXPECT_EQ(r.route(t)->tenant, "others");
-    t.user = "bob";
-    EXPECT_FALSE(r.route(t));
+TEST(Routing, FirstMatchingRouteDecides) {
+    Router router({{"", "batch*", "", "", {}, "load", "", "user", "tag:key=", "tag:group="},
+                   {"", "", "", "", {"report", "x*"}, "report", "fixed", "", "", ""},
+                   {"ann", "", "", "", {}, "short", "", "tag:team=", "trace_token", "catalog"}},
+                  {"a", "ann", "others"});
+    StatementTraits traits{"ann", "batch-7", "cat", "sch", "trace", {"key=k1", "group=g", "team=a"}};
+    auto result = router.route(traits);
+    EXPECT_EQ(result->cls, "load");
+    EXPECT_EQ(result->tenant, "ann");
+    EXPECT_EQ(result->key, "k1");
+    EXPECT_GT(result->group, 0);
+    const auto group = router.route(traits)->group;
+    traits.tags[1] = "group=h";
+    EXPECT_NE(router.route(traits)->group, group);
+    traits.source = "cli";
+    result = router.route(traits);
+    EXPECT_EQ(result->cls, "short");
+    EXPECT_EQ(result->tenant, "a");
+    EXPECT_EQ(result->key, "trace");
+    traits.tags = {"report", "xyz"};
+    EXPECT_EQ(router.route(traits)->cls, "report");
+    traits.tags = {"report"};
+    EXPECT_EQ(router.route(traits)->tenant, "others");
+    traits.user = "bob";
+    EXPECT_FALSE(router.route(traits));
 }
 
 }  // namespace
--- a/tests/decide/serial_tracker_test.cpp
+++ b/tests/decide/serial_tracker_test.cpp
@@ -18,17 +18,17 @@
     EXPECT_EQ(tracker.classify(0xfffffffe, kSecondMicros, kSecondMicros), UpdateVerdict::older);
 }
 
-TEST(SerialTracker, ARestartNeedsEightOlderAnswersOverTwoSeconds) {
+TEST(SerialTracker, DetectsARestartAfterEightOlderResponsesOverTwoSeconds) {
     for (const Micros interval : {100 * kMillisecond, 250 * kMillisecond, kSecondMicros}) {
         SerialTracker tracker;
         Micros now = kSecondMicros;
         tracker.accept(100, now);
-        for (int answers = 1; answers <= 40; ++answers) {
+        for (int responses = 1; responses <= 40; ++responses) {
             now += interval;
-            const bool expected = answers >= 8 && (answers - 1) * interval >= 2 * kSecondMicros;
+            const bool expected = responses >= 8 && (responses - 1) * interval >= 2 * kSecondMicros;
             EXPECT_EQ(tracker.classify(5, now, now),
                       expected ? UpdateVerdict::restarted : UpdateVerdict::older)
-                << interval << " " << answers;
+                << interval << " " << responses;
             if (expected)
                 break;
         }
@@ -39,7 +39,7 @@
     SerialTracker tracker(false);
     Micros now = kSecondMicros;
     tracker.accept(100, now);
-    for (int answers = 0; answers < 40; ++answers) {
+    for (int responses = 0; responses < 40; ++responses) {
         now += kSecondMicros;
         EXPECT_EQ(tracker.classify(5, now, now), UpdateVerdict::outdated);
     }
--- a/tests/decide/settlement_test.cpp
+++ b/tests/decide/settlement_test.cpp
@@ -8,10 +8,10 @@
 
 // After a front's clock was set back, as at the end of a month, the repeat is detected by the recorded times,
 // whichever front received it first.
-TEST(RepeatDetector, AreThoseWithinTheWindowOfTheFirst) {
-    const auto row = [](std::uint32_t number, Micros taken, const char* key, const char* tenant = "t") {
+TEST(RepeatDetector, FindsRepeatsWithinTheWindowOfTheFirst) {
+    const auto row = [](std::uint32_t number, Micros received_at, const char* key, const char* tenant = "t") {
         RequestRow r;
-        r.number = number, r.received_at = taken, r.key = key, r.key_window = 10;
+        r.number = number, r.received_at = received_at, r.key = key, r.key_window = 10;
         r.requester = std::make_shared<const Requester>(Requester{"u", "s", "", "c", tenant});
         return r;
     };
--- a/tests/decide/table_group_test.cpp
+++ b/tests/decide/table_group_test.cpp
@@ -8,7 +8,7 @@
 namespace gatetiller::decide {
 namespace {
 
-TEST(TableGroup, IsTheNumberOfTheSchema) {
+TEST(TableGroup, IsTheNumberInTheSchemaName) {
     const std::pair<const char*, int> cases[] = {
         {"SELECT * FROM sales_17.orders", 17},
         {"select a from meters_4.day d join sales_17.orders o on d.id = o.id", 4},
