--- a/src/decide/quota.hpp
+++ b/src/decide/quota.hpp
@@ -4,7 +4,7 @@
 // for the tenant that is configured for this; over the hard budget it is rejected before it is accepted. The
 // policy itself knows nothing of quotas. Teams without a budget are not limited.
 //
-// Limits of what a front knows:
+// Accuracy:
 // - With `fronts` fronts each enforces its share of every budget, so that together they never let a team
 //   exceed the budget; a team whose statements arrive through few of them gets less than its budget.
 // - After a restart, restore() adds the use that the ledger has for the window. What the ledger lost, or had
@@ -59,7 +59,8 @@
     void restore(const std::string& team, Micros now, Micros ago, Micros work);
     // Updates and returns the state. A higher state is entered at once, a lower one after min_state_duration.
     QuotaState state(const std::string& team, Micros now);
-    // The time until the hard budget would be free again without further use; at least min_state_duration.
+    // The time until use would fall below the hard budget's exit_fraction without additional use; at least
+    // min_state_duration.
     Micros retry_after(const std::string& team, Micros now) const;
     // The core time used within the window, in microseconds.
     Micros usage(const std::string& team, Micros now) const;
--- a/src/decide/statement_admission.hpp
+++ b/src/decide/statement_admission.hpp
@@ -20,7 +20,7 @@
     std::size_t statements_per_user = 20'000;
     // Bytes of one statement's text.
     std::size_t statement_bytes = 1 << 20;
-    // Limit on one statement's buffered rows, in bytes, above which its engine is not asked for more.
+    // Bytes of one statement's buffered rows from which on no more are fetched from its engine.
     std::size_t row_buffer_bytes = 2 << 20;
     // Bytes of rows buffered for all statements.
     std::size_t total_row_buffer_bytes = 512 << 20;
@@ -48,8 +48,8 @@
     // An admitted statement of `user` is finished. Precondition: there is one.
     void release(const std::string& user);
 
-    // Whether a statement with `buffered` bytes of rows, of `total_buffered` at this gateway, may ask its
-    // engine for more. Beyond the total limit only statements with an empty buffer may, one page at a time,
+    // Whether a statement with `buffered` bytes of rows, of `total_buffered` at this gateway, may fetch more
+    // from its engine. Beyond the total limit only statements with an empty buffer may, one page at a time,
     // so that every reader makes progress.
     bool can_fetch_more(std::size_t buffered, std::size_t total_buffered) const {
         return buffered < limits_.row_buffer_bytes &&
