--- a/src/decide/settlement.cpp
+++ b/src/decide/settlement.cpp
@@ -97,8 +97,8 @@
 void RepeatDetector::add(const RequestRow& r, std::uint32_t incarnation) {
     if (r.key.empty() || r.key_window <= 0)
         return;
-    keyed_.push_back({hash_of(r.key, hash_of(r.requester->tenant, hash_of(r.requester->cls))), r.received_at,
-                      r.key_window, std::uint64_t{incarnation} << 32 | r.number});
+    keyed_.push_back({fnv1a_hash(r.key, fnv1a_hash(r.requester->tenant, fnv1a_hash(r.requester->cls))),
+                      r.received_at, r.key_window, std::uint64_t{incarnation} << 32 | r.number});
 }
 
 void RepeatDetector::finish() {
--- a/src/decide/table_group.cpp
+++ b/src/decide/table_group.cpp
@@ -17,7 +17,7 @@
 };
 
 bool is_name_start(char c) {
-    return (lower(c) >= 'a' && lower(c) <= 'z') || c == '_' || (c & 0x80) != 0;
+    return (to_ascii_lower(c) >= 'a' && to_ascii_lower(c) <= 'z') || c == '_' || (c & 0x80) != 0;
 }
 bool is_name_char(char c) {
     return is_name_start(c) || (c >= '0' && c <= '9') || c == '$';
@@ -110,7 +110,7 @@
         return false;
     static constexpr std::array kKeywords = {"from", "join", "into", "update", "table"};
     return std::any_of(kKeywords.begin(), kKeywords.end(), [&](const char* keyword) {
-        return same_word(t.text, keyword);
+        return equals_ignore_case(t.text, keyword);
     });
 }
 
@@ -129,7 +129,7 @@
         if (last == i)
             continue;
         const std::string& schema = tokens[last - 2].text;
-        const std::int64_t group = same_word(schema, "staging") ? 0 : group_of_schema(schema);
+        const std::int64_t group = equals_ignore_case(schema, "staging") ? 0 : group_of_schema(schema);
         if (group > 0 && i > 0 && precedes_table(tokens[i - 1]))
             return group;
         if (group > 0 && fallback == 0)
--- a/src/store/schema.cpp
+++ b/src/store/schema.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::int64_t kApplicationId = 0x67744c31;
 
-// Step n brings a file of version n to version n + 1.
+// Step n migrates a file from version n to version n + 1.
 constexpr std::array<const char*, kSchemaVersion> kMigrationSteps = {
     R"(CREATE TABLE lives(row INTEGER PRIMARY KEY, name TEXT NOT NULL UNIQUE, front TEXT NOT NULL,
          began INTEGER NOT NULL, last INTEGER NOT NULL, ended INTEGER NOT NULL);
@@ -37,7 +37,7 @@
 }  // namespace
 
 bool has_ledger_header(const std::string& file) {
-    // SQLite's file format: application_id stands at offset 68, big-endian.
+    // SQLite file format: application_id is stored at offset 68, big-endian.
     static constexpr std::size_t kIdOffset = 68;
     static constexpr std::size_t kIdEnd = 72;
     std::ifstream in(file, std::ios::binary);
@@ -51,9 +51,9 @@
 }
 
 StoreFailure migrate_schema(Db& db, bool read_only) {
-    const auto application_id = db.number("PRAGMA application_id");
-    const auto version = db.number("PRAGMA user_version");
-    const auto tables = db.number("SELECT count(*) FROM sqlite_master");
+    const auto application_id = db.query_int64("PRAGMA application_id");
+    const auto version = db.query_int64("PRAGMA user_version");
+    const auto tables = db.query_int64("SELECT count(*) FROM sqlite_master");
     for (const auto* number : {&application_id, &version, &tables})
         if (!*number)
             return {StoreError::corrupt, number->error()};
@@ -66,8 +66,8 @@
     if (read_only)
         return *version == 0 ? empty_file(db.file()) : StoreFailure{};
     Transaction transaction(db);
-    if (transaction.begun())
-        return transaction.begun();
+    if (transaction.begin_failure())
+        return transaction.begin_failure();
     if (auto failure = db.exec("PRAGMA application_id=" + std::to_string(kApplicationId)))
         return failure;
     for (auto step = *version; step < kSchemaVersion; ++step)
