--- a/src/decide/ledger_state.hpp
+++ b/src/decide/ledger_state.hpp
@@ -44,10 +44,10 @@
     std::int64_t requests = 0, updates = 0;
 };
 
-// The interval in which requests of a killed incarnation may be missing: from its last commit until the
-// next incarnation's start, both by the wall clock. Where the clock was set back in between,
-// the time of the step is unknown, and the interval is extended in both directions. `tail`: the longest time
-// between the arrival of a row and its commit.
+// The interval in which requests of a killed incarnation may be missing: from its last commit until the next
+// incarnation's start, both by the wall clock. Where the clock was set back in between, the time of the step
+// is unknown, and the interval is extended in both directions. `tail`: the longest time between the arrival
+// of a row and its commit.
 LedgerGap gap_after_kill(Micros last_commit, Micros next_start, Micros tail);
 
 struct LedgerLimits {
