--- a/src/decide/ledger_state.cpp
+++ b/src/decide/ledger_state.cpp
@@ -4,7 +4,7 @@
 
 namespace gatetiller::decide {
 
-const char* name_of(StoreError t) {
+const char* name_of(StoreError error) {
     static constexpr const char* kNames[] = {
         "none",      "disk full", "read-only", "corrupt", "kept by another process",
         "no access", "I/O error", "lagging",   "killed",  "not a ledger"};
