--- a/src/decide/ledger_state.cpp
+++ b/src/decide/ledger_state.cpp
@@ -8,7 +8,7 @@
     static constexpr const char* kNames[] = {
         "none",      "disk full", "read-only", "corrupt", "kept by another process",
         "no access", "I/O error", "lagging",   "killed",  "not a ledger"};
-    return kNames[static_cast<int>(t)];
+    return kNames[static_cast<int>(error)];
 }
 
 LedgerGap gap_after_kill(Micros last_commit, Micros next_start, Micros tail) {
