--- a/src/base/buffer.hpp
+++ b/src/base/buffer.hpp
@@ -1,5 +1,5 @@
-// A byte queue in one contiguous block: appended at the end, consumed at the front. Views are valid until the
-// next change of the buffer. An empty buffer gives back the memory of a large message.
+// Byte queue in one contiguous block: bytes are appended at the end and consumed at the front. Views are
+// valid until the next modification. A buffer that becomes empty releases the memory of a large message.
 #pragma once
 
 #include <cassert>
@@ -12,13 +12,13 @@
 class Buffer {
 public:
     void append(std::string_view bytes) {
-        if (start_ > 0 && start_ >= held_.size() / 2)
+        if (start_ > 0 && start_ >= bytes_.size() / 2)
             compact();
-        held_.append(bytes);
+        bytes_.append(bytes);
     }
     void append(std::string&& bytes) {
         if (empty()) {
-            held_ = std::move(bytes);
+            bytes_ = std::move(bytes);
             start_ = 0;
         } else {
             append(std::string_view(bytes));
@@ -27,30 +27,32 @@
     void consume(std::size_t n) {
         assert(n <= size());
         start_ += n;
-        if (start_ == held_.size())
+        if (start_ == bytes_.size())
             clear();
     }
-    void erase(std::size_t at, std::size_t n) {  // from the middle; views are no good any more
+    // Removes `n` bytes at offset `at`. Invalidates views.
+    void erase(std::size_t at, std::size_t n) {
         assert(at + n <= size());
-        held_.erase(start_ + at, n);
-        if (start_ == held_.size())
+        bytes_.erase(start_ + at, n);
+        if (start_ == bytes_.size())
             clear();
     }
-    void replace(std::size_t at, std::size_t n, std::string_view bytes) {  // in the middle; likewise
+    // Replaces `n` bytes at offset `at` by `bytes`. Invalidates views.
+    void replace(std::size_t at, std::size_t n, std::string_view bytes) {
         assert(at + n <= size());
-        held_.replace(start_ + at, n, bytes);
+        bytes_.replace(start_ + at, n, bytes);
     }
     void clear() {
-        held_.clear();
+        bytes_.clear();
         start_ = 0;
-        if (held_.capacity() > kRetainedCapacityBytes)
-            held_.shrink_to_fit();
+        if (bytes_.capacity() > kRetainedCapacityBytes)
+            bytes_.shrink_to_fit();
     }
     std::string_view view() const {
-        return std::string_view(held_).substr(start_);
+        return std::string_view(bytes_).substr(start_);
     }
     std::size_t size() const {
-        return held_.size() - start_;
+        return bytes_.size() - start_;
     }
     bool empty() const {
         return size() == 0;
@@ -59,11 +61,11 @@
 private:
     static constexpr std::size_t kRetainedCapacityBytes = 4096;
     void compact() {
-        held_.erase(0, start_);
+        bytes_.erase(0, start_);
         start_ = 0;
     }
 
-    std::string held_;
+    std::string bytes_;
     std::size_t start_ = 0;
 };
 
--- a/src/base/bytes.hpp
+++ b/src/base/bytes.hpp
@@ -1,4 +1,4 @@
-// Numbers in network byte order, as binary protocols have them.
+// Reads and writes integers in network byte order (big-endian).
 #pragma once
 
 #include <cstdint>
@@ -7,16 +7,18 @@
 
 namespace gatetiller {
 
-inline std::uint32_t read_big_endian(std::string_view bytes) {  // at most four
+// `bytes`: at most 4 bytes.
+inline std::uint32_t read_big_endian(std::string_view bytes) {
     std::uint32_t value = 0;
     for (const char c : bytes)
         value = value << 8 | static_cast<unsigned char>(c);
     return value;
 }
 
-inline void append_big_endian(std::string& to, std::uint64_t value, int bytes) {
-    for (int shift = 8 * (bytes - 1); shift >= 0; shift -= 8)
-        to.push_back(static_cast<char>(value >> shift & 0xff));
+// Appends the `size` low-order bytes of `value`.
+inline void append_big_endian(std::string& out, std::uint64_t value, int size) {
+    for (int shift = 8 * (size - 1); shift >= 0; shift -= 8)
+        out.push_back(static_cast<char>(value >> shift & 0xff));
 }
 
 }  // namespace gatetiller
--- a/src/base/durable_file.cpp
+++ b/src/base/durable_file.cpp
@@ -23,8 +23,8 @@
     return true;
 }
 
-// After a failed fsync the kernel may report success without having written: the descriptor must not be used
-// again.
+// Syncs and closes the descriptor. It is closed even if fsync fails: the kernel may report success for a
+// later fsync of the same descriptor without having written the data.
 bool sync_and_close(int fd, bool written) {
     const bool synced = written && ::fsync(fd) == 0;
     const int code = errno;
@@ -34,9 +34,9 @@
     return synced && closed;
 }
 
-bool sync_folder_of(const std::string& file) {
-    const auto folder = std::filesystem::path(file).parent_path();
-    const int fd = ::open(folder.empty() ? "." : folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
+bool sync_parent_directory(const std::string& file) {
+    const auto directory = std::filesystem::path(file).parent_path();
+    const int fd = ::open(directory.empty() ? "." : directory.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
     return fd >= 0 && sync_and_close(fd, true);
 }
 
@@ -44,10 +44,10 @@
 
 Result<bool> replace_file(const std::string& file, std::string_view content) {
     const std::string temporary = file + "." + std::to_string(::getpid()) + ".new";
-    const auto failed = [&](const char* what) {
+    const auto failed = [&](const char* message) {
         const int code = errno;
         ::unlink(temporary.c_str());
-        return Error{file + ": " + what + ": " + std::strerror(code), code};
+        return Error{file + ": " + message + ": " + std::strerror(code), code};
     };
     const int fd = ::open(temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644);
     if (fd < 0)
@@ -56,8 +56,8 @@
         return failed("cannot be written");
     if (std::rename(temporary.c_str(), file.c_str()) != 0)
         return failed("cannot be replaced");
-    if (!sync_folder_of(file))
-        return Error{file + ": its folder cannot be synced: " + std::strerror(errno), errno};
+    if (!sync_parent_directory(file))
+        return Error{file + ": its directory cannot be synced: " + std::strerror(errno), errno};
     return true;
 }
 
--- a/src/base/durable_file.hpp
+++ b/src/base/durable_file.hpp
@@ -1,5 +1,5 @@
-// A small file replaced as a whole: after a kill or a power loss at any moment the old content is there or
-// the new one.
+// Atomic replacement of a small file: after a crash or a power loss at any moment, the file has either its
+// old or its new content.
 #pragma once
 
 #include <string>
@@ -9,8 +9,9 @@
 
 namespace gatetiller {
 
-// Written beside (under a name that no other process uses), synced, moved into place, and the folder synced.
-// Where any of that fails the old file stays, and nothing is left beside it.
+// Writes `content` to a temporary file in the same directory (its name contains the process id), syncs it,
+// renames it to `file` and syncs the directory. If a step before the rename fails, the old file is unchanged
+// and the temporary file is removed.
 Result<bool> replace_file(const std::string& file, std::string_view content);
 
 }  // namespace gatetiller
--- a/src/base/overloaded.hpp
+++ b/src/base/overloaded.hpp
@@ -1,4 +1,4 @@
-// One visitor made of several lambdas, for std::visit.
+// Combines several lambdas into one visitor for std::visit.
 #pragma once
 
 namespace gatetiller {
@@ -7,7 +7,7 @@
 struct Overloaded : Ts... {
     using Ts::operator()...;
 };
-// For compilers that do not deduce the arguments of aggregates.
+// Deduction guide for compilers without class template argument deduction for aggregates.
 template <typename... Ts>
 Overloaded(Ts...) -> Overloaded<Ts...>;
 
--- a/src/base/random.hpp
+++ b/src/base/random.hpp
@@ -1,5 +1,5 @@
-// Seeded random numbers (SplitMix64): the same sequence for the same seed on every machine, which the
-// standard library's distributions don't promise.
+// Seeded pseudo-random number generator (SplitMix64). A seed gives the same sequence on every platform, which
+// the distributions of the standard library do not guarantee.
 #pragma once
 
 #include <algorithm>
@@ -20,29 +20,33 @@
         z = (z ^ (z >> 27)) * 0x94d049bb133111ebULL;
         return z ^ (z >> 31);
     }
+    // Returns a number in [0, 1).
     double uniform() {
         return static_cast<double>(next() >> 11) * 0x1p-53;
-    }  // in [0, 1)
+    }
     double uniform(double low, double high) {
         return low + (high - low) * uniform();
     }
+    // Returns an integer in [0, limit), or 0 if the limit is 0.
     std::uint64_t below(std::uint64_t limit) {
         return limit == 0 ? 0 : next() % limit;
     }
+    // Returns true with the given probability.
     bool chance(double probability) {
         return uniform() < probability;
     }
     double exponential(double mean) {
         return -mean * std::log1p(-uniform());
     }
-    // By its mean and its coefficient of variation (standard deviation over mean); by the Box-Muller
-    // transform.
+    // Log-normal distribution with the given mean and coefficient of variation (standard deviation divided by
+    // mean). Uses the Box-Muller transform.
     double lognormal(double mean, double coefficient_of_variation) {
         const double variance = std::log1p(coefficient_of_variation * coefficient_of_variation);
         const double radius = std::sqrt(-2 * std::log(std::max(uniform(), 1e-300)));
         const double angle = 2 * std::numbers::pi * uniform();
         return mean * std::exp(std::sqrt(variance) * radius * std::cos(angle) - variance / 2);
     }
+    // Returns `digits` random lower-case hexadecimal digits.
     std::string hex(int digits) {
         std::string text;
         for (int i = 0; i < digits; ++i)
--- a/src/base/text.hpp
+++ b/src/base/text.hpp
@@ -15,12 +15,13 @@
     return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c;
 }
 
-inline bool equals_ignore_case(std::string_view a, std::string_view b) {  // without regard to ASCII case
+inline bool equals_ignore_case(std::string_view a, std::string_view b) {
     return a.size() == b.size() && std::equal(a.begin(), a.end(), b.begin(), [](char x, char y) {
                return to_ascii_lower(x) == to_ascii_lower(y);
            });
 }
 
+// Removes leading and trailing spaces and tabs.
 inline std::string_view trimmed(std::string_view text) {
     const auto from = text.find_first_not_of(" \t");
     if (from == std::string_view::npos)
@@ -28,7 +29,7 @@
     return text.substr(from, text.find_last_not_of(" \t") - from + 1);
 }
 
-// The parts between separators, trimmed; empty parts are left out.
+// Returns the trimmed parts between separators, without empty ones.
 inline std::vector<std::string_view> split(std::string_view text, char separator) {
     std::vector<std::string_view> parts;
     for (std::size_t at = 0; at <= text.size();) {
@@ -40,7 +41,7 @@
     return parts;
 }
 
-// The whole text as a number, or nothing.
+// Parses the complete text as a number. Returns nullopt if any of it is not part of the number.
 template <typename T>
 std::optional<T> to_number(std::string_view text) {
     T value{};
@@ -50,7 +51,7 @@
     return value;
 }
 
-// FNV-1a: the same number for the same text on every machine. `seed` gives another family of them.
+// FNV-1a hash, with the same result on every platform. Different seeds give different hash functions.
 inline std::uint64_t fnv1a_hash(std::string_view text, std::uint64_t seed = 0) {
     std::uint64_t hash = 14695981039346656037ULL ^ seed;
     for (const char c : text)
@@ -58,8 +59,9 @@
     return hash;
 }
 
-// Whether `text` fits `pattern`, in which `*` stands for any run of characters and everything else for
-// itself. Iterative, with backtracking to the last `*` alone: at most pattern times text steps.
+// Returns whether `text` matches `pattern`, in which `*` matches any sequence of characters and every other
+// character matches itself. Backtracks only to the last `*`, so it takes at most pattern size times text size
+// steps.
 inline bool glob_matches(std::string_view pattern, std::string_view text) {
     std::size_t pattern_at = 0;
     std::size_t text_at = 0;
--- a/src/base/units.hpp
+++ b/src/base/units.hpp
@@ -1,4 +1,4 @@
-// Times and sizes with their units, as configurations and headers have them: "750ms", "1.5h", "16GiB",
+// Parses durations and sizes with units, as written in configurations and headers: "750ms", "1.5h", "16GiB",
 // "10GB".
 #pragma once
 
@@ -18,26 +18,26 @@
 };
 
 template <std::size_t N>
-Result<double> with_unit(std::string_view text, const Unit (&units)[N], const char* what,
-                         const char* allowed) {
-    const std::string_view t = trimmed(text);
-    const std::size_t end = t.find_first_not_of("0123456789.");
-    const auto wrong = [&](const char* why) {
-        return Error{"'" + std::string(text) + "' is not a " + what + ": " + why +
+Result<double> parse_with_unit(std::string_view text, const Unit (&units)[N], const char* quantity,
+                               const char* allowed) {
+    const std::string_view trimmed_text = trimmed(text);
+    const std::size_t number_end = trimmed_text.find_first_not_of("0123456789.");
+    const auto error = [&](const char* reason) {
+        return Error{"'" + std::string(text) + "' is not a " + quantity + ": " + reason +
                      "; write a number and one of " + allowed};
     };
-    if (end == std::string_view::npos)
-        return wrong("the unit is missing");
-    const auto value = to_number<double>(t.substr(0, end));
+    if (number_end == std::string_view::npos)
+        return error("the unit is missing");
+    const auto value = to_number<double>(trimmed_text.substr(0, number_end));
     if (!value || !std::isfinite(*value))
-        return wrong("it does not begin with a number");
+        return error("it does not begin with a number");
     for (const Unit& unit : units)
-        if (unit.name == trimmed(t.substr(end))) {
+        if (unit.name == trimmed(trimmed_text.substr(number_end))) {
             if (*value * unit.factor > 9e18)
-                return wrong("it is too large");
+                return error("it is too large");
             return *value * unit.factor;
         }
-    return wrong("the unit is not known");
+    return error("the unit is not known");
 }
 
 }  // namespace units
@@ -45,7 +45,7 @@
 inline Result<Micros> parse_duration(std::string_view text) {
     constexpr units::Unit kUnits[] = {{"us", 1},       {"ms", 1e3},       {"s", 1e6},
                                       {"m", 60 * 1e6}, {"h", 3600 * 1e6}, {"d", 86400 * 1e6}};
-    const auto value = units::with_unit(text, kUnits, "time", "us, ms, s, m, h, d");
+    const auto value = units::parse_with_unit(text, kUnits, "time", "us, ms, s, m, h, d");
     if (!value)
         return Error{value.error()};
     return static_cast<Micros>(std::llround(*value));
@@ -55,7 +55,7 @@
     constexpr units::Unit kUnits[] = {
         {"B", 1},     {"kB", 1e3},     {"KB", 1e3},        {"MB", 1e6},           {"GB", 1e9},
         {"TB", 1e12}, {"KiB", 1024.0}, {"MiB", 1048576.0}, {"GiB", 1073741824.0}, {"TiB", 1099511627776.0}};
-    return units::with_unit(text, kUnits, "size", "B, kB, MB, GB, TB, KiB, MiB, GiB, TiB");
+    return units::parse_with_unit(text, kUnits, "size", "B, kB, MB, GB, TB, KiB, MiB, GiB, TiB");
 }
 
 }  // namespace gatetiller
--- a/src/core/deferred_release.hpp
+++ b/src/core/deferred_release.hpp
@@ -1,5 +1,5 @@
-// Releases objects, known by id, in a later turn of the loop. Callers that decide that a request is over
-// still hold references to it further up the stack; releasing it at once would leave those dangling.
+// Releases objects, identified by an id, in a later turn of the event loop. The caller that ends a request
+// still has references to it further up the stack; releasing it immediately would leave them dangling.
 #pragma once
 
 #include <functional>
@@ -10,11 +10,11 @@
 
 namespace gatetiller::core {
 
-// Invariant: a release never happens inside `schedule`. Ids still scheduled at destruction are not released.
+// Invariant: `schedule` never releases an object itself. Ids still scheduled at destruction are not released.
 class DeferredRelease {
 public:
-    // Releases the object of this id. It may be called more than once for an id that was scheduled more than
-    // once, and must then do nothing.
+    // Releases the object with this id. An id that was scheduled several times may be passed several times;
+    // all calls after the first must have no effect.
     using ReleaseHandler = std::function<void(const std::string& id)>;
 
     DeferredRelease(net::Loop& loop, ReleaseHandler release);
@@ -22,7 +22,7 @@
     DeferredRelease(const DeferredRelease&) = delete;
     DeferredRelease& operator=(const DeferredRelease&) = delete;
 
-    // Releases `id` in the next turn of the loop, together with all that are scheduled until then.
+    // Releases `id` in the next turn of the loop, together with all ids scheduled before then.
     void schedule(const std::string& id);
 
 private:
--- a/src/core/policy_driver.hpp
+++ b/src/core/policy_driver.hpp
@@ -1,5 +1,5 @@
-// Runs a GatewayPolicy on an event loop, for any front: events go in one at a time and in order, timers that
-// the policy starts are kept here, and every other action goes to the front's handler.
+// Runs a GatewayPolicy on an event loop, for any front. Passes events to the policy one at a time and in
+// order, runs the timers that the policy starts, and passes every other action to the front's handler.
 #pragma once
 
 #include <cstdint>
@@ -14,19 +14,20 @@
 
 class PolicyDriver {
 public:
-    using ActionHandler = std::function<void(const Action&)>;  // never a StartTimer
-    // The loop outlives it. Settings that contradict themselves throw std::invalid_argument.
+    // Receives every action except StartTimer.
+    using ActionHandler = std::function<void(const Action&)>;
+    // The loop outlives the driver. Throws std::invalid_argument if the settings are contradictory.
     PolicyDriver(net::Loop& loop, std::uint64_t seed, PolicySettings settings, ActionHandler apply_action);
     ~PolicyDriver();
     PolicyDriver(const PolicyDriver&) = delete;
     PolicyDriver& operator=(const PolicyDriver&) = delete;
 
-    // Applies the policy's actions at the start; to be called once, before the first event.
+    // Applies the policy's initial actions. Called once, before the first event.
     void start();
-    // Hands an event to the policy and applies its actions. Events posted meanwhile wait for their turn, so
-    // that the policy gets them in order.
+    // Passes an event to the policy and applies the resulting actions. Events posted by an action are queued,
+    // so that the policy handles one event at a time and in order.
     void post(Event event);
-    // The policy's current alpha; for metrics.
+    // The policy's current admission level (alpha), for metrics.
     double alpha() const {
         return policy_.alpha();
     }
--- a/src/front/active_statement.hpp
+++ b/src/front/active_statement.hpp
@@ -1,7 +1,7 @@
 // The statements that a front has accepted and not yet released, and their attempts.
 //
-// Invariants: a statement has at most one attempt in flight, the last one; an attempt is completed once; a
-// statement is released, in a later turn of the loop, once its lifecycle allows it.
+// Invariants: A statement has at most one attempt in flight, which is the last one. An attempt is completed
+// exactly once. A statement is released in a later turn of the loop, after its lifecycle allows it.
 #pragma once
 
 #include <memory>
@@ -25,17 +25,17 @@
 struct ActiveStatement;
 struct StatementAttempt;
 
-// Receives what an attempt's engine answers.
+// Receives the documents of an attempt and the end of its call.
 class AttemptListener {
 public:
     virtual ~AttemptListener() = default;
     virtual void on_attempt_document(StatementAttempt& attempt, statement::Document document,
                                      const http::Headers& headers) = 0;
-    // The call ended without a final document.
+    // Called when the call ended without a final document.
     virtual void on_attempt_call_ended(StatementAttempt& attempt, const statement::CallEnd& end) = 0;
 };
 
-// One attempt of a statement at one engine.
+// One attempt to execute a statement on one engine.
 struct StatementAttempt final : statement::EngineCall::Events {
     // The loop, the listener and the statement outlive the attempt.
     StatementAttempt(net::Loop& event_loop, AttemptListener& attempt_listener, ActiveStatement& owner,
@@ -55,15 +55,15 @@
     net::Loop& loop;
     AttemptListener& listener;
     ActiveStatement& statement;
-    int number;  // of the statement's attempts, from 0
+    int number;  // index among the statement's attempts, from 0
     EngineId engine;
-    std::unique_ptr<statement::EngineCall> call;  // null where it was never sent
+    std::unique_ptr<statement::EngineCall> call;  // null if the attempt was never sent
     Micros sent_at;
     decide::ProgressReporter progress;
     net::TimerId timeout_timer = 0;
-    bool in_lifecycle = false;  // the statement's lifecycle counts it as in flight
+    bool in_lifecycle = false;  // whether the statement's lifecycle counts it as in flight
     bool completed = false;
-    bool executed = false;  // some document showed work, rows or a running state
+    bool executed = false;  // whether a document showed CPU time, rows or a running state
     decide::AttemptEndRecord end_record;
     std::int64_t row_bytes = 0;
     std::string engine_query_id;
@@ -71,7 +71,7 @@
     std::string engine_kind;
     store::LedgerWriter::QueueSlot ledger_slot;
     statement::Stats stats;
-    std::string columns;  // by the latest document that had them
+    std::string columns;  // from the latest document that contained columns
     std::optional<LoadReport> load_report;
 };
 
@@ -79,8 +79,8 @@
     std::string id;
     statement::Submission submission;
     decide::Routed route;
-    std::string team;  // whose budget it counts on; empty: none
-    // Times of the loop; 0: not yet.
+    std::string team;  // team whose budget the statement is charged to; empty: none
+    // Loop times in microseconds; 0: not yet reached.
     Micros arrived_at = 0;
     Micros deadline = 0;
     Micros first_sent_at = 0;
@@ -94,10 +94,10 @@
     std::string last_error;
     std::string last_engine;
     statement::Stats stats;
-    // Set where the ledger accepted it.
+    // Set if the ledger accepted the statement.
     bool in_ledger = false;
     std::uint32_t ledger_number = 0;
-    std::optional<decide::RequestRow> ledger_row;  // until its last state is recorded
+    std::optional<decide::RequestRow> ledger_row;  // reset when the final state is recorded
     store::LedgerWriter::QueueSlot ledger_slot;
 
     StatementAttempt* attempt_in_flight() {
@@ -113,9 +113,9 @@
     explicit ActiveStatements(net::Loop& loop);
 
     ActiveStatement& add(std::unique_ptr<ActiveStatement> statement);
-    // Null where the id is unknown.
+    // Returns null if the id is unknown.
     ActiveStatement* find(const std::string& id);
-    // Those with an attempt in flight that was sent to its engine.
+    // Returns the attempts in flight that were sent to their engines.
     std::vector<StatementAttempt*> sent_attempts_in_flight();
     void release_later(const std::string& id) {
         release_.schedule(id);
--- a/src/front/attempt_dispatcher.cpp
+++ b/src/front/attempt_dispatcher.cpp
@@ -60,8 +60,8 @@
     });
 }
 
-// The session's time limit ends the statement at its engine at the deadline even if this front is gone by
-// then.
+// The time limit in the session properties makes the engine end the statement at its deadline even if this
+// front is no longer running.
 http::Headers AttemptDispatcher::headers_for(const StatementAttempt& attempt, Micros time_limit) const {
     const ActiveStatement& statement = attempt.statement;
     std::map<std::string, std::string> session{{"query_max_run_time", session_span(time_limit)}};
@@ -143,7 +143,7 @@
         services_.statements.release_later(statement.id);
 }
 
-// ---- The guard
+// ---- Attempt guard
 
 bool AttemptDispatcher::may_begin(const StatementAttempt& attempt) {
     if (attempt.completed || services_.draining_endpoints.contains(attempt.engine))
@@ -168,7 +168,7 @@
     context.client_disconnected =
         statement.outcome == StatementOutcome::cancelled || statement.outcome == StatementOutcome::abandoned;
     context.final_response_sent = statement.lifecycle.finished() && !context.client_disconnected;
-    // Before the first byte the attempt in flight is this one.
+    // Before the first byte, the attempt in flight is this attempt itself.
     context.attempt_in_flight =
         statement.lifecycle.attempt_in_flight() && moment == GuardMoment::before_dispatch;
     context.time_left = statement.deadline - services_.loop.now();
@@ -178,7 +178,7 @@
     return context;
 }
 
-// The first completed attempt that may have been executed.
+// Returns the first completed attempt that may have been executed.
 std::optional<decide::EarlierExecution> AttemptDispatcher::earlier_execution_before(
     const StatementAttempt& attempt) {
     for (const auto& earlier : attempt.statement.attempts) {
--- a/src/front/attempt_dispatcher.hpp
+++ b/src/front/attempt_dispatcher.hpp
@@ -1,6 +1,6 @@
-// Carries out what the policy decides on attempts: sends them to engines, cancels them, and reports how they
-// ended. The attempt guard checks each one twice: before it is sent, and before its first byte goes out, as
-// its connection may come up long after.
+// Executes the policy's decisions about attempts: sends attempts to engines, cancels them, and reports how
+// they ended. The attempt guard checks each attempt twice: before it is dispatched, and before its first byte
+// is written, because its connection may be established much later.
 #pragma once
 
 #include <optional>
@@ -12,19 +12,21 @@
 
 class AttemptDispatcher {
 public:
-    // `listener` receives what the engines answer. Both outlive the dispatcher.
+    // `listener` receives the engines' responses. Both parameters outlive the dispatcher.
     AttemptDispatcher(FrontServices& services, AttemptListener& listener);
 
-    // Sends an attempt. One that the guard forbids is logged, counted and completed as not sent.
+    // Sends an attempt. An attempt that the guard refuses is logged, counted and completed as not sent.
     void dispatch(const DispatchAttempt& action);
-    // Cancels an attempt, unless it has completed or its rows are streaming.
+    // Cancels an attempt unless it is completed or its rows are being streamed.
     void cancel(const CancelAttempt& action);
-    // Cancels the attempt in flight of a statement whose client is gone, even while its rows are streaming.
+    // Cancels the attempt in flight of a statement whose client has disconnected, even while its rows are
+    // being streamed.
     void cancel_in_flight(ActiveStatement& statement);
-    // Withdraws attempts to draining endpoints of which nothing has gone out yet.
+    // Withdraws attempts to draining endpoints of which no byte has been written yet.
     void withdraw_unsent_to_draining();
-    // Ends an attempt and reports it to the policy, once. `final_response_ready`: its statement has its final
-    // response, whatever else the policy would do.
+    // Completes an attempt and reports it to the policy; only the first call has an effect.
+    // `final_response_ready`: whether the statement already has its final response, so that the policy must
+    // not retry it.
     void complete(StatementAttempt& attempt, AttemptOutcome outcome, bool final_response_ready);
 
 private:
--- a/src/front/draining_endpoints.hpp
+++ b/src/front/draining_endpoints.hpp
@@ -1,5 +1,5 @@
-// The endpoints that accept nothing new, because they drain or are removed, and since when this front knows
-// it.
+// Endpoints that must receive no new attempts because they are draining or removed, and the time at which
+// this front was notified.
 #pragma once
 
 #include <map>
@@ -11,12 +11,13 @@
 
 class DrainingEndpoints {
 public:
-    // `engines` already has the update; a full one removes those it lacks. `now`: loop time.
+    // `engines` already includes the update. A full update removes the engines that it does not list. `now`:
+    // loop time.
     void apply(const EndpointUpdate& update, const EngineRegistry& engines, Micros now);
     bool contains(EngineId id) const {
         return since_.contains(id);
     }
-    // How long this front has known it; absent where the endpoint does not drain.
+    // Returns the time since this front was notified, or nullopt if the endpoint is not draining.
     std::optional<Micros> draining_for(EngineId id, Micros now) const;
 
 private:
--- a/src/front/engine_registry.cpp
+++ b/src/front/engine_registry.cpp
@@ -11,8 +11,9 @@
 namespace gatetiller::front {
 namespace {
 
-constexpr Micros kCacheRetryInterval = kSecondMicros;  // after a cached list that could not be written
-constexpr Micros kStatusTimeout = 100 * kMillisecond;  // for a status before an engine counts as ready
+constexpr Micros kCacheRetryInterval = kSecondMicros;  // after a failure to save the list
+// An engine whose status is awaited for longer counts as ready.
+constexpr Micros kStatusTimeout = 100 * kMillisecond;
 constexpr Micros kMinStatusRequestTimeout = kSecondMicros;
 constexpr Micros kHealthCheckTimeout = kSecondMicros;
 constexpr int kStatusOk = 200;
@@ -70,7 +71,7 @@
 }
 
 void EngineRegistry::start() {
-    // Until the source's first list comes, the cached list is in force, or else the configured engines.
+    // Uses the cached list, or else the configured engines, until the source reports its first list.
     auto known = configured_engines_;
     if (!source_settings_.keep.empty()) {
         auto cached = discovery::load_cached_endpoints(source_settings_.keep);
@@ -100,7 +101,8 @@
                     }});
 }
 
-// Retries while the disk is full or broken: the source reports a list only when it changes.
+// Retries while the list cannot be written (full or failed disk), because the source reports a list only when
+// it changes.
 void EngineRegistry::save_cached_endpoints() {
     const bool is_retry = cache_retry_timer_ != 0;
     loop_.cancel(std::exchange(cache_retry_timer_, 0));
@@ -152,7 +154,7 @@
 
 void EngineRegistry::apply_list(const std::vector<config::EngineSettings>& list, EndpointUpdateKind kind) {
     EndpointUpdate update{kind, {}};
-    std::vector<Engine*> to_poll;  // new ones and those that return
+    std::vector<Engine*> to_poll;  // new engines and engines that return to the list
     for (const auto& settings : list) {
         const std::size_t engines_before = engines_.size();
         Engine& engine = find_or_create(settings);
@@ -203,8 +205,8 @@
     });
 }
 
-// The lower bound on the interval keeps an engine that closes every connection at once from being polled
-// without end.
+// The minimum interval of kStatusTimeout prevents endless polling of an engine that closes every connection
+// immediately.
 void EngineRegistry::on_connections_lost(Engine& engine) {
     if (source_settings_.watch_every <= 0 || engine.state_tracker.endpoint().state == EndpointState::removed)
         return;
@@ -217,7 +219,8 @@
     poll_and_await_status(engine);
 }
 
-// The engine's tracker awaits a status, which counts as unavailable after kStatusTimeout.
+// Polls an engine whose state tracker waits for a status. The status counts as unavailable after
+// kStatusTimeout.
 void EngineRegistry::poll_and_await_status(Engine& engine) {
     pending_statuses_.push_back({engine.id, loop_.now() + kStatusTimeout});
     if (pending_status_timer_ == 0)
--- a/src/front/engine_registry.hpp
+++ b/src/front/engine_registry.hpp
@@ -1,9 +1,9 @@
-// The engines that a front knows: their ids for the policy, their connections, and their states by the
-// endpoint list and by their own status reports.
+// Registry of the engines known to a front: their ids for the policy, their connections, and their states
+// according to the endpoint list and to their own status reports.
 //
-// Invariants: an id stands for one name at one address and is never reused. A new or returning engine, and
-// one whose connections all closed, gets nothing more until its status is known or kStatusTimeout has passed:
-// its process may be a new one that is still warming up.
+// Invariants: An id identifies one name at one address and is never reused. An engine that is new, that
+// returns to the list or whose connections have all closed receives no new attempts until its status is known
+// or kStatusTimeout has passed, because its process may be a new one that is still warming up.
 #pragma once
 
 #include <deque>
@@ -29,9 +29,9 @@
     decide::EndpointStateTracker state_tracker;
     http::Client::Call info_poll;
     http::Client::Call state_poll;
-    std::optional<Micros> uptime;    // by its last report
-    bool starting = false;           // by its last report
-    Micros connections_lost_at = 0;  // when it was last polled because all its connections closed
+    std::optional<Micros> uptime;    // according to its last status report
+    bool starting = false;           // according to its last status report
+    Micros connections_lost_at = 0;  // time of the last poll caused by the loss of all connections
 };
 
 class EngineRegistry {
@@ -40,8 +40,8 @@
         std::function<void(EndpointUpdate)> on_update;
         std::function<void(std::string)> log;
     };
-    // Gets how long the check took, in microseconds, its outcome, and the engine's load where it reported
-    // one.
+    // Receives the duration of the check in microseconds, its outcome, and the engine's load report if there
+    // is one.
     using HealthCheckHandler = std::function<void(Micros, AttemptOutcome, std::optional<LoadReport>)>;
 
     // The loop outlives the registry.
@@ -50,22 +50,21 @@
     EngineRegistry(const EngineRegistry&) = delete;
     EngineRegistry& operator=(const EngineRegistry&) = delete;
 
-    // Reports the first list, from the cache or the configuration, and begins to poll the source and the
+    // Reports the initial list, from the cache or the configuration, and starts polling the source and the
     // engines.
     void start();
-    // Polls the source now. Without a source, reports an empty incremental update.
+    // Polls the source immediately. Without a source, reports an empty incremental update.
     void poll_source();
-    // Takes over the engines and the endpoint source of new settings.
+    // Applies the engines and the endpoint source of new settings.
     void reload(const config::FrontSettings& settings);
-    // Engines in slow start are held as draining until then (loop time). A time that has passed ends the
-    // hold.
+    // Reports engines in slow start as draining until `until` (loop time). A time in the past ends this.
     void hold_slow_start_until(Micros until);
-    // Null where the id is unknown.
+    // Returns null if the id is unknown.
     Engine* find(EngineId id);
     const std::map<EngineId, std::unique_ptr<Engine>>& all() const {
         return engines_;
     }
-    // Checks an engine's health by a request of its own.
+    // Checks an engine's health with a separate request.
     void check_health(EngineId id, HealthCheckHandler done);
 
 private:
@@ -99,10 +98,10 @@
     Events events_;
     std::unique_ptr<discovery::EndpointSource> source_;
     std::map<EngineId, std::unique_ptr<Engine>> engines_;
-    std::map<std::string, EngineId> ids_;  // by name and address
+    std::map<std::string, EngineId> ids_;  // key: name and address
     EngineId last_id_ = 0;
-    std::deque<PendingStatus> pending_statuses_;       // the earliest deadline first
-    std::vector<config::EngineSettings> source_list_;  // the source's last list
+    std::deque<PendingStatus> pending_statuses_;       // ordered by deadline, earliest first
+    std::vector<config::EngineSettings> source_list_;  // last list from the source
     net::TimerId status_poll_timer_ = 0;
     net::TimerId hold_timer_ = 0;
     net::TimerId pending_status_timer_ = 0;
--- a/src/front/engine_responses.cpp
+++ b/src/front/engine_responses.cpp
@@ -83,7 +83,7 @@
     end_attempt(attempt, end, std::move(document), headers);
 }
 
-// False where the policy cancelled the attempt upon it.
+// Returns false if the policy reacted by cancelling the attempt.
 bool EngineResponses::report_progress(StatementAttempt& attempt, const statement::Stats& stats) const {
     const decide::QueryStats query{stats.progress,      stats.queued,         stats.scheduled,
                                    stats.queued_splits, stats.running_splits, stats.spilled_bytes};
@@ -124,13 +124,13 @@
         return serve(attempt, verdict.outcome, std::move(document), headers);
     if (statement.is_streaming())
         return truncate(attempt, verdict.outcome, std::move(document));
-    // Rows that the client has not fetched are dropped: another attempt brings its own.
+    // Drops rows that the client has not fetched, because another attempt sends its own rows.
     if (!finished)
         services_.statement_api.drop_waiting(statement.id);
     dispatcher_.complete(attempt, verdict.outcome, finished);
 }
 
-// The engine's document is the final one of the client.
+// Sends the engine's document to the client as the final one.
 void EngineResponses::serve(StatementAttempt& attempt, AttemptOutcome outcome, statement::Document document,
                             const http::Headers& headers) {
     ActiveStatement& statement = attempt.statement;
@@ -142,7 +142,8 @@
     push(attempt, std::move(document), headers);
 }
 
-// Rows have gone out, so there is no retry: the client learns that what it has is not complete.
+// Ends a statement whose rows were partly sent. It cannot be retried, so the client is told that its result
+// is incomplete.
 void EngineResponses::truncate(StatementAttempt& attempt, AttemptOutcome outcome,
                                statement::Document document) {
     ActiveStatement& statement = attempt.statement;
--- a/src/front/engine_responses.hpp
+++ b/src/front/engine_responses.hpp
@@ -1,4 +1,4 @@
-// Turns what engines answer into events of the policy and documents of the client.
+// Converts the engines' responses into events for the policy and documents for the client.
 #pragma once
 
 #include "decide/attempt_end.hpp"
@@ -9,13 +9,13 @@
 
 class EngineResponses final : public AttemptListener {
 public:
-    // Both outlive this.
+    // Both parameters outlive this object.
     EngineResponses(FrontServices& services, AttemptDispatcher& dispatcher);
 
     void on_attempt_document(StatementAttempt& attempt, statement::Document document,
                              const http::Headers& headers) override;
     void on_attempt_call_ended(StatementAttempt& attempt, const statement::CallEnd& end) override;
-    // Asks the engine for the next document, where the limits on waiting rows allow it.
+    // Requests the next document from the engine if the limits on buffered rows allow it.
     void fetch_next(StatementAttempt& attempt) const;
 
 private:
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -34,7 +34,8 @@
       ledger_(
           loop, deps_.ledger,
           {deps_.log,
-           // What a killed incarnation sent after its last commit may be as recent as this one.
+           // The attempts that a killed incarnation sent after its last commit are unknown; the latest may
+           // have been sent just before this incarnation started.
            [this](bool killed) {
                engines_.hold_slow_start_until(killed ? loop_.now() + settings_.module.overload_window : 0);
            },
@@ -82,8 +83,8 @@
         bound_addresses_.push_back(*address);
     }
     driver_.start();
-    // Until the ledger says whether the last incarnation was killed, its load may still be on engines in slow
-    // start.
+    // Until the ledger reports whether the previous incarnation was killed, attempts of that incarnation may
+    // still be running on engines in slow start.
     if (ledger_.enabled())
         engines_.hold_slow_start_until(loop_.now() + settings_.module.overload_window);
     engines_.start();
@@ -102,7 +103,7 @@
     engines_.reload(settings);
 }
 
-// ---- Requests of clients
+// ---- Client requests
 
 void Front::on_http_request(http::Request& request, http::Server::Reply reply) {
     if (statement_api_.handle(request, reply))
@@ -219,7 +220,7 @@
         ledger_.status_member());
 }
 
-// ---- Events of the policy, and its actions
+// ---- Events and actions of the policy
 
 bool Front::is_dropped(const Event& event) const {
     return deps_.drop_event && deps_.drop_event(event);
@@ -233,7 +234,8 @@
 void Front::on_endpoint_update(const EndpointUpdate& update) {
     if (is_dropped(update))
         return;
-    // Before the policy gets it: what the policy sends upon it is checked against the new states.
+    // Applied before the policy receives the update, so that the guard checks the attempts that the policy
+    // sends in response against the new states.
     draining_endpoints_.apply(update, engines_, loop_.now());
     driver_.post(update);
     dispatcher_.withdraw_unsent_to_draining();
@@ -259,16 +261,16 @@
                    [&](const CheckHealth& check) {
                        check_health(check);
                    },
-                   [&](const BroadcastToPeers&) {},  // a front has no peers
+                   [&](const BroadcastToPeers&) {},  // a front has no peer fronts
                    [&](const WatchEndpoints&) {
                        engines_.poll_source();
                    },
-                   [&](const StartTimer&) {},  // kept by the driver
+                   [&](const StartTimer&) {},  // handled by PolicyDriver
                },
                action);
 }
 
-// For attempts from now on: the statement API has no way to change one in flight.
+// The grant applies to later attempts only: the statement API cannot change an attempt in flight.
 void Front::apply_grant(const ResourceGrant& grant) {
     ActiveStatement* statement = statements_.find(grant.id);
     if (!statement)
--- a/src/front/front.hpp
+++ b/src/front/front.hpp
@@ -1,17 +1,18 @@
-// A running front: wires the statement API's server side, the policy and the engines together. What happens
-// becomes events of the policy, and each action of the policy is carried out exactly. A front decides nothing
-// by itself: classes, limits and the meaning of an engine's answer come from src/decide.
+// A front: connects the server side of the statement API, the policy and the engines. It converts requests,
+// responses and endpoint updates into events for the policy, and executes each action of the policy exactly.
+// It makes no decisions itself: classes, limits and the meaning of an engine's response are defined in
+// src/decide.
 //
-// Its parts, with the state that each owns:
-//   StatementIntake      routes, budgets, counts by user    accepts or rejects a statement
-//   ActiveStatements     accepted statements, attempts      until their release
-//   AttemptDispatcher    -                                  actions of the policy on attempts
-//   EngineResponses      -                                  engines' answers
-//   StatementCompletion  -                                  ends of statements
-//   EngineRegistry       engines and their states           endpoint list, status polls
-//   DrainingEndpoints    endpoints that accept nothing new
-//   LedgerRecorder       flush timer                        rows for the ledger
-//   GracefulShutdown     its progress
+// Components, the state that each owns, and its task:
+//   StatementIntake      routes, budgets, counts by user    accepts or rejects statements
+//   ActiveStatements     accepted statements, attempts      stores them until their release
+//   AttemptDispatcher    -                                  executes actions of the policy on attempts
+//   EngineResponses      -                                  handles the engines' responses
+//   StatementCompletion  -                                  ends statements
+//   EngineRegistry       engines and their states           follows the endpoint list, polls engine statuses
+//   DrainingEndpoints    draining and removed endpoints     tells since when they must receive nothing new
+//   LedgerRecorder       flush timer                        writes rows to the ledger
+//   GracefulShutdown     progress of the shutdown           waits for active statements
 #pragma once
 
 #include <functional>
@@ -29,36 +30,37 @@
 namespace gatetiller::front {
 
 struct FrontDeps {
-    std::function<std::string()> entropy;         // 32 hex digits that nobody can guess
-    std::uint64_t seed = 1;                       // of the policy
-    std::function<void(const std::string&)> log;  // for operators
+    std::function<std::string()> entropy;         // returns 32 unpredictable hexadecimal digits
+    std::uint64_t seed = 1;                       // of the policy's random numbers
+    std::function<void(const std::string&)> log;  // writes a line to the operator log
     std::function<void(const FinishedStatement&)>
         on_finished;  // once for each finished statement; may be empty
-    // Fault injection by tests: true keeps an event from the policy. Absent in service.
+    // Fault injection in tests: an event for which it returns true is not passed to the policy. Null in
+    // production.
     std::function<bool(const Event&)> drop_event = nullptr;
-    store::LedgerWriter* ledger = nullptr;  // outlives the front; null: nothing is recorded
+    store::LedgerWriter* ledger = nullptr;  // outlives the front; null: no ledger
 };
 
 class Front final : public statement::Backend {
 public:
-    // The loop outlives the front. Contradictory policy settings throw std::invalid_argument.
+    // The loop outlives the front. Throws std::invalid_argument if the policy settings are contradictory.
     Front(net::Loop& loop, config::FrontSettings settings, FrontDeps deps);
     ~Front() override;
     Front(const Front&) = delete;
     Front& operator=(const Front&) = delete;
 
-    // Begins to listen and gives the addresses, with the ports that the kernel chose. After a failure it may
-    // be called again.
+    // Starts listening and returns the bound addresses, including ports chosen by the kernel. May be called
+    // again after a failure.
     Result<std::vector<net::Address>> start();
-    // Begins the graceful shutdown; `done` is called at its end.
+    // Starts the graceful shutdown. `done` is called when it has finished.
     void drain(std::function<void()> done);
-    // Takes over engines, endpoint source and routes of new settings; the rest needs a restart.
+    // Applies the engines, endpoint source and routes of new settings; all other settings need a restart.
     void reload(const config::FrontSettings& settings);
-    // Share of free slots that the policy offers to latency-sensitive requests first, in [0.05, 0.95].
+    // Fraction of free slots that the policy offers to latency-sensitive requests first, in [0.05, 0.95].
     double alpha() const {
         return driver_.alpha();
     }
-    // Active ones.
+    // Number of active statements.
     std::size_t statements() const {
         return statements_.size();
     }
@@ -103,13 +105,13 @@
     LedgerRecorder ledger_;
     statement::ServerSide statement_api_;
     http::Server server_;
-    ActiveStatements statements_;  // destroyed before the connections that its attempts use
+    ActiveStatements statements_;  // destroyed before the engine connections that its attempts use
     FrontServices services_;
     AttemptDispatcher dispatcher_;
     EngineResponses responses_;
     StatementCompletion completion_;
     GracefulShutdown shutdown_;
-    std::vector<net::Address> bound_addresses_;  // as far as start() has come
+    std::vector<net::Address> bound_addresses_;  // addresses that start() has bound so far
 };
 
 }  // namespace gatetiller::front
--- a/src/front/front_services.hpp
+++ b/src/front/front_services.hpp
@@ -1,4 +1,4 @@
-// What the parts of a front share. Each member is owned by the front, which outlives its parts.
+// Objects shared by the components of a front. The front owns each of them and outlives its components.
 #pragma once
 
 #include <functional>
@@ -23,7 +23,7 @@
     LedgerRecorder& ledger;
     statement::ServerSide& statement_api;
     ActiveStatements& statements;
-    std::function<void(Event)> post_event;  // to the policy
+    std::function<void(Event)> post_event;  // passes the event to the policy
     std::function<void(const std::string&)> log;
 };
 
--- a/src/front/graceful_shutdown.cpp
+++ b/src/front/graceful_shutdown.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr Micros kStatementCheckInterval = 50 * kMillisecond;
-constexpr Micros kLostPollGrace = 300 * kMillisecond;  // for clients that lost the final document
+constexpr Micros kLostPollGrace = 300 * kMillisecond;  // for clients that did not receive the final document
 
 }  // namespace
 
--- a/src/front/graceful_shutdown.hpp
+++ b/src/front/graceful_shutdown.hpp
@@ -1,6 +1,6 @@
-// The graceful shutdown of a front: it accepts nothing new, waits for its statements up to a bound, then for
-// polls that were lost, and then closes its connections. It listens until the end, as clients may poll on new
-// connections.
+// Graceful shutdown of a front: accepts no new statements, waits for the active ones up to a timeout, then
+// for clients that repeat a lost poll, and then closes the connections. The front listens until the end,
+// because clients may poll on new connections.
 #pragma once
 
 #include <functional>
@@ -14,17 +14,18 @@
 public:
     struct Actions {
         std::function<std::size_t()> active_statements;
-        std::function<void()> drain_server;  // close idle connections and stop listening
+        std::function<void()> drain_server;  // closes idle connections and stops listening
         std::function<void(const std::string&)> log;
     };
 
-    // `timeout`: upper bound of the wait for statements. The loop outlives this.
+    // `timeout`: maximum wait for active statements, in microseconds. The loop outlives this object.
     GracefulShutdown(net::Loop& loop, Micros timeout, Actions actions);
     ~GracefulShutdown();
     GracefulShutdown(const GracefulShutdown&) = delete;
     GracefulShutdown& operator=(const GracefulShutdown&) = delete;
 
-    // Begins the shutdown, once. `done`, where it is given, is called at its end; a later one replaces it.
+    // Starts the shutdown; later calls do not restart it. `done`, if not empty, replaces that of an earlier
+    // call and is called when the shutdown has finished.
     void begin(std::function<void()> done);
     bool begun() const {
         return begun_;
--- a/src/front/ledger_recorder.hpp
+++ b/src/front/ledger_recorder.hpp
@@ -1,5 +1,5 @@
-// Records statements and attempts in the ledger, and reports what the ledger knows of earlier incarnations of
-// this front. Without a ledger every function does nothing.
+// Records statements and attempts in the ledger, and reports the ledger's records of earlier incarnations of
+// this front. Without a ledger, every function has no effect.
 #pragma once
 
 #include <functional>
@@ -15,13 +15,13 @@
 public:
     struct Events {
         std::function<void(const std::string&)> log;
-        // Once, when the ledger is open: whether the last incarnation was killed.
+        // Called once, when the ledger is open. `killed`: whether the previous incarnation was killed.
         std::function<void(bool killed)> on_previous_incarnation;
-        // Work of earlier incarnations, once for each entry.
+        // Called once for each entry of work by earlier incarnations.
         std::function<void(const store::Ledger::WorkSample&)> on_past_work;
     };
 
-    // `writer` may be null. It and the loop outlive the recorder.
+    // `writer` may be null. The writer and the loop outlive the recorder.
     LedgerRecorder(net::Loop& loop, store::LedgerWriter* writer, Events events);
     ~LedgerRecorder();
     LedgerRecorder(const LedgerRecorder&) = delete;
@@ -30,20 +30,20 @@
     bool enabled() const {
         return writer_ != nullptr;
     }
-    // Begins to hand over rows at the writer's interval.
+    // Starts passing rows to the writer periodically, at the writer's flush interval.
     void start();
-    // `route_tenant`: whose statement it is, whatever tenant the policy counts.
+    // `route_tenant`: tenant according to the route, regardless of the tenant that the policy counts.
     void record_accepted(ActiveStatement& statement, const std::string& route_tenant,
                          const ClassSettings& class_settings);
     void record_attempt(StatementAttempt& attempt, decide::AttemptState state);
-    // The last record of a statement. `ended_at`: loop time at which its final document was ready.
+    // Writes the final record of a statement. `ended_at`: loop time at which its final document was ready.
     void record_finished(ActiveStatement& statement, Micros ended_at);
-    // The client tag by which the engine's own log names the attempt; empty without a ledger.
+    // Returns the client tag that identifies the attempt in the engine's own log; empty without a ledger.
     std::string attempt_tag(const StatementAttempt& attempt) const;
     store::LedgerWriterStatus status() const {
         return writer_->status();
     }
-    // The member "ledger" of GET /v1/status after a comma; empty without a ledger.
+    // Returns the member "ledger" of GET /v1/status, preceded by a comma; empty without a ledger.
     std::string status_member() const;
 
 private:
--- a/src/front/metrics.hpp
+++ b/src/front/metrics.hpp
@@ -18,13 +18,13 @@
 
 class Metrics {
 public:
-    // Values of the moment at which the page is read.
+    // Values at the time at which the page is read.
     struct Gauges {
-        double statements = 0;           // active ones
-        double waiting_bytes = 0;        // of rows that wait for clients
-        double connections = 0;          // of clients
+        double statements = 0;           // active statements
+        double waiting_bytes = 0;        // size of rows that wait for clients, in bytes
+        double connections = 0;          // client connections
         double alpha = 0;                // admission level of the policy
-        double finished_statements = 0;  // whose final document is cached for another poll
+        double finished_statements = 0;  // statements whose final document is cached for repeated polls
     };
 
     Metrics();
@@ -32,15 +32,15 @@
     void accepted(const std::string& class_name);
     // gatetiller_statements_rejected_total{reason}
     void rejected(RejectionReason reason);
-    // gatetiller_attempts_total{outcome}: an attempt ended.
+    // gatetiller_attempts_total{outcome}: counts an attempt that ended.
     void attempt(AttemptOutcome outcome);
-    // gatetiller_violations_prevented_total{invariant}: a guard refused an action.
+    // gatetiller_violations_prevented_total{invariant}: counts an action that a guard refused.
     void violation(decide::Invariant invariant);
     // gatetiller_statements_finished_total{class,ended} and gatetiller_statement_seconds{class}
     void finished(const FinishedStatement& statement);
     // gatetiller_now{what="ledger_..."}: sets the ledger's gauges.
     void ledger(const store::LedgerWriterStatus& status);
-    // The page, with these values as gatetiller_now{what}.
+    // Returns the page, with the gauges as gatetiller_now{what}.
     std::string page(const Gauges& gauges);
 
 private:
--- a/src/front/statement_completion.cpp
+++ b/src/front/statement_completion.cpp
@@ -64,14 +64,15 @@
     ActiveStatement* statement = services_.statements.find(id);
     if (!statement || statement->lifecycle.phase() == decide::RequestPhase::closed)
         return;
-    // Also where the final document was ready: the record says who ended the statement.
+    // Also replaces the outcome of a statement whose final document was ready: the record says which side
+    // ended it.
     statement->outcome =
         reason == statement::Left::abandoned ? StatementOutcome::abandoned : StatementOutcome::cancelled;
     if (statement->ended_at == 0)
         statement->ended_at = services_.loop.now();
     statement->lifecycle.apply(decide::RequestEvent::client_disconnected);
     services_.post_event(ClientDisconnected{id});
-    // The policy leaves a stream that has begun alone; without its client it ends here.
+    // The policy does not cancel an attempt whose rows are being streamed, so it is cancelled here.
     if (services_.settings.module.can_cancel)
         dispatcher_.cancel_in_flight(*statement);
     finish(*statement);
@@ -83,7 +84,7 @@
         finish(*statement);
 }
 
-// An attempt that is still in flight keeps the statement from being released.
+// The statement is not released while an attempt is in flight.
 void StatementCompletion::finish(ActiveStatement& statement) {
     services_.intake.release(statement.submission.context.user);
     const Micros now = services_.loop.now();
--- a/src/front/statement_intake.hpp
+++ b/src/front/statement_intake.hpp
@@ -1,5 +1,5 @@
-// Accepts or rejects a submitted statement, by its route, its team's budget and this front's limits. Owns the
-// counts behind these: statements by user, and use of the budgets.
+// Accepts or rejects submitted statements according to their routes, the budgets of their teams and the
+// limits of this front. Owns the number of statements by user and the use of the budgets.
 #pragma once
 
 #include <string>
@@ -16,17 +16,17 @@
 
 struct AcceptedStatement {
     decide::Routed route;      // its tenant is the one that the policy counts
-    std::string route_tenant;  // by the route alone; another one over a soft budget
-    std::string team;          // whose budget it counts on; empty: none
+    std::string route_tenant;  // tenant of the route; differs from route.tenant over a soft budget
+    std::string team;          // team whose budget the statement is charged to; empty: none
     const ClassSettings* class_settings = nullptr;
-    Micros time_left = 0;  // until its deadline
+    Micros time_left = 0;  // until its deadline, in microseconds
 };
 
 struct Rejection {
     RejectionReason reason = RejectionReason::draining;
-    int status = 0;  // of the HTTP response
+    int status = 0;  // HTTP status of the response
     std::string text;
-    Micros retry_after = 0;  // 0: the hint of the settings
+    Micros retry_after = 0;  // in microseconds; 0: the default of the settings
 };
 
 class StatementIntake {
@@ -34,21 +34,21 @@
     // The loop and the settings outlive the intake.
     StatementIntake(net::Loop& loop, const config::FrontSettings& settings);
 
-    // An accepted statement counts for its user until it is released.
+    // An accepted statement counts towards its user's limit until `release`.
     std::variant<AcceptedStatement, Rejection> admit(const statement::Submission& submission);
     void release(const std::string& user) {
         admission_.release(user);
     }
-    // Whether a statement's engine may be asked for more rows, given the bytes that wait for its client and
-    // for all clients.
+    // Returns whether more rows of a statement may be requested from its engine. `waiting_bytes`,
+    // `total_waiting_bytes`: size of the rows that wait for its client and for all clients.
     bool can_fetch_more(std::size_t waiting_bytes, std::size_t total_waiting_bytes) const {
         return admission_.can_fetch_more(waiting_bytes, total_waiting_bytes);
     }
-    // Core time of an attempt that ended now.
+    // Charges the core time of an attempt that has just ended to a team's budget.
     void record_use(const std::string& team, Micros core_time);
-    // Core time of an earlier incarnation, so long ago.
+    // Charges core time used in an earlier incarnation, `ago` microseconds before now.
     void restore_use(const decide::Requester& requester, Micros ago, Micros core_time);
-    // Takes over the routes of the settings, which have changed.
+    // Applies the changed routes of the settings.
     void reload_routes();
 
 private:
--- a/src/front/statement_outcome.hpp
+++ b/src/front/statement_outcome.hpp
@@ -1,4 +1,4 @@
-// How a statement ended, or why it was not accepted, and what is reported of each one that ended.
+// Outcomes of accepted statements, reasons for rejecting statements, and the record of a finished statement.
 #pragma once
 
 #include <cstdint>
@@ -9,45 +9,45 @@
 
 namespace gatetiller::front {
 
-// How an accepted statement ended, and so which side ended it.
+// How an accepted statement ended, and which side ended it.
 enum class StatementOutcome : std::uint8_t {
-    served,     // an engine's rows, or an error that was the statement's own fault
-    shed,       // by this front: a retry is harmless
-    failed,     // by this front: it may have been executed
-    truncated,  // the engine failed after the first rows
+    served,     // by an engine: with rows, or with an error caused by the statement itself
+    shed,       // by this front, without execution: a retry is harmless
+    failed,     // by this front, after a possible execution
+    truncated,  // by this front: the engine failed after the first rows
     cancelled,  // by the client
-    abandoned,  // the client stopped polling
+    abandoned,  // by the client, which stopped polling
 };
-// For logs and metrics, spelled as in the ledger.
+// Returns the name used in logs, metrics and the ledger.
 const char* name_of(StatementOutcome outcome);
 decide::RequestState request_state_of(StatementOutcome outcome);
 
 // Why a statement was not accepted.
 enum class RejectionReason : std::uint8_t {
-    draining,            // this front shuts down
+    draining,            // this front is shutting down
     no_route,            // no route matches
     over_budget,         // the team has used up its hard budget
     front_full,          // too many statements at this front
     user_full,           // too many statements of this user
-    statement_too_long,  // its text
+    statement_too_long,  // its text exceeds the size limit
 };
-// For metrics.
+// Returns the name used in metrics.
 const char* name_of(RejectionReason reason);
 
-// The record of a finished statement. Spans are in microseconds.
+// Record of a finished statement. Durations are in microseconds.
 struct FinishedStatement {
     std::string id;
     std::string trace_token;
     std::string user;
     std::string class_name;
-    std::string tenant;  // that the policy counted it as
-    std::string engine;  // of the last attempt; empty: none
-    std::string error;   // the last one; empty: none
+    std::string tenant;  // tenant that the policy counted it for
+    std::string engine;  // engine of the last attempt; empty: none
+    std::string error;   // last error; empty: none
     int attempts = 0;
     StatementOutcome outcome = StatementOutcome::served;
-    Micros queued = 0;    // until the first attempt was sent
+    Micros queued = 0;    // from arrival until the first attempt was sent
     Micros running = 0;   // from there until the final document was ready
-    Micros fetching = 0;  // from there until the client had fetched it
+    Micros fetching = 0;  // from there until the client had fetched the final document
     Micros total = 0;
     std::int64_t cpu_ms = 0;
     std::int64_t peak_memory_bytes = 0;
--- a/src/front/status.cpp
+++ b/src/front/status.cpp
@@ -5,7 +5,7 @@
 namespace gatetiller::front {
 namespace {
 
-// As the status API and the endpoint lists spell it.
+// Returns the name used in the status API and in endpoint lists.
 const char* api_name_of(EndpointState state) {
     switch (state) {
         case EndpointState::ready:
--- a/src/front/status.hpp
+++ b/src/front/status.hpp
@@ -1,4 +1,4 @@
-// The front's members of GET /v1/status, as clients and operators read them.
+// Members of the GET /v1/status document that describe a front, for clients and operators.
 #pragma once
 
 #include <cstddef>
@@ -9,13 +9,13 @@
 namespace gatetiller::front {
 
 struct StatusFigures {
-    std::size_t statements = 0;     // active ones
-    std::size_t waiting_bytes = 0;  // of rows that wait for clients
-    std::size_t connections = 0;    // of clients
+    std::size_t statements = 0;     // active statements
+    std::size_t waiting_bytes = 0;  // size of rows that wait for clients, in bytes
+    std::size_t connections = 0;    // client connections
     double alpha = 0;               // admission level of the policy
 };
 
-// JSON members, each after a comma. `ledger_member` is appended as it is.
+// Returns the JSON members, each preceded by a comma. `ledger_member` is appended unchanged.
 std::string status_members(const EngineRegistry& engines, const StatusFigures& figures,
                            const std::string& ledger_member);
 
--- a/src/front/units.hpp
+++ b/src/front/units.hpp
@@ -1,4 +1,4 @@
-// Units that the front's parts share.
+// Units shared by the components of a front.
 #pragma once
 
 namespace gatetiller::front {
--- a/tests/base/await.hpp
+++ b/tests/base/await.hpp
@@ -1,5 +1,5 @@
-// Conditions are awaited, never slept for: turns of a loop until one holds. False only after a limit that no
-// sound run comes near.
+// Waits for a condition instead of sleeping: runs turns of a loop until the condition is true. Returns false
+// after `limit`, which only a failing run reaches.
 #pragma once
 
 #include "net/poll_loop.hpp"
--- a/tests/base/stream_end.hpp
+++ b/tests/base/stream_end.hpp
@@ -1,4 +1,4 @@
-// One end of a stream for tests: it keeps what came and how the stream ended.
+// One end of a stream for tests: records the received bytes and how the stream was closed.
 #pragma once
 
 #include <memory>
--- a/tests/front/client_protocol_test.cpp
+++ b/tests/front/client_protocol_test.cpp
@@ -1,4 +1,4 @@
-// A front and its clients: polls, pages, cancelling, limits and clocks.
+// Front and clients: polls, pages, cancellation, limits and wall clock steps.
 #include <set>
 
 #include "front/front_test_bed.hpp"
@@ -11,7 +11,7 @@
     return "[" + std::to_string(i) + ",\"" + engine::row_of(sql, i) + pad + "\"]";
 }
 
-TEST(FrontClients, AStatementGetsItsOwnRowsOnceFromOneEngine) {
+TEST(FrontClients, ReturnsRowsOfStatementOnceFromOneEngine) {
     FrontTestBed w(3);
     const std::string sql = "SELECT 1 /* gt: work_ms=20 rows=2 */";
     ClientStatement& a = w.submit(sql, "test", "t1");
@@ -32,7 +32,7 @@
     w.expect_no_violations();
 }
 
-TEST(FrontClients, AClientThatStopsPollingIsAbandonedAndItsWorkStops) {
+TEST(FrontClients, AbandonsStatementAndStopsItsWorkAfterClientStopsPolling) {
     FrontTestBed w(1);
     w.exchange("POST", "/v1/statement", "SELECT 1 /* gt: work_ms=60000 */",
                FrontTestBed::headers("long", "gone"));
@@ -50,7 +50,7 @@
     w.expect_no_violations();
 }
 
-TEST(FrontClients, ARepeatedPollGetsTheSameDocument) {
+TEST(FrontClients, RepeatedPollReturnsSameDocument) {
     FrontTestBed w(1);
     const auto first = w.exchange("POST", "/v1/statement", "SELECT 1 /* gt: work_ms=5 rows=3 */");
     const auto d0 = *statement::read_document(first.response.body);
@@ -78,7 +78,7 @@
     w.expect_no_violations();
 }
 
-TEST(FrontClients, ADeleteRacingTheLastRowEndsItOnce) {
+TEST(FrontClients, DeleteConcurrentWithLastPollEndsStatementOnce) {
     FrontTestBed w(1);
     for (int i = 0; i < 20; ++i) {
         const std::string trace = "race" + std::to_string(i);
@@ -105,10 +105,10 @@
     w.expect_no_violations();
 }
 
-TEST(FrontClients, ALargeResultToASlowReaderIsBufferedInBoundedPages) {
+TEST(FrontClients, BoundsBufferedBytesOfLargeResultForSlowClient) {
     FrontTestBed w(1, "limits+: { rows_ahead: '256KiB' }");
-    // 50 MB in pages of 1 MiB; the reader takes one page at a time and looks at what the front holds
-    // meanwhile.
+    // The result has 50 MB in pages of 1 MiB. The client fetches one page at a time and checks after each how
+    // many bytes the front has buffered.
     const std::string sql = "SELECT 1 /* gt: work_ms=5 rows=500000 row_bytes=100 */";
     const auto first = w.exchange("POST", "/v1/statement", sql);
     std::string next = statement::read_document(first.response.body)->next_uri;
@@ -131,7 +131,7 @@
     w.expect_no_violations();
 }
 
-TEST(FrontClients, AStatementOfOneMebibyteIsAcceptedAndALargerOneIsRejected) {
+TEST(FrontClients, AcceptsStatementOfOneMebibyteAndRejectsLargerOne) {
     FrontTestBed w(1);
     std::string sql = "SELECT 1 /* gt: rows=1 */ -- ";
     sql.resize(1 << 20, 'x');
@@ -149,7 +149,7 @@
     w.expect_no_violations();
 }
 
-TEST(FrontClients, AWallClockThatStepsBackOrForthChangesNothing) {
+TEST(FrontClients, WallClockStepsDoNotAffectStatements) {
     FrontTestBed w(1);
     ClientStatement& before = w.submit("SELECT 1 /* gt: work_ms=200 */");
     ASSERT_TRUE(w.wait_until([&] {
@@ -174,9 +174,9 @@
     w.expect_no_violations();
 }
 
-TEST(FrontClients, AnOlderClientGetsItsHeaderFamilyAndTheEnginesSessionHeaders) {
-    // An engine written out by hand: two documents, with headers that a gateway passes on and one that it
-    // doesn't.
+TEST(FrontClients, ServesPrestoClientWithPrestoHeadersAndEngineSessionHeaders) {
+    // A hand-written engine that sends two documents, with one response header that a front forwards and one
+    // that it does not.
     FrontTestBed w(0, "engines: { e0: g.engine('127.0.0.1:1') }");
     std::vector<http::Request> heard;
     net::Address at;
@@ -213,7 +213,7 @@
     EXPECT_EQ(post->headers.find("X-Presto-Client-Info"), "v0");
     EXPECT_NE(post->headers.find("X-Presto-Session")->find("mine=1"), std::string_view::npos);
     EXPECT_NE(post->headers.find("X-Presto-Session")->find("query_max_run_time="), std::string_view::npos);
-    // What is known of it, for its own user only.
+    // The query information is available to the statement's own user only.
     const auto id = statement::read_document(first.response.body)->id;
     EXPECT_NE(w.exchange("GET", "/v1/query/" + id, "", h).response.body.find("\"FINISHED\""),
               std::string::npos);
--- a/tests/front/endpoint_changes_test.cpp
+++ b/tests/front/endpoint_changes_test.cpp
@@ -1,17 +1,17 @@
-// A front and its endpoint list: draining, lost connections, engines that return, restarts.
+// Front and endpoint list: draining, lost connections, engines that return to the list, restarts.
 #include "front/front_test_bed.hpp"
 
 namespace gatetiller::testing {
 namespace {
 
-TEST(FrontEndpoints, ADrainingEngineGetsNothingNewAndADrainingFrontFinishesItsStatements) {
+TEST(FrontEndpoints, DrainingEngineReceivesNoStatementsAndDrainingFrontFinishesItsOwn) {
     FrontTestBed w(2);
     ClientStatement& running = w.submit("SELECT 1 /* gt: work_ms=300 */", "test", "running");
     ASSERT_TRUE(w.wait_until([&] {
         return w.count("started", "running") == 1;
     }));
     w.engine(0).drain();
-    // Told within a period of watching; the rule's grace is two seconds.
+    // The front observes it within one status poll interval; the grace of the rule is two seconds.
     ASSERT_TRUE(w.wait_until([&] {
         for (const auto& [id, e] : w.front().engines().all())
             if (e->settings.name == "e0" && e->state_tracker.endpoint().state == EndpointState::draining)
@@ -47,9 +47,9 @@
     w.expect_no_violations();
 }
 
-// All its connections end at once: its process may be another, and a cold one. With no such word the next
-// look at it would come too late.
-TEST(FrontEndpoints, AnEngineThatLostAllConnectionsIsPolledBeforeItGetsMore) {
+// When all connections of an engine close at once, its process may have been replaced by one that is not
+// warmed up. Waiting for the next periodic poll would be too late.
+TEST(FrontEndpoints, PollsEngineThatLostAllConnectionsBeforeSendingMore) {
     FrontTestBed w(1, "roster+: { watch_every: '60s' }");
     int held = 0;
     w.drop_event = [&](const Event& e) {
@@ -81,15 +81,15 @@
     EXPECT_TRUE(w.wait_until([&] {
         return second.ended;
     }));
-    EXPECT_EQ(held, 1) << "asked without end";
+    EXPECT_EQ(held, 1) << "the engine was polled repeatedly";
     w.expect_no_violations();
 }
 
-// So may be that of one that the list lacked for a while; and it is asked at once, not by the next periodic
-// look.
-TEST(FrontEndpoints, AnEngineThatReturnsToTheListIsPolledBeforeItGetsMore) {
+// The process of an engine that was temporarily missing from the list may also have been replaced. It is
+// polled immediately, not at the next periodic poll.
+TEST(FrontEndpoints, PollsEngineThatReturnsToListBeforeSendingMore) {
     FrontTestBed w(2, "roster+: { watch_every: '60s' }");
-    std::vector<EndpointState> told;  // of the second engine
+    std::vector<EndpointState> told;  // states of the second engine
     w.drop_event = [&](const Event& e) {
         if (const auto* change = std::get_if<EndpointUpdate>(&e))
             for (const Endpoint& entry : change->endpoints)
@@ -111,13 +111,13 @@
     }));
     EXPECT_EQ(told.front(), EndpointState::draining);
     EXPECT_GT(w.front().engines().all().at(2)->state_tracker.endpoint().started_at, 0)
-        << "its uptime is not known";
+        << "the uptime of the engine is unknown";
 }
 
-TEST(FrontEndpoints, AFrontRestartedWhileTheSourceIsUnavailableServesByTheCachedList) {
+TEST(FrontEndpoints, UsesCachedListAfterRestartWhileSourceIsUnavailable) {
     const std::string kept = ::testing::TempDir() + "kept-" + std::to_string(::getpid()) + ".json";
     FrontTestBed w(1, "engines: { gone: g.engine('127.0.0.1:1') }, roster+: { keep: '" + kept + "' }");
-    // The configuration knows an engine that isn't there; the list knows the one that is.
+    // The configured engine does not exist; the engine in the list does.
     const std::string engine = w.address(0).text();
     bool down = false;
     http::Server list(w.loop, {}, [&](http::Request&, http::Server::Reply reply) {
@@ -150,7 +150,7 @@
     ::unlink(kept.c_str());
 }
 
-TEST(FrontEndpoints, ARestartedFrontLeavesItsStatementsToTheirEnginesWhichStopThem) {
+TEST(FrontEndpoints, EnginesStopStatementsOfRestartedFront) {
     FrontTestBed w(1);
     w.exchange("POST", "/v1/statement", "SELECT 1 /* gt: work_ms=60000 */",
                FrontTestBed::headers("long", "orphan"));
--- a/tests/front/engine_faults_test.cpp
+++ b/tests/front/engine_faults_test.cpp
@@ -1,11 +1,11 @@
-// A front and engines that fail: retries, idempotency, truncated results and late answers.
+// Front and failing engines: retries, idempotency, truncated results and late responses.
 #include "front/front_test_bed.hpp"
 #include "statement/json.hpp"
 
 namespace gatetiller::testing {
 namespace {
 
-TEST(FrontEngineFaults, AnEngineThatAnswersAfterTheFrontShedChangesNothing) {
+TEST(FrontEngineFaults, IgnoresEngineResponseAfterSheddingStatement) {
     FrontTestBed w(1);
     w.engine(0).set({.hang = true});
     ClientStatement& a = w.submit("SELECT 1 /* gt: work_ms=10 */", "test", "late");
@@ -13,7 +13,7 @@
         return a.ended;
     }));
     EXPECT_EQ(a.result.how, statement::ClientResult::How::answered);
-    EXPECT_EQ(a.error(), "QUERY_QUEUE_FULL");  // repeatable: a refusal is harmless
+    EXPECT_EQ(a.error(), "QUERY_QUEUE_FULL");  // idempotent, so a retry is harmless
     w.engine(0).set({});
     ASSERT_TRUE(w.wait_until([&] {
         return w.front().statements() == 0;
@@ -23,7 +23,7 @@
     w.expect_no_violations();
 }
 
-TEST(FrontEngineFaults, AnEngineThatDiesAfterTheFirstRowTruncatesTheStatementWithoutARetry) {
+TEST(FrontEngineFaults, TruncatesStatementWithoutRetryWhenEngineCrashesAfterFirstRow) {
     FrontTestBed w(2);
     const std::string sql = "SELECT 1 /* gt: work_ms=5 rows=200000 row_bytes=100 */";
     ClientStatement& a = w.submit(sql, "test", "cut");
@@ -45,7 +45,7 @@
     w.expect_no_violations();
 }
 
-TEST(FrontEngineFaults, ANonIdempotentStatementIsRetriedAfterARejectionButNotWhereItMayHaveExecuted) {
+TEST(FrontEngineFaults, RetriesNonIdempotentStatementAfterRejectionButNotAfterPossibleExecution) {
     {
         FrontTestBed w(2);
         w.engine(0).set({.busy = 1});
@@ -67,12 +67,12 @@
     ASSERT_TRUE(w.wait_until([&] {
         return a.ended;
     }));
-    EXPECT_EQ(a.error(), "REMOTE_HOST_GONE");  // a failure, not a refusal: it may have run
+    EXPECT_EQ(a.error(), "REMOTE_HOST_GONE");  // not QUERY_QUEUE_FULL: it may have been executed
     EXPECT_EQ(w.finished.at(0).attempts, 1);
     w.expect_no_violations();
 }
 
-TEST(FrontEngineFaults, AKeyedStatementWithALostAnswerIsRetriedAndExecutesOnce) {
+TEST(FrontEngineFaults, KeyedStatementExecutesAtMostOnceWhenResponsesAreLost) {
     engine::MachineSettings m;
     m.key_window = 20 * kSecondMicros;
     FrontTestBed w(1, "facts+: { note_period: '0ms' }", m);
@@ -88,7 +88,7 @@
     w.expect_no_violations();
 }
 
-TEST(FrontEngineFaults, AnEngineThatTricklesOrTruncatesItsAnswersDelaysNoClientForGood) {
+TEST(FrontEngineFaults, EveryStatementEndsWhenEnginesTrickleOrTruncateResponses) {
     FrontTestBed w(3, "rules+: { warm_up: '10ms' }, times+: { engine_answer: '400ms' }");
     w.engine(0).set({.trickle = 1});
     w.engine(1).set({.cut = 0.3});
--- a/tests/front/front_test_bed.hpp
+++ b/tests/front/front_test_bed.hpp
@@ -1,5 +1,5 @@
-// A front, stand-in engines and clients on one loop, over real sockets on loopback. Conditions are awaited,
-// never slept for.
+// A front, stand-in engines and clients on one loop, connected by loopback sockets. Tests wait for conditions
+// and never sleep.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -18,7 +18,8 @@
 
 namespace gatetiller::testing {
 
-struct ClientStatement {  // one client's view of one statement
+// A client's view of one statement.
+struct ClientStatement {
     std::unique_ptr<statement::StatementClient> client;
     std::vector<std::string> pages;
     int final_documents = 0;
@@ -31,7 +32,7 @@
     }
 };
 
-// The real loop with a wall clock that a test sets.
+// Forwards to a real loop, with a wall clock that is offset by `step`.
 class LoopWithWallClockStep final : public net::Loop {
 public:
     explicit LoopWithWallClockStep(net::Loop& below) : below_(below) {}
@@ -73,9 +74,9 @@
 
 class FrontTestBed {
 public:
-    static constexpr Micros kLimit = 30 * kSecondMicros;  // generous: reached only by a failure
+    static constexpr Micros kLimit = 30 * kSecondMicros;  // reached only by a failing run
 
-    // `break_it` changes what the front is told, against what the rules are judged by.
+    // `break_it` changes the settings of the front but not those that the rules are checked against.
     explicit FrontTestBed(int engines, const std::string& more = "", engine::MachineSettings machine = {},
                           const std::function<void(config::FrontSettings&)>& break_it = nullptr) {
         for (int i = 0; i < engines; ++i)
@@ -148,7 +149,8 @@
                                               http::ClientOptions{.connect_time_out = kSecondMicros});
         return f;
     }
-    void restart() {  // as after a kill: no word to anybody, another front in its place
+    // Replaces the front as after a kill: without a shutdown and without notice to clients or engines.
+    void restart() {
         front_.reset();
         records.lab.push_back({loop.now(), "front_killed", "tested", ""});
         front_ = make_front();
@@ -188,7 +190,7 @@
                          }});
         return a;
     }
-    // The seven rules over all that passed so far.
+    // Checks the seven rules against everything recorded so far.
     lab::Judgement check_rules() {
         lab::Facts& f = records.facts;
         f = {};
@@ -224,7 +226,7 @@
     [[nodiscard]] bool wait_until(Condition condition) {
         return await(loop, condition, kLimit);
     }
-    // One exchange, awaited.
+    // Sends a request and waits for its response.
     http::Answer exchange(const std::string& method, const std::string& target, const std::string& body = "",
                           http::Headers h = headers("test")) {
         http::Answer got;
@@ -262,11 +264,11 @@
     net::PollLoop loop;
     LoopWithWallClockStep clock{loop};
     config::FrontSettings settings;
-    std::function<bool(const Event&)> drop_event;  // true: the module never hears of it
+    std::function<bool(const Event&)> drop_event;  // true: the event is not passed to the policy
     store::LedgerWriter* ledger = nullptr;
     lab::Records records;
     std::vector<engine::Entry> journal;
-    std::string events;  // what the engines' own listeners told, a line each
+    std::string events;  // completed queries reported by the engines' event listeners, one per line
     std::vector<front::FinishedStatement> finished;
     std::vector<std::unique_ptr<ClientStatement>> submitted;
     std::unique_ptr<http::Client> http;
--- a/tests/front/ledger_test.cpp
+++ b/tests/front/ledger_test.cpp
@@ -1,5 +1,5 @@
-// The ledger against the engines' own journals: through faults, leaving clients and killed fronts, each query
-// and each attempt comes to a named finding, and the work charged is the work logged.
+// Compares the ledger with the engines' own journals: with faults, disconnecting clients and killed fronts,
+// every query and every attempt has a named finding, and the charged work equals the logged work.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -97,12 +97,12 @@
     int books_ = 0;
 };
 
-TEST_F(LedgerTest, EveryQueryReconcilesThroughFaultsAndAKilledFront) {
+TEST_F(LedgerTest, EveryQueryIsReconciledAfterFaultsAndKilledFront) {
     engine::MachineSettings machine;
     machine.cores = 4;
     FrontTestBed w(3, "rules+: { warm_up: '10ms' }", machine);
     keep(w, 1);
-    w.restart();  // with the ledger
+    w.restart();  // opens the ledger
     Random random(11);
     engine::Faults faults;
     faults.fast_errors = 0.1, faults.answer_lost = 0.1, faults.busy = 0.1, faults.lost_resets = true;
@@ -130,7 +130,7 @@
         (void)w.wait_until([&] {
             return w.loop.now() >= on;
         });
-        if (life < 3) {  // a kill: what waits is not written, and the next life begins on the same file
+        if (life < 3) {  // a kill: queued rows are not written; the next incarnation opens the same file
             auto killed = std::move(writer);
             keep(w, life + 1);
             w.restart();
@@ -158,7 +158,7 @@
     EXPECT_GT(s.findings.at(SettlementFinding::unseen_end), 2);
     EXPECT_GT(attempts, 60);
     EXPECT_EQ(s.logged, logged(w.events));
-    // The same again, and the same ledger twice: nothing changes.
+    // Collecting the same events and the same ledger twice does not change the result.
     const auto again = settle(w.events + w.events);
     EXPECT_EQ(again.findings, s.findings);
     EXPECT_EQ(again.work, s.work);
@@ -166,10 +166,10 @@
     w.expect_no_violations();
 }
 
-TEST_F(LedgerTest, WorkAfterDisconnectAndSpillAreReportedApart) {
+TEST_F(LedgerTest, ReportsWorkAfterDisconnectAndSpillSeparately) {
     engine::MachineSettings machine;
     machine.cores = 2, machine.memory_mb = 100, machine.when_short = MemoryShortagePolicy::trim;
-    machine.cancel_stops = false;  // an engine that doesn't heed
+    machine.cancel_stops = false;  // the engine does not stop cancelled queries
     FrontTestBed w(1, "", machine);
     keep(w, 1);
     w.restart();
@@ -190,14 +190,15 @@
     EXPECT_EQ(s.by_id.begin()->second.request.state, RequestState::cancelled);
     EXPECT_EQ(s.findings.at(SettlementFinding::unseen_end), 1);
     EXPECT_GE(s.work.at(WastedWork::client_disconnected),
-              600 * kMillisecond);  // all of it, as the engine ran on to the end
+              600 * kMillisecond);  // all of its work, as the engine ran it to the end
     EXPECT_GT(s.after_leaving, 100 * kMillisecond);
     EXPECT_NE(w.events.find("\"spilledBytes\""), std::string::npos);
     EXPECT_GT(statement::read_completed(w.events.substr(0, w.events.find('\n')))->spilled_bytes, 0);
 }
 
-// A client sends tags that look like the front's own, to have its work attributed to another.
-TEST_F(LedgerTest, AForgedAttemptTagIsRemoved) {
+// A client could send tags in the format of the front's own tags to have its work charged to another
+// statement.
+TEST_F(LedgerTest, RemovesForgedAttemptTag) {
     FrontTestBed w(1);
     keep(w, 1);
     w.restart();
@@ -213,9 +214,9 @@
     EXPECT_EQ(w.events.find("0000000000000099"), std::string::npos);
 }
 
-// Over its budget a team's statements are rejected, another team's are not; a restarted front knows it from
-// the ledger.
-TEST_F(LedgerTest, ABudgetHoldsThroughARestart) {
+// A front rejects statements of a team that has exceeded its budget, but not those of another team. A
+// restarted front restores the used budget from the ledger.
+TEST_F(LedgerTest, BudgetIsEnforcedAfterRestart) {
     FrontTestBed w(
         1,
         "rules+: { warm_up: '10ms' }, tenants: { a: g.tenant(0.5), b: g.tenant(0.3), spent: g.tenant(0.2) },"
@@ -241,8 +242,8 @@
     int taken = 0;
     while (taken < 10 && served("team=a"))
         ++taken;
-    EXPECT_EQ(taken, 3);                           // 240 ms of the 200
-    EXPECT_EQ(w.finished.back().tenant, "spent");  // over the soft one before
+    EXPECT_EQ(taken, 3);                           // 240 ms used of 200 ms
+    EXPECT_EQ(w.finished.back().tenant, "spent");  // the soft budget was exceeded before
     EXPECT_TRUE(served("team=b"));
     ASSERT_TRUE(w.wait_until([&] {
         return writer->status().queued_rows == 0 && w.front().statements() == 0;
@@ -259,8 +260,9 @@
     w.expect_no_violations();
 }
 
-// The disk fails for good: statements are served as before; the log and the status report the error.
-TEST_F(LedgerTest, AFrontServesOnWithoutItsLedger) {
+// With a permanently failed disk, statements are served as before, and the log, the status and the metrics
+// report the error.
+TEST_F(LedgerTest, ServesStatementsWithoutLedger) {
     FrontTestBed w(1, "rules+: { warm_up: '10ms' }");
     store::LedgerWriterSettings s;
     s.file = "/proc/no/such/place/front.ledger", s.front = "tested", s.incarnation = "0000000000000011";
