--- a/src/front/front.hpp
+++ b/src/front/front.hpp
@@ -33,8 +33,8 @@
     std::function<std::string()> entropy;         // returns 32 unpredictable hexadecimal digits
     std::uint64_t seed = 1;                       // of the policy's random numbers
     std::function<void(const std::string&)> log;  // writes a line to the operator log
-    std::function<void(const FinishedStatement&)>
-        on_finished;  // once for each finished statement; may be empty
+    // Called once for each finished statement. May be empty.
+    std::function<void(const FinishedStatement&)> on_finished;
     // Fault injection in tests: an event for which it returns true is not passed to the policy. Null in
     // production.
     std::function<bool(const Event&)> drop_event = nullptr;
