--- a/src/core/policy_driver.hpp
+++ b/src/core/policy_driver.hpp
@@ -29,7 +29,7 @@
     void post(Event event);
     // The policy's current admission level (alpha), for metrics.
     double alpha() const {
-        return policy_.alpha();
+        return policy_.sensitive_share();
     }
 
 private:
--- a/src/front/active_statement.hpp
+++ b/src/front/active_statement.hpp
@@ -78,7 +78,7 @@
 struct ActiveStatement {
     std::string id;
     statement::Submission submission;
-    decide::Routed route;
+    decide::RoutingResult route;
     std::string team;  // team whose budget the statement is charged to; empty: none
     // Loop times in microseconds; 0: not yet reached.
     Micros arrived_at = 0;
--- a/src/front/statement_intake.hpp
+++ b/src/front/statement_intake.hpp
@@ -15,9 +15,9 @@
 namespace gatetiller::front {
 
 struct AcceptedStatement {
-    decide::Routed route;      // its tenant is the one that the policy counts
-    std::string route_tenant;  // tenant of the route; differs from route.tenant over a soft budget
-    std::string team;          // team whose budget the statement is charged to; empty: none
+    decide::RoutingResult route;  // its tenant is the one that the policy counts
+    std::string route_tenant;     // tenant of the route; differs from route.tenant over a soft budget
+    std::string team;             // team whose budget the statement is charged to; empty: none
     const ClassSettings* class_settings = nullptr;
     Micros time_left = 0;  // until its deadline, in microseconds
 };
--- a/tests/store/ledger_contents.hpp
+++ b/tests/store/ledger_contents.hpp
@@ -1,4 +1,4 @@
-// What the tests of the store share: rows with drawn contents, and reading a ledger back.
+// Shared by the store tests: rows with random contents, and reading a ledger back.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -19,9 +19,9 @@
 
 inline const std::string kFirstIncarnation = "00000000000000a1";
 inline const std::string kSecondIncarnation = "00000000000000a2";
-constexpr Micros kWall = 1'790'000'000'000'000;  // when the tests begin, by the wall clock
+constexpr Micros kWall = 1'790'000'000'000'000;  // wall-clock time at the start of a test
 
-// A file's name in a folder of its own, which is removed at the end.
+// A file path in a folder of its own, which is removed on destruction.
 struct TempLedgerFile {
     std::string folder, file;
     explicit TempLedgerFile(const std::string& name)
@@ -38,10 +38,10 @@
 inline RequestRow make_request(std::uint32_t number, RequestState state, Random& random) {
     RequestRow r;
     r.number = number;
-    r.who = std::make_shared<const decide::Requester>(
+    r.requester = std::make_shared<const decide::Requester>(
         decide::Requester{"user-" + std::to_string(random.below(5)), "s",
                           "t=" + std::to_string(random.below(3)), "short", "x"});
-    r.id = "id-" + std::to_string(number), r.taken = kWall + number, r.state = state;
+    r.id = "id-" + std::to_string(number), r.received_at = kWall + number, r.state = state;
     r.ended_after = static_cast<Micros>(random.below(1000));
     return r;
 }
@@ -59,7 +59,7 @@
 };
 inline LedgerContents read_ledger(Ledger& ledger) {
     LedgerContents contents;
-    const auto f = ledger.for_each(
+    const auto f = ledger.for_each_request(
         [&](const RequestAccount& account) {
             const bool fresh =
                 contents.accounts
