--- a/src/core/policy_driver.cpp
+++ b/src/core/policy_driver.cpp
@@ -19,14 +19,14 @@
 
 void PolicyDriver::post(Event event) {
     events_.push_back(std::move(event));
-    if (std::exchange(posting_, true))
+    if (std::exchange(handling_events_, true))
         return;
     while (!events_.empty()) {
         const Event next = std::move(events_.front());
         events_.pop_front();
         apply(policy_.handle(loop_.now(), next));
     }
-    posting_ = false;
+    handling_events_ = false;
 }
 
 void PolicyDriver::apply(const std::vector<Action>& actions) {
--- a/src/core/policy_driver.hpp
+++ b/src/core/policy_driver.hpp
@@ -39,7 +39,7 @@
     GatewayPolicy policy_;
     ActionHandler apply_action_;
     std::deque<Event> events_;
-    bool posting_ = false;
+    bool handling_events_ = false;
     std::map<std::int64_t, net::TimerId> timers_;
     std::int64_t last_timer_key_ = 0;
 };
--- a/src/front/attempt_dispatcher.cpp
+++ b/src/front/attempt_dispatcher.cpp
@@ -10,8 +10,8 @@
 namespace gatetiller::front {
 namespace {
 
-std::string session_span(Micros span) {
-    return std::to_string(std::max<Micros>(1, span / kMillisecond)) + "ms";
+std::string session_duration(Micros duration) {
+    return std::to_string(std::max<Micros>(1, duration / kMillisecond)) + "ms";
 }
 
 }  // namespace
@@ -28,7 +28,7 @@
     StatementAttempt& attempt = *statement->attempts.back();
     const auto violation = find_violation(attempt, GuardMoment::before_dispatch);
     if (violation) {
-        services_.metrics.violation(*violation);
+        services_.metrics.count_violation(*violation);
         services_.log(std::string("VIOLATION prevented: ") + decide::name_of(*violation) + ": " +
                       statement->id + " attempt " + std::to_string(attempt.number));
         return complete(attempt, AttemptOutcome::not_sent, statement->lifecycle.finished());
@@ -56,7 +56,7 @@
     attempt.call = std::make_unique<statement::EngineCall>(services_.loop, *engine.client,
                                                            services_.settings.calls, attempt);
     attempt.call->start(std::move(headers), attempt.statement.submission.sql, [this, &attempt] {
-        return may_begin(attempt);
+        return may_send_first_byte(attempt);
     });
 }
 
@@ -64,7 +64,7 @@
 // front is no longer running.
 http::Headers AttemptDispatcher::headers_for(const StatementAttempt& attempt, Micros time_limit) const {
     const ActiveStatement& statement = attempt.statement;
-    std::map<std::string, std::string> session{{"query_max_run_time", session_span(time_limit)}};
+    std::map<std::string, std::string> session{{"query_max_run_time", session_duration(time_limit)}};
     if (statement.memory_grant_mb > 0)
         session["query_max_memory"] = std::to_string(std::llround(statement.memory_grant_mb)) + "MB";
     if (services_.settings.module.supports_priorities)
@@ -121,7 +121,7 @@
     if (attempt.in_lifecycle)
         statement.lifecycle.apply(decide::RequestEvent::attempt_ended);
     statement.last_attempt_outcome = outcome;
-    services_.metrics.attempt(outcome);
+    services_.metrics.count_attempt(outcome);
     attempt.end_record.outcome = outcome;
     services_.ledger.record_attempt(attempt, decide::state_of(attempt.end_record));
     services_.intake.record_use(statement.team, attempt.stats.cpu_ms * kMillisecond);
@@ -145,7 +145,7 @@
 
 // ---- Attempt guard
 
-bool AttemptDispatcher::may_begin(const StatementAttempt& attempt) {
+bool AttemptDispatcher::may_send_first_byte(const StatementAttempt& attempt) {
     if (attempt.completed || services_.draining_endpoints.contains(attempt.engine))
         return false;
     return !find_violation(attempt, GuardMoment::before_first_byte);
--- a/src/front/attempt_dispatcher.hpp
+++ b/src/front/attempt_dispatcher.hpp
@@ -39,7 +39,7 @@
     decide::AttemptContext context_of(const StatementAttempt& attempt, GuardMoment moment);
     std::optional<decide::EarlierExecution> earlier_execution_before(const StatementAttempt& attempt);
     decide::EndpointSnapshot snapshot_of(EngineId id);
-    bool may_begin(const StatementAttempt& attempt);
+    bool may_send_first_byte(const StatementAttempt& attempt);
     void send(StatementAttempt& attempt, Engine& engine, Micros time_limit);
     http::Headers headers_for(const StatementAttempt& attempt, Micros time_limit) const;
     void on_timeout(StatementAttempt& attempt);
--- a/src/front/client_documents.cpp
+++ b/src/front/client_documents.cpp
@@ -54,8 +54,8 @@
     return last;
 }
 
-std::string retry_after_value(Micros span) {
-    return std::to_string(std::max<Micros>(1, (span + kSecondMicros - 1) / kSecondMicros));
+std::string retry_after_value(Micros duration) {
+    return std::to_string(std::max<Micros>(1, (duration + kSecondMicros - 1) / kSecondMicros));
 }
 
 }  // namespace gatetiller::front
--- a/src/front/client_documents.hpp
+++ b/src/front/client_documents.hpp
@@ -20,6 +20,6 @@
 statement::Document truncated_document(statement::Document last);
 
 // Returns the value of a Retry-After header: whole seconds, rounded up, at least 1.
-std::string retry_after_value(Micros span);
+std::string retry_after_value(Micros duration);
 
 }  // namespace gatetiller::front
--- a/src/front/draining_endpoints.hpp
+++ b/src/front/draining_endpoints.hpp
@@ -15,13 +15,13 @@
     // loop time.
     void apply(const EndpointUpdate& update, const EngineRegistry& engines, Micros now);
     bool contains(EngineId id) const {
-        return since_.contains(id);
+        return draining_since_.contains(id);
     }
     // Returns the time since this front was notified, or nullopt if the endpoint is not draining.
     std::optional<Micros> draining_for(EngineId id, Micros now) const;
 
 private:
-    std::map<EngineId, Micros> since_;
+    std::map<EngineId, Micros> draining_since_;
 };
 
 }  // namespace gatetiller::front
--- a/src/front/engine_registry.cpp
+++ b/src/front/engine_registry.cpp
@@ -30,14 +30,14 @@
     return "off";
 }
 
-bool is_ok(const http::Answer& answer) {
-    return answer.reached == http::Reached::answered && answer.response.status == kStatusOk;
+bool is_ok(const http::Answer& result) {
+    return result.reached == http::Reached::answered && result.response.status == kStatusOk;
 }
 
-AttemptOutcome health_outcome_of(const http::Answer& answer) {
-    switch (answer.reached) {
+AttemptOutcome health_outcome_of(const http::Answer& result) {
+    switch (result.reached) {
         case http::Reached::answered:
-            return is_ok(answer) ? AttemptOutcome::succeeded : AttemptOutcome::failed;
+            return is_ok(result) ? AttemptOutcome::succeeded : AttemptOutcome::failed;
         case http::Reached::late:
             return AttemptOutcome::timed_out;
         case http::Reached::broken:
@@ -65,22 +65,22 @@
 
 EngineRegistry::~EngineRegistry() {
     loop_.cancel(status_poll_timer_);
-    loop_.cancel(hold_timer_);
+    loop_.cancel(slow_start_hold_timer_);
     loop_.cancel(pending_status_timer_);
     loop_.cancel(cache_retry_timer_);
 }
 
 void EngineRegistry::start() {
     // Uses the cached list, or else the configured engines, until the source reports its first list.
-    auto known = configured_engines_;
+    auto initial_list = configured_engines_;
     if (!source_settings_.keep.empty()) {
         auto cached = discovery::load_cached_endpoints(source_settings_.keep);
         if (cached)
-            known = std::move(*cached);
+            initial_list = std::move(*cached);
         else
             events_.log("starting without a cached endpoint list: " + cached.error());
     }
-    apply_list(known, EndpointUpdateKind::cached);
+    apply_list(initial_list, EndpointUpdateKind::cached);
     open_source();
     if (source_settings_.watch_every > 0)
         poll_statuses_periodically();
@@ -145,8 +145,8 @@
         engine = std::make_unique<Engine>();
         engine->id = id;
         engine->client = std::make_unique<http::Client>(loop_, settings.address, client_options_);
-        engine->client->on_all_lost([this, created = engine.get()] {
-            on_connections_lost(*created);
+        engine->client->on_all_lost([this, engine_ptr = engine.get()] {
+            on_connections_lost(*engine_ptr);
         });
     }
     return *engine;
@@ -154,7 +154,7 @@
 
 void EngineRegistry::apply_list(const std::vector<config::EngineSettings>& list, EndpointUpdateKind kind) {
     EndpointUpdate update{kind, {}};
-    std::vector<Engine*> to_poll;  // new engines and engines that return to the list
+    std::vector<Engine*> engines_to_poll;  // new engines and engines that return to the list
     for (const auto& settings : list) {
         const std::size_t engines_before = engines_.size();
         Engine& engine = find_or_create(settings);
@@ -162,7 +162,7 @@
         const bool joins = is_new || engine.state_tracker.endpoint().state == EndpointState::removed;
         if (joins && settings.state != EndpointState::removed && source_settings_.watch_every > 0) {
             engine.state_tracker.await_status();
-            to_poll.push_back(&engine);
+            engines_to_poll.push_back(&engine);
         }
         engine.settings = settings;
         engine.state_tracker.on_listed(
@@ -171,7 +171,7 @@
     }
     remove_unlisted(update.endpoints);
     events_.on_update(std::move(update));
-    for (Engine* engine : to_poll)
+    for (Engine* engine : engines_to_poll)
         poll_and_await_status(*engine);
 }
 
@@ -257,15 +257,15 @@
 
 void EngineRegistry::poll_status(Engine& engine) {
     engine.info_poll = engine.client->send(status_request("/v1/info"), status_request_timeout(),
-                                           [this, &engine](const http::Answer& answer) {
-                                               on_info(engine, answer);
+                                           [this, &engine](const http::Answer& result) {
+                                               on_info(engine, result);
                                            });
 }
 
-void EngineRegistry::on_info(Engine& engine, const http::Answer& answer) {
-    if (!is_ok(answer))
+void EngineRegistry::on_info(Engine& engine, const http::Answer& result) {
+    if (!is_ok(result))
         return on_status_unavailable(engine);
-    const auto members = statement::members(answer.response.body);
+    const auto members = statement::members(result.response.body);
     if (!members)
         return on_status_unavailable(engine);
     engine.starting = false;
@@ -285,16 +285,17 @@
                                             });
 }
 
-void EngineRegistry::on_state(Engine& engine, const http::Answer& answer) {
-    if (!is_ok(answer))
+void EngineRegistry::on_state(Engine& engine, const http::Answer& result) {
+    if (!is_ok(result))
         return on_status_unavailable(engine);
-    const std::string state = statement::as_string(trimmed(answer.response.body)).value_or("");
+    const std::string state = statement::as_string(trimmed(result.response.body)).value_or("");
     const bool shutting_down = state == "SHUTTING_DOWN";
     const Micros now = loop_.now();
     const bool changed =
         engine.state_tracker.on_status_reported(now, shutting_down, engine.starting, engine.uptime);
-    const bool hold_changed = engine.state_tracker.hold_in_slow_start(now, hold_until_, slow_start_window_);
-    if (changed || hold_changed)
+    const bool slow_start_hold_changed =
+        engine.state_tracker.hold_in_slow_start(now, slow_start_hold_until_, slow_start_window_);
+    if (changed || slow_start_hold_changed)
         report_state(engine);
 }
 
@@ -304,14 +305,14 @@
 }
 
 void EngineRegistry::hold_slow_start_until(Micros until) {
-    hold_until_ = until;
-    loop_.cancel(std::exchange(hold_timer_, 0));
+    slow_start_hold_until_ = until;
+    loop_.cancel(std::exchange(slow_start_hold_timer_, 0));
     for (auto& [id, engine] : engines_)
         if (engine->state_tracker.hold_in_slow_start(loop_.now(), until, slow_start_window_))
             report_state(*engine);
     if (until > loop_.now())
-        hold_timer_ = loop_.after(until - loop_.now(), [this] {
-            hold_timer_ = 0;
+        slow_start_hold_timer_ = loop_.after(until - loop_.now(), [this] {
+            slow_start_hold_timer_ = 0;
             hold_slow_start_until(0);
         });
 }
@@ -323,11 +324,11 @@
     const Micros sent_at = loop_.now();
     engine->client
         ->send({"GET", "/v1/status", 1, {}, {}, {}}, kHealthCheckTimeout,
-               [this, sent_at, done = std::move(done)](const http::Answer& answer) {
+               [this, sent_at, done = std::move(done)](const http::Answer& result) {
                    std::optional<LoadReport> load;
-                   if (is_ok(answer))
-                       load = statement::read_report(answer.response.headers);
-                   done(loop_.now() - sent_at, health_outcome_of(answer), load);
+                   if (is_ok(result))
+                       load = statement::read_report(result.response.headers);
+                   done(loop_.now() - sent_at, health_outcome_of(result), load);
                })
         .detach();
 }
--- a/src/front/engine_registry.hpp
+++ b/src/front/engine_registry.hpp
@@ -80,8 +80,8 @@
     void save_cached_endpoints();
     void poll_statuses_periodically();
     void poll_status(Engine& engine);
-    void on_info(Engine& engine, const http::Answer& answer);
-    void on_state(Engine& engine, const http::Answer& answer);
+    void on_info(Engine& engine, const http::Answer& result);
+    void on_state(Engine& engine, const http::Answer& result);
     void on_status_unavailable(Engine& engine) const;
     void on_connections_lost(Engine& engine);
     void poll_and_await_status(Engine& engine);
@@ -103,11 +103,11 @@
     std::deque<PendingStatus> pending_statuses_;       // ordered by deadline, earliest first
     std::vector<config::EngineSettings> source_list_;  // last list from the source
     net::TimerId status_poll_timer_ = 0;
-    net::TimerId hold_timer_ = 0;
+    net::TimerId slow_start_hold_timer_ = 0;
     net::TimerId pending_status_timer_ = 0;
     net::TimerId cache_retry_timer_ = 0;
     Micros slow_start_window_;
-    Micros hold_until_ = 0;
+    Micros slow_start_hold_until_ = 0;
 };
 
 }  // namespace gatetiller::front
--- a/src/front/engine_responses.cpp
+++ b/src/front/engine_responses.cpp
@@ -8,7 +8,7 @@
 namespace gatetiller::front {
 namespace {
 
-bool shows_execution(const statement::Document& document) {
+bool indicates_execution(const statement::Document& document) {
     return document.stats.cpu_ms > 0 || document.has_rows() || document.stats.state == "RUNNING" ||
            document.stats.state == "FINISHING";
 }
@@ -56,7 +56,7 @@
     attempt.statement.stats = document.stats;
     attempt.engine_query_id = document.id;
     attempt.row_bytes += static_cast<std::int64_t>(document.data.size());
-    attempt.executed = attempt.executed || shows_execution(document);
+    attempt.executed = attempt.executed || indicates_execution(document);
     if (!document.columns.empty())
         attempt.columns = document.columns;
     if (document.final())
@@ -158,9 +158,9 @@
                            const http::Headers& headers) {
     if (document.columns.empty())
         document.columns = attempt.columns;
-    http::Headers passed_on;
-    statement::pass_response_headers(headers, passed_on);
-    services_.statement_api.push(attempt.statement.id, std::move(document), std::move(passed_on));
+    http::Headers forwarded;
+    statement::pass_response_headers(headers, forwarded);
+    services_.statement_api.push(attempt.statement.id, std::move(document), std::move(forwarded));
 }
 
 }  // namespace gatetiller::front
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -116,14 +116,14 @@
 
 http::Response Front::metrics_page() {
     if (ledger_.enabled())
-        metrics_.ledger(ledger_.status());
+        metrics_.set_ledger_gauges(ledger_.status());
     Metrics::Gauges gauges;
     gauges.statements = static_cast<double>(statements_.size());
     gauges.waiting_bytes = static_cast<double>(statement_api_.waiting_in_all());
     gauges.connections = static_cast<double>(server_.connections());
     gauges.alpha = driver_.alpha();
     gauges.finished_statements = static_cast<double>(statement_api_.kept());
-    http::Response response{kStatusOk, {}, metrics_.page(gauges)};
+    http::Response response{kStatusOk, {}, metrics_.render_page(gauges)};
     response.headers.add("Content-Type", "text/plain; version=0.0.4");
     return response;
 }
@@ -140,7 +140,7 @@
 }
 
 http::Response Front::reject(const Rejection& rejection) {
-    metrics_.rejected(rejection.reason);
+    metrics_.count_rejected(rejection.reason);
     auto response = statement::text_response(rejection.status, rejection.text);
     if (rejection.status == kStatusTooManyRequests || rejection.status == kStatusUnavailable)
         response.headers.add("Retry-After",
@@ -159,7 +159,7 @@
     statement->arrived_at = loop_.now();
     statement->deadline = statement->arrived_at + accepted.time_left;
     ledger_.record_accepted(*statement, accepted.route_tenant, *accepted.class_settings);
-    metrics_.accepted(statement->route.cls);
+    metrics_.count_accepted(statement->route.cls);
     const statement::Context& context = statement->submission.context;
     RequestArrived arrived{id,
                            statement->route.cls,
--- a/src/front/front.hpp
+++ b/src/front/front.hpp
@@ -10,7 +10,7 @@
 //   EngineResponses      -                                  handles the engines' responses
 //   StatementCompletion  -                                  ends statements
 //   EngineRegistry       engines and their states           follows the endpoint list, polls engine statuses
-//   DrainingEndpoints    draining and removed endpoints     tells since when they must receive nothing new
+//   DrainingEndpoints    draining and removed endpoints     stores since when they receive no new attempts
 //   LedgerRecorder       flush timer                        writes rows to the ledger
 //   GracefulShutdown     progress of the shutdown           waits for active statements
 #pragma once
--- a/src/front/metrics.cpp
+++ b/src/front/metrics.cpp
@@ -42,34 +42,34 @@
                         "cached, the ledger's state.")
                   .Register(*registry_)) {}
 
-void Metrics::accepted(const std::string& class_name) {
+void Metrics::count_accepted(const std::string& class_name) {
     accepted_.Add({{"class", class_name}}).Increment();
 }
 
-void Metrics::rejected(RejectionReason reason) {
+void Metrics::count_rejected(RejectionReason reason) {
     rejected_.Add({{"reason", name_of(reason)}}).Increment();
 }
 
-void Metrics::attempt(AttemptOutcome outcome) {
+void Metrics::count_attempt(AttemptOutcome outcome) {
     attempts_.Add({{"outcome", decide::name_of(outcome)}}).Increment();
 }
 
-void Metrics::violation(decide::Invariant invariant) {
+void Metrics::count_violation(decide::Invariant invariant) {
     violations_.Add({{"invariant", decide::name_of(invariant)}}).Increment();
 }
 
-void Metrics::finished(const FinishedStatement& statement) {
+void Metrics::record_finished(const FinishedStatement& statement) {
     const std::string& class_name = statement.class_name;
     finished_.Add({{"class", class_name}, {"ended", name_of(statement.outcome)}}).Increment();
     seconds_.Add({{"class", class_name}}, statement_seconds_buckets())
         .Observe(static_cast<double>(statement.total) / kSecondMicros);
 }
 
-void Metrics::set_gauge(const char* what, double value) {
-    gauges_.Add({{"what", what}}).Set(value);
+void Metrics::set_gauge(const char* label, double value) {
+    gauges_.Add({{"what", label}}).Set(value);
 }
 
-void Metrics::ledger(const store::LedgerWriterStatus& status) {
+void Metrics::set_ledger_gauges(const store::LedgerWriterStatus& status) {
     set_gauge("ledger_written", status.error == decide::StoreError::none ? 1 : 0);
     set_gauge("ledger_rows_waiting", static_cast<double>(status.queued_rows));
     set_gauge("ledger_rows_lost", static_cast<double>(status.lost_rows));
@@ -77,7 +77,7 @@
     set_gauge("ledger_written_until_seconds", static_cast<double>(status.written_until) / kSecondMicros);
 }
 
-std::string Metrics::page(const Gauges& gauges) {
+std::string Metrics::render_page(const Gauges& gauges) {
     set_gauge("statements", gauges.statements);
     set_gauge("waiting_bytes", gauges.waiting_bytes);
     set_gauge("connections", gauges.connections);
--- a/src/front/metrics.hpp
+++ b/src/front/metrics.hpp
@@ -29,22 +29,22 @@
 
     Metrics();
     // gatetiller_statements_accepted_total{class}
-    void accepted(const std::string& class_name);
+    void count_accepted(const std::string& class_name);
     // gatetiller_statements_rejected_total{reason}
-    void rejected(RejectionReason reason);
+    void count_rejected(RejectionReason reason);
     // gatetiller_attempts_total{outcome}: counts an attempt that ended.
-    void attempt(AttemptOutcome outcome);
+    void count_attempt(AttemptOutcome outcome);
     // gatetiller_violations_prevented_total{invariant}: counts an action that a guard refused.
-    void violation(decide::Invariant invariant);
+    void count_violation(decide::Invariant invariant);
     // gatetiller_statements_finished_total{class,ended} and gatetiller_statement_seconds{class}
-    void finished(const FinishedStatement& statement);
+    void record_finished(const FinishedStatement& statement);
     // gatetiller_now{what="ledger_..."}: sets the ledger's gauges.
-    void ledger(const store::LedgerWriterStatus& status);
+    void set_ledger_gauges(const store::LedgerWriterStatus& status);
     // Returns the page, with the gauges as gatetiller_now{what}.
-    std::string page(const Gauges& gauges);
+    std::string render_page(const Gauges& gauges);
 
 private:
-    void set_gauge(const char* what, double value);
+    void set_gauge(const char* label, double value);
 
     std::shared_ptr<prometheus::Registry> registry_;
     prometheus::Family<prometheus::Counter>& accepted_;
--- a/src/front/statement_completion.cpp
+++ b/src/front/statement_completion.cpp
@@ -90,7 +90,7 @@
     const Micros now = services_.loop.now();
     const Micros ended_at = statement.ended_at > 0 ? statement.ended_at : now;
     const FinishedStatement record = record_of(statement, ended_at, now);
-    services_.metrics.finished(record);
+    services_.metrics.record_finished(record);
     if (on_finished_)
         on_finished_(record);
     services_.ledger.record_finished(statement, ended_at);
--- a/src/front/status.cpp
+++ b/src/front/status.cpp
@@ -27,15 +27,14 @@
 
 }  // namespace
 
-std::string status_members(const EngineRegistry& engines, const StatusFigures& figures,
+std::string status_members(const EngineRegistry& engines, const StatusValues& values,
                            const std::string& ledger_member) {
-    std::string list;
+    std::string engine_list;
     for (const auto& [id, engine] : engines.all())
-        list += (list.empty() ? "" : ",") + json_of(*engine);
-    return R"(,"engines":[)" + list + R"(],"statements":)" + std::to_string(figures.statements) +
-           R"(,"waitingBytes":)" + std::to_string(figures.waiting_bytes) + R"(,"connections":)" +
-           std::to_string(figures.connections) + R"(,"alpha":)" + std::to_string(figures.alpha) +
-           ledger_member;
+        engine_list += (engine_list.empty() ? "" : ",") + json_of(*engine);
+    return R"(,"engines":[)" + engine_list + R"(],"statements":)" + std::to_string(values.statements) +
+           R"(,"waitingBytes":)" + std::to_string(values.waiting_bytes) + R"(,"connections":)" +
+           std::to_string(values.connections) + R"(,"alpha":)" + std::to_string(values.alpha) + ledger_member;
 }
 
 }  // namespace gatetiller::front
--- a/src/front/status.hpp
+++ b/src/front/status.hpp
@@ -8,7 +8,7 @@
 
 namespace gatetiller::front {
 
-struct StatusFigures {
+struct StatusValues {
     std::size_t statements = 0;     // active statements
     std::size_t waiting_bytes = 0;  // size of rows that wait for clients, in bytes
     std::size_t connections = 0;    // client connections
@@ -16,7 +16,7 @@
 };
 
 // Returns the JSON members, each preceded by a comma. `ledger_member` is appended unchanged.
-std::string status_members(const EngineRegistry& engines, const StatusFigures& figures,
+std::string status_members(const EngineRegistry& engines, const StatusValues& values,
                            const std::string& ledger_member);
 
 }  // namespace gatetiller::front
--- a/tests/front/front_test_bed.hpp
+++ b/tests/front/front_test_bed.hpp
@@ -76,23 +76,25 @@
 public:
     static constexpr Micros kLimit = 30 * kSecondMicros;  // reached only by a failing run
 
-    // `break_it` changes the settings of the front but not those that the rules are checked against.
-    explicit FrontTestBed(int engines, const std::string& more = "", engine::MachineSettings machine = {},
-                          const std::function<void(config::FrontSettings&)>& break_it = nullptr) {
+    // `alter_settings` changes the settings of the front but not those that the rules are checked against.
+    explicit FrontTestBed(int engines, const std::string& extra_config = "",
+                          engine::MachineSettings machine = {},
+                          const std::function<void(config::FrontSettings&)>& alter_settings = nullptr) {
         for (int i = 0; i < engines; ++i)
             add_engine(machine);
         std::string list;
         for (std::size_t i = 0; i < engines_.size(); ++i)
             list += "e" + std::to_string(i) + ": g.engine('" + addresses_[i].text() + "'), ";
         const std::string text = "local g = import 'gatetiller.libsonnet';\ng.front('tested') {\n" +
-                                 std::string(kClasses) + "engines: {" + list + "},\n} + {\n" + more + "\n}";
+                                 std::string(kClasses) + "engines: {" + list + "},\n} + {\n" + extra_config +
+                                 "\n}";
         auto loaded = config::load_front_text("test", text);
         if (!loaded)
             throw std::runtime_error(loaded.error());
         settings = loaded->front;
-        truth_ = settings.module;
-        if (break_it)
-            break_it(settings);
+        checked_settings_ = settings.module;
+        if (alter_settings)
+            alter_settings(settings);
         front_ = make_front();
     }
     static constexpr const char* kClasses = R"(
@@ -110,44 +112,44 @@
     )";
 
     void add_engine(engine::MachineSettings machine) {
-        engine::ServiceSettings s;
-        s.name = "e" + std::to_string(engines_.size());
-        s.listen = *net::Address::parse("127.0.0.1:0");
-        s.machine = machine;
-        s.long_poll = 50 * kMillisecond, s.abandoned_after = 2 * kSecondMicros;
-        s.seed = engines_.size() + 1;
+        engine::ServiceSettings service;
+        service.name = "e" + std::to_string(engines_.size());
+        service.listen = *net::Address::parse("127.0.0.1:0");
+        service.machine = machine;
+        service.long_poll = 50 * kMillisecond, service.abandoned_after = 2 * kSecondMicros;
+        service.seed = engines_.size() + 1;
         engines_.push_back(std::make_unique<engine::Service>(
-            loop, s,
+            loop, service,
             [this] {
                 return random_.hex(32);
             },
-            [this, name = s.name](const engine::Entry& e) {
-                journal.push_back(e);
-                records.engines.push_back({name, e});
+            [this, name = service.name](const engine::Entry& entry) {
+                journal.push_back(entry);
+                records.engines.push_back({name, entry});
             },
-            [this](const statement::Completed& c) {
-                events += statement::write_completed(c) + "\n";
+            [this](const statement::Completed& completed) {
+                events += statement::write_completed(completed) + "\n";
             }));
         addresses_.push_back(*engines_.back()->start());
     }
     std::unique_ptr<front::Front> make_front() {
-        auto f =
+        auto created =
             std::make_unique<front::Front>(tap_, settings,
                                            front::FrontDeps{[this] {
                                                                 return random_.hex(32);
                                                             },
                                                             7, [](const std::string&) {},
-                                                            [this](const front::FinishedStatement& done) {
-                                                                finished.push_back(done);
+                                                            [this](const front::FinishedStatement& record) {
+                                                                finished.push_back(record);
                                                             },
                                                             drop_event, ledger});
-        auto bound = f->start();
+        auto bound = created->start();
         if (!bound)
             throw std::runtime_error(bound.error());
         settings.listen = {bound->front()};
         http = std::make_unique<http::Client>(loop, bound->front(),
                                               http::ClientOptions{.connect_time_out = kSecondMicros});
-        return f;
+        return created;
     }
     // Replaces the front as after a kill: without a shutdown and without notice to clients or engines.
     void restart() {
@@ -158,69 +160,76 @@
     ClientStatement& submit(const std::string& sql, const std::string& source = "test",
                             const std::string& trace = "", const std::string& tag = "") {
         submitted.push_back(std::make_unique<ClientStatement>());
-        ClientStatement& a = *submitted.back();
-        a.client = std::make_unique<statement::StatementClient>(loop, *http, statement::EngineCallOptions{});
-        a.trace = trace.empty() ? "a" + std::to_string(submitted.size()) + ".0" : trace;
-        const auto note = [this, &a](const char* event, const std::string& detail) {
-            records.clients.push_back({loop.now(), event, a.trace, "tested", "", "", "", 0, 0, detail});
+        ClientStatement& submission = *submitted.back();
+        submission.client =
+            std::make_unique<statement::StatementClient>(loop, *http, statement::EngineCallOptions{});
+        submission.trace = trace.empty() ? "a" + std::to_string(submitted.size()) + ".0" : trace;
+        const auto record = [this, &submission](const char* event, const std::string& detail) {
+            records.clients.push_back(
+                {loop.now(), event, submission.trace, "tested", "", "", "", 0, 0, detail});
         };
-        note("asked", "");
-        lab::ClientRecord& r = records.clients.back();
-        for (const auto& c : truth_.classes)
-            if (source.starts_with(c.name))
-                r.cls = c.name, r.patience = c.deadline, r.aim = c.latency_objective;
-        if (r.cls.empty())
-            r.cls = "short", r.patience = truth_.classes.back().deadline;
+        record("asked", "");
+        lab::ClientRecord& submit_record = records.clients.back();
+        for (const auto& class_settings : checked_settings_.classes)
+            if (source.starts_with(class_settings.name))
+                submit_record.cls = class_settings.name, submit_record.patience = class_settings.deadline,
+                submit_record.aim = class_settings.latency_objective;
+        if (submit_record.cls.empty())
+            submit_record.cls = "short", submit_record.patience = checked_settings_.classes.back().deadline;
         if (tag.starts_with("key="))
-            r.key = tag.substr(4);
-        a.client->start(headers(source, a.trace, tag), sql,
-                        {[&a, note](const statement::Document& d) {
-                             if (!std::exchange(a.accepted, true))
-                                 note("taken", "");
-                             if (d.has_rows())
-                                 a.pages.push_back(d.data);
-                             a.final_documents += d.final();
-                         },
-                         [&a, note](const statement::ClientResult& done) {
-                             a.ended = true, a.result = done;
-                             if (done.how == statement::ClientResult::How::answered)
-                                 note("final", a.error().empty()                 ? "served"
-                                               : a.error() == "QUERY_QUEUE_FULL" ? "refused"
-                                                                                 : a.error());
-                         }});
-        return a;
+            submit_record.key = tag.substr(4);
+        submission.client->start(headers(source, submission.trace, tag), sql,
+                                 {[&submission, record](const statement::Document& document) {
+                                      if (!std::exchange(submission.accepted, true))
+                                          record("taken", "");
+                                      if (document.has_rows())
+                                          submission.pages.push_back(document.data);
+                                      submission.final_documents += document.final();
+                                  },
+                                  [&submission, record](const statement::ClientResult& result) {
+                                      submission.ended = true, submission.result = result;
+                                      if (result.how == statement::ClientResult::How::answered)
+                                          record("final", submission.error().empty() ? "served"
+                                                          : submission.error() == "QUERY_QUEUE_FULL"
+                                                              ? "refused"
+                                                              : submission.error());
+                                  }});
+        return submission;
     }
     // Checks the seven rules against everything recorded so far.
     lab::Judgement check_rules() {
-        lab::Facts& f = records.facts;
-        f = {};
-        f.classes = truth_.classes;
+        lab::Facts& facts = records.facts;
+        facts = {};
+        facts.classes = checked_settings_.classes;
         for (std::size_t i = 0; i < engines_.size(); ++i)
-            f.engines.push_back({"e" + std::to_string(i), addresses_[i].text(), settings.engines[i].zone,
-                                 settings.engines[i].kind, settings.engines[i].cell});
-        f.answer_grace = truth_.response_grace, f.drain_grace = truth_.drain_grace,
-        f.turn_gap = truth_.key_order_gap;
-        f.ratio_span = truth_.retry_budget_window, f.extra_free = truth_.retry_budget_base,
-        f.extra_per_request = truth_.retry_budget_ratio;
+            facts.engines.push_back({"e" + std::to_string(i), addresses_[i].text(), settings.engines[i].zone,
+                                     settings.engines[i].kind, settings.engines[i].cell});
+        facts.answer_grace = checked_settings_.response_grace,
+        facts.drain_grace = checked_settings_.drain_grace, facts.turn_gap = checked_settings_.key_order_gap;
+        facts.ratio_span = checked_settings_.retry_budget_window,
+        facts.extra_free = checked_settings_.retry_budget_base,
+        facts.extra_per_request = checked_settings_.retry_budget_ratio;
         records.sort();
         return lab::judge(records);
     }
     void expect_no_violations() {
-        const auto j = check_rules();
-        for (const auto& v : j.violations)
-            ADD_FAILURE() << "rule " << v.rule << ": " << v.trace << ": " << v.what << "\n" << v.story;
-        EXPECT_GT(j.statements, 0u);
+        const auto report = check_rules();
+        for (const auto& violation : report.violations)
+            ADD_FAILURE() << "rule " << violation.rule << ": " << violation.trace << ": " << violation.what
+                          << "\n"
+                          << violation.story;
+        EXPECT_GT(report.statements, 0u);
     }
     static http::Headers headers(const std::string& source, const std::string& trace = "",
                                  const std::string& tag = "") {
-        http::Headers h;
-        h.add("X-Trino-User", "tester");
-        h.add("X-Trino-Source", source);
+        http::Headers result;
+        result.add("X-Trino-User", "tester");
+        result.add("X-Trino-Source", source);
         if (!trace.empty())
-            h.add("X-Trino-Trace-Token", trace);
+            result.add("X-Trino-Trace-Token", trace);
         if (!tag.empty())
-            h.add("X-Trino-Client-Tags", tag);
-        return h;
+            result.add("X-Trino-Client-Tags", tag);
+        return result;
     }
     template <typename Condition>
     [[nodiscard]] bool wait_until(Condition condition) {
@@ -228,28 +237,29 @@
     }
     // Sends a request and waits for its response.
     http::Answer exchange(const std::string& method, const std::string& target, const std::string& body = "",
-                          http::Headers h = headers("test")) {
-        http::Answer got;
+                          http::Headers request_headers = headers("test")) {
+        http::Answer result;
         bool done = false;
-        auto call = http->send({method, target, 1, std::move(h), body, {}}, kLimit, [&](http::Answer a) {
-            got = std::move(a), done = true;
-        });
+        auto call = http->send({method, target, 1, std::move(request_headers), body, {}}, kLimit,
+                               [&](http::Answer answer) {
+                                   result = std::move(answer), done = true;
+                               });
         EXPECT_TRUE(wait_until([&] {
             return done;
         }));
-        return got;
+        return result;
     }
     bool all_engines_ready() const {
-        const auto& all = front_->engines().all();
-        return std::all_of(all.begin(), all.end(), [](const auto& e) {
-            return e.second->state_tracker.endpoint().state == EndpointState::ready;
+        const auto& engines = front_->engines().all();
+        return std::all_of(engines.begin(), engines.end(), [](const auto& engine) {
+            return engine.second->state_tracker.endpoint().state == EndpointState::ready;
         });
     }
     int count(const std::string& event, const std::string& trace = "") const {
-        int n = 0;
-        for (const auto& e : journal)
-            n += e.event == event && (trace.empty() || e.trace == trace);
-        return n;
+        int matches = 0;
+        for (const auto& entry : journal)
+            matches += entry.event == event && (trace.empty() || entry.trace == trace);
+        return matches;
     }
     const net::Address& address(std::size_t i) const {
         return addresses_[i];
@@ -274,10 +284,10 @@
     std::unique_ptr<http::Client> http;
 
 private:
-    net::TapLoop tap_{clock, [this](const net::TapEvent& e) {
-                          records.sockets.push_back(lab::record_of("tested", e));
+    net::TapLoop tap_{clock, [this](const net::TapEvent& event) {
+                          records.sockets.push_back(lab::record_of("tested", event));
                       }};
-    PolicySettings truth_;
+    PolicySettings checked_settings_;
     Random random_{42};
     std::vector<net::Address> addresses_;
     std::vector<std::unique_ptr<engine::Service>> engines_;
