--- a/src/policy/smoothing.hpp
+++ b/src/policy/smoothing.hpp
@@ -3,14 +3,14 @@
 
 namespace gatetiller::policy {
 
-// Weight of one sample in a ratio's average: it follows about the last ten.
-constexpr double kRatioStep = 0.1;
-// Weight of one sample in what a class of requests usually costs: about the last thirty.
-constexpr double kCostStep = 0.03;
+// Weight of one sample in the average of a ratio, which follows about the last ten samples.
+constexpr double kRatioWeight = 0.1;
+// Weight of one sample in the average cost of a class, which follows about the last thirty samples.
+constexpr double kCostWeight = 0.03;
 
-// Moves an average towards a sample by `step` of the distance.
-inline void smooth(double& average, double sample, double step = kRatioStep) {
-    average += step * (sample - average);
+// Updates a moving average with a sample of the given weight.
+inline void smooth(double& average, double sample, double weight = kRatioWeight) {
+    average += weight * (sample - average);
 }
 
 }  // namespace gatetiller::policy
