--- a/src/core/policy_driver.hpp
+++ b/src/core/policy_driver.hpp
@@ -27,8 +27,8 @@
     // Passes an event to the policy and applies the resulting actions. Events posted by an action are queued,
     // so that the policy handles one event at a time and in order.
     void post(Event event);
-    // The policy's current admission level (alpha), for metrics.
-    double alpha() const {
+    // The policy's current sensitive share, published in metrics as "alpha".
+    double sensitive_share() const {
         return policy_.sensitive_share();
     }
 
--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -121,7 +121,7 @@
     gauges.statements = static_cast<double>(statements_.size());
     gauges.waiting_bytes = static_cast<double>(statement_api_.waiting_in_all());
     gauges.connections = static_cast<double>(server_.connections());
-    gauges.alpha = driver_.alpha();
+    gauges.sensitive_share = driver_.sensitive_share();
     gauges.finished_statements = static_cast<double>(statement_api_.kept());
     http::Response response{kStatusOk, {}, metrics_.render_page(gauges)};
     response.headers.add("Content-Type", "text/plain; version=0.0.4");
@@ -214,10 +214,10 @@
 }
 
 std::string Front::status_members() {
-    return front::status_members(
-        engines_,
-        {statements_.size(), statement_api_.waiting_in_all(), server_.connections(), driver_.alpha()},
-        ledger_.status_member());
+    return front::status_members(engines_,
+                                 {statements_.size(), statement_api_.waiting_in_all(), server_.connections(),
+                                  driver_.sensitive_share()},
+                                 ledger_.status_member());
 }
 
 // ---- Events and actions of the policy
--- a/src/front/front.hpp
+++ b/src/front/front.hpp
@@ -57,8 +57,8 @@
     // Applies the engines, endpoint source and routes of new settings; all other settings need a restart.
     void reload(const config::FrontSettings& settings);
     // Fraction of free slots that the policy offers to latency-sensitive requests first, in [0.05, 0.95].
-    double alpha() const {
-        return driver_.alpha();
+    double sensitive_share() const {
+        return driver_.sensitive_share();
     }
     // Number of active statements.
     std::size_t statements() const {
--- a/src/front/metrics.cpp
+++ b/src/front/metrics.cpp
@@ -81,7 +81,7 @@
     set_gauge("statements", gauges.statements);
     set_gauge("waiting_bytes", gauges.waiting_bytes);
     set_gauge("connections", gauges.connections);
-    set_gauge("alpha", gauges.alpha);
+    set_gauge("alpha", gauges.sensitive_share);
     set_gauge("finished_kept", gauges.finished_statements);
     return prometheus::TextSerializer().Serialize(registry_->Collect());
 }
--- a/src/front/metrics.hpp
+++ b/src/front/metrics.hpp
@@ -23,7 +23,7 @@
         double statements = 0;           // active statements
         double waiting_bytes = 0;        // size of rows that wait for clients, in bytes
         double connections = 0;          // client connections
-        double alpha = 0;                // admission level of the policy
+        double sensitive_share = 0;      // of the policy; published as "alpha"
         double finished_statements = 0;  // statements whose final document is cached for repeated polls
     };
 
--- a/src/front/status.cpp
+++ b/src/front/status.cpp
@@ -34,7 +34,8 @@
         engine_list += (engine_list.empty() ? "" : ",") + json_of(*engine);
     return R"(,"engines":[)" + engine_list + R"(],"statements":)" + std::to_string(values.statements) +
            R"(,"waitingBytes":)" + std::to_string(values.waiting_bytes) + R"(,"connections":)" +
-           std::to_string(values.connections) + R"(,"alpha":)" + std::to_string(values.alpha) + ledger_member;
+           std::to_string(values.connections) + R"(,"alpha":)" + std::to_string(values.sensitive_share) +
+           ledger_member;
 }
 
 }  // namespace gatetiller::front
--- a/src/front/status.hpp
+++ b/src/front/status.hpp
@@ -12,7 +12,7 @@
     std::size_t statements = 0;     // active statements
     std::size_t waiting_bytes = 0;  // size of rows that wait for clients, in bytes
     std::size_t connections = 0;    // client connections
-    double alpha = 0;               // admission level of the policy
+    double sensitive_share = 0;     // of the policy; published as "alpha"
 };
 
 // Returns the JSON members, each preceded by a comma. `ledger_member` is appended unchanged.
