--- a/src/node/config.cpp
+++ b/src/node/config.cpp
@@ -40,10 +40,10 @@
 
 template <typename T>
 T positive(const Json& object, const char* name) {
-    const auto got = value<double>(object, name, "a number");
-    if (!(got > 0 && got < kMaxNumber))
+    const auto number = value<double>(object, name, "a number");
+    if (!(number > 0 && number < kMaxNumber))
         throw ConfigError(std::string(name) + " must be a number over 0");
-    return static_cast<T>(got);
+    return static_cast<T>(number);
 }
 
 net::Address address(const Json& object, const char* name) {
@@ -78,7 +78,8 @@
     return endpoint;
 }
 
-// The events of the start amount to one list: the first holds it completely, later ones what has changed.
+// Merges the configured events into one list: the first holds the complete list (`reset`), later ones hold
+// changes to it.
 void read_known_endpoints(const Json& known, NodeSettings& settings) {
     settings.known_serial = positive<std::uint64_t>(known, "offset");
     for (const Json& event : member(known, "batch")) {
--- a/tests/node/config_test.cpp
+++ b/tests/node/config_test.cpp
@@ -1,4 +1,4 @@
-// The platform's configuration file: read as it is meant, refused by the name of what is wrong.
+// The platform's configuration file: parsed values, and errors that name the invalid member.
 #include "node/config.hpp"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 namespace gatetiller::node {
 namespace {
 
-nlohmann::json good() {
+nlohmann::json valid_config() {
     return nlohmann::json::parse(R"({"name":"n3","listen":"127.0.0.4:5050","seed":"8c1f30d27a5be964",
         "limits":{"cores":0.5,"memory_mb":32,"sockets":256},"dns":"127.2.0.1:1053",
         "known":{"offset":3,"batch":[
@@ -22,25 +22,25 @@
           "policy_limits":{"idle_close_us":30000000,"streams_per_conn":100}}})");
 }
 
-TEST(NodeConfig, TheEventsOfTheStartComeToOneList) {
-    const auto s = read_config(good().dump());
-    ASSERT_TRUE(s) << s.error();
-    EXPECT_EQ(s->seed, 0x8c1f30d27a5be964u);
-    EXPECT_EQ(s->known_serial, 3u);
-    ASSERT_EQ(s->known_endpoints.size(), 1u);
-    EXPECT_EQ(s->known_endpoints[0].name, "s-1");
-    EXPECT_EQ(s->known_endpoints[0].state, EndpointState::draining);
-    EXPECT_EQ(s->dns.text(), "127.2.0.1:1053");
-    EXPECT_EQ(s->idle_timeout, 30 * kSecondMicros);
-    EXPECT_EQ(s->policy.classes.size(), 1u);
+TEST(NodeConfig, MergesInitialEventsIntoOneList) {
+    const auto settings = read_config(valid_config().dump());
+    ASSERT_TRUE(settings) << settings.error();
+    EXPECT_EQ(settings->seed, 0x8c1f30d27a5be964u);
+    EXPECT_EQ(settings->known_serial, 3u);
+    ASSERT_EQ(settings->known_endpoints.size(), 1u);
+    EXPECT_EQ(settings->known_endpoints[0].name, "s-1");
+    EXPECT_EQ(settings->known_endpoints[0].state, EndpointState::draining);
+    EXPECT_EQ(settings->dns.text(), "127.2.0.1:1053");
+    EXPECT_EQ(settings->idle_timeout, 30 * kSecondMicros);
+    EXPECT_EQ(settings->policy.classes.size(), 1u);
 }
 
-TEST(NodeConfig, WhatIsWrongIsNamed) {
+TEST(NodeConfig, ErrorsNameTheInvalidMember) {
     const auto error = [](const char* pointer, const nlohmann::json& value) {
-        auto json = good();
+        auto json = valid_config();
         json[nlohmann::json::json_pointer(pointer)] = value;
-        const auto s = read_config(json.dump());
-        return s ? std::string("fine") : s.error();
+        const auto settings = read_config(json.dump());
+        return settings ? std::string("fine") : settings.error();
     };
     const std::pair<const char*, nlohmann::json> wrong[] = {
         {"/listen", "nowhere"},
@@ -59,9 +59,9 @@
         EXPECT_NE(error(pointer, value).find(name), std::string::npos)
             << pointer << ": " << error(pointer, value);
     }
-    auto lacking = good();
-    lacking.erase("dns");
-    EXPECT_NE(read_config(lacking.dump()).error().find("dns is missing"), std::string::npos);
+    auto incomplete = valid_config();
+    incomplete.erase("dns");
+    EXPECT_NE(read_config(incomplete.dump()).error().find("dns is missing"), std::string::npos);
     EXPECT_FALSE(read_config("{"));
     EXPECT_FALSE(load_config("/nowhere/config.json"));
 }
--- a/tests/node/graceful_shutdown_test.cpp
+++ b/tests/node/graceful_shutdown_test.cpp
@@ -1,4 +1,4 @@
-// Planned restarts with clients that wait, crowd or read slowly.
+// Planned restarts with waiting clients, a full client table, and slow readers.
 #include "node/graceful_shutdown.hpp"
 
 #include "crossing_rig.hpp"
@@ -6,94 +6,94 @@
 namespace gatetiller::testing {
 namespace {
 
-TEST_F(EventOrderTest, AShutdownWaitsForAnswersThatTheirClientsHaveNotRead) {
+TEST_F(EventOrderTest, ShutdownWaitsForClientsToReadTheirResponses) {
     settings.memory_mb = 256;
     add_engine("s-1");
     start();
-    RawSocket c;
-    c.receive_little();
-    c.connect(settings.listen);
+    RawSocket client;
+    client.shrink_receive_buffer();
+    client.connect(settings.listen);
     ASSERT_TRUE(run_until([&] {
-        return c.connected();
+        return client.connected();
     }));
     std::string all;
     for (int i = 1; i <= 32; ++i)
-        all += call(make_request("lookup", 1, 700), i);
+        all += encode_call(make_request("lookup", 1, 700), i);
     std::size_t sent = 0;
     ASSERT_TRUE(run_until([&] {
         if (sent < all.size()) {
             const auto piece = std::string_view(all).substr(sent, 1000);
-            c.send(piece), sent += piece.size();
+            client.send(piece), sent += piece.size();
         }
         return node->status().find("served=32") != std::string::npos;
     })) << node->status();
-    bool over = false;
-    const Micros since = loop.now();
+    bool drained = false;
+    const Micros drain_began_at = loop.now();
     node->drain([&] {
-        over = true;
+        drained = true;
     });
-    const auto times = decide::derive_shutdown_schedule(settings.policy);
+    const auto schedule = decide::derive_shutdown_schedule(settings.policy);
     ASSERT_TRUE(run_until([&] {
-        return loop.now() - since > times.listen_until + 100 * kMillisecond;
+        return loop.now() - drain_began_at > schedule.listen_until + 100 * kMillisecond;
     }));
-    EXPECT_FALSE(over) << "answers stood unsent";
+    EXPECT_FALSE(drained) << "drained with responses unsent";
     ASSERT_TRUE(run_until([&] {
-        return !c.read();
+        return !client.read();
     }));
-    EXPECT_FALSE(c.reset);
+    EXPECT_FALSE(client.reset);
     std::size_t answers = 0;
-    for (std::size_t at = c.got.find("row 699\n"); at != std::string::npos;
-         at = c.got.find("row 699\n", at + 1))
+    for (std::size_t at = client.received.find("row 699\n"); at != std::string::npos;
+         at = client.received.find("row 699\n", at + 1))
         ++answers;
     EXPECT_EQ(answers, 32u);
-    c.close();
+    client.close();
     ASSERT_TRUE(run_until([&] {
-        return over;
+        return drained;
     }));
-    EXPECT_LT(loop.now() - since, times.exit_at);
+    EXPECT_LT(loop.now() - drain_began_at, schedule.exit_at);
 }
 
-TEST_F(EventOrderTest, ARequestThatCrossesTheShutdownOfARestingConnectionIsNotServed) {
-    auto& e = add_engine("s-1");
+TEST_F(EventOrderTest, DoesNotServeRequestThatCrossesTheCloseOfAnIdleConnection) {
+    auto& engine = add_engine("s-1");
     start();
-    RawSocket rests;
-    rests.connect(settings.listen);
+    RawSocket idle;
+    idle.connect(settings.listen);
     ASSERT_TRUE(run_until([&] {
-        return rests.connected();
+        return idle.connected();
     }));
-    rests.send(call(make_request("lookup", 1), 1));
+    idle.send(encode_call(make_request("lookup", 1), 1));
     ASSERT_TRUE(run_until([&] {
-        return rests.read() && !rests.got.empty();
+        return idle.read() && !idle.received.empty();
     }));
-    bool over = false;
+    bool drained = false;
     node->drain([&] {
-        over = true;
+        drained = true;
     });
     ASSERT_TRUE(run_until([&] {
-        return !rests.read();
-    }));  // it is ended, in order
-    EXPECT_FALSE(rests.reset);
-    const std::string before = rests.got;
+        return !idle.read();
+    }));  // the idle connection is closed gracefully
+    EXPECT_FALSE(idle.reset);
+    const std::string before = idle.received;
     const auto crossing = make_request();
-    rests.send(call(crossing, 2));
+    idle.send(encode_call(crossing, 2));
     ASSERT_TRUE(run_until([&] {
-        return over;
+        return drained;
     }));
-    for (const auto& r : records.engines)
-        EXPECT_NE(r.entry.trace, crossing.trace);
-    rests.read();
-    EXPECT_EQ(rests.got, before);
-    EXPECT_EQ(e.open(), 0u);
+    for (const auto& record : records.engines)
+        EXPECT_NE(record.entry.trace, crossing.trace);
+    idle.read();
+    EXPECT_EQ(idle.received, before);
+    EXPECT_EQ(engine.open(), 0u);
 }
 
-// Accepting pauses where the table is full of clients with requests open; a restart begins then.
-TEST_F(EventOrderTest, WhoeverWaitsInTheListenBacklogAtAShutdownIsAnswered) {
-    a_shutdown_behind_a_full_table_answers_everybody(400);
+// A restart begins while accepting is paused, as the table is full of clients with open requests.
+TEST_F(EventOrderTest, ShutdownRespondsToClientsInTheListenBacklog) {
+    expect_shutdown_with_full_table_responds_to_all(400);
 }
 
-// Requests that run past the time for which the listener stays fill the table until then.
-TEST_F(EventOrderTest, WhoeverWaitsBehindATableThatStaysFullAtAShutdownIsAnswered) {
-    a_shutdown_behind_a_full_table_answers_everybody(1'500);
+// The requests that fill the table run for longer than the listener stays open.
+TEST_F(EventOrderTest, ShutdownRespondsToClientsBehindATableThatStaysFull) {
+    expect_shutdown_with_full_table_responds_to_all(1'500);
 }
 
 }  // namespace
