--- a/src/front/front.cpp
+++ b/src/front/front.cpp
@@ -34,7 +34,8 @@
       ledger_(
           loop, deps_.ledger,
           {deps_.log,
-           // What a killed incarnation sent after its last commit may be as recent as this one.
+           // The attempts that a killed incarnation sent after its last commit are unknown; the latest may
+           // have been sent just before this incarnation started.
            [this](bool killed) {
                engines_.hold_slow_start_until(killed ? loop_.now() + settings_.module.overload_window : 0);
            },
@@ -82,8 +83,8 @@
         bound_addresses_.push_back(*address);
     }
     driver_.start();
-    // Until the ledger says whether the last incarnation was killed, its load may still be on engines in slow
-    // start.
+    // Until the ledger reports whether the previous incarnation was killed, attempts of that incarnation may
+    // still be running on engines in slow start.
     if (ledger_.enabled())
         engines_.hold_slow_start_until(loop_.now() + settings_.module.overload_window);
     engines_.start();
@@ -102,7 +103,7 @@
     engines_.reload(settings);
 }
 
-// ---- Requests of clients
+// ---- Client requests
 
 void Front::on_http_request(http::Request& request, http::Server::Reply reply) {
     if (statement_api_.handle(request, reply))
@@ -115,14 +116,14 @@
 
 http::Response Front::metrics_page() {
     if (ledger_.enabled())
-        metrics_.ledger(ledger_.status());
+        metrics_.set_ledger_gauges(ledger_.status());
     Metrics::Gauges gauges;
     gauges.statements = static_cast<double>(statements_.size());
     gauges.waiting_bytes = static_cast<double>(statement_api_.waiting_in_all());
     gauges.connections = static_cast<double>(server_.connections());
-    gauges.alpha = driver_.alpha();
+    gauges.sensitive_share = driver_.sensitive_share();
     gauges.finished_statements = static_cast<double>(statement_api_.kept());
-    http::Response response{kStatusOk, {}, metrics_.page(gauges)};
+    http::Response response{kStatusOk, {}, metrics_.render_page(gauges)};
     response.headers.add("Content-Type", "text/plain; version=0.0.4");
     return response;
 }
@@ -139,7 +140,7 @@
 }
 
 http::Response Front::reject(const Rejection& rejection) {
-    metrics_.rejected(rejection.reason);
+    metrics_.count_rejected(rejection.reason);
     auto response = statement::text_response(rejection.status, rejection.text);
     if (rejection.status == kStatusTooManyRequests || rejection.status == kStatusUnavailable)
         response.headers.add("Retry-After",
@@ -158,7 +159,7 @@
     statement->arrived_at = loop_.now();
     statement->deadline = statement->arrived_at + accepted.time_left;
     ledger_.record_accepted(*statement, accepted.route_tenant, *accepted.class_settings);
-    metrics_.accepted(statement->route.cls);
+    metrics_.count_accepted(statement->route.cls);
     const statement::Context& context = statement->submission.context;
     RequestArrived arrived{id,
                            statement->route.cls,
@@ -213,13 +214,13 @@
 }
 
 std::string Front::status_members() {
-    return front::status_members(
-        engines_,
-        {statements_.size(), statement_api_.waiting_in_all(), server_.connections(), driver_.alpha()},
-        ledger_.status_member());
+    return front::status_members(engines_,
+                                 {statements_.size(), statement_api_.waiting_in_all(), server_.connections(),
+                                  driver_.sensitive_share()},
+                                 ledger_.status_member());
 }
 
-// ---- Events of the policy, and its actions
+// ---- Events and actions of the policy
 
 bool Front::is_dropped(const Event& event) const {
     return deps_.drop_event && deps_.drop_event(event);
@@ -233,7 +234,8 @@
 void Front::on_endpoint_update(const EndpointUpdate& update) {
     if (is_dropped(update))
         return;
-    // Before the policy gets it: what the policy sends upon it is checked against the new states.
+    // Applied before the policy receives the update, so that the guard checks the attempts that the policy
+    // sends in response against the new states.
     draining_endpoints_.apply(update, engines_, loop_.now());
     driver_.post(update);
     dispatcher_.withdraw_unsent_to_draining();
@@ -259,16 +261,16 @@
                    [&](const CheckHealth& check) {
                        check_health(check);
                    },
-                   [&](const BroadcastToPeers&) {},  // a front has no peers
+                   [&](const BroadcastToPeers&) {},  // a front has no peer fronts
                    [&](const WatchEndpoints&) {
                        engines_.poll_source();
                    },
-                   [&](const StartTimer&) {},  // kept by the driver
+                   [&](const StartTimer&) {},  // handled by PolicyDriver
                },
                action);
 }
 
-// For attempts from now on: the statement API has no way to change one in flight.
+// The grant applies to later attempts only: the statement API cannot change an attempt in flight.
 void Front::apply_grant(const ResourceGrant& grant) {
     ActiveStatement* statement = statements_.find(grant.id);
     if (!statement)
--- a/src/front/status.cpp
+++ b/src/front/status.cpp
@@ -5,7 +5,7 @@
 namespace gatetiller::front {
 namespace {
 
-// As the status API and the endpoint lists spell it.
+// Returns the name used in the status API and in endpoint lists.
 const char* api_name_of(EndpointState state) {
     switch (state) {
         case EndpointState::ready:
@@ -27,14 +27,14 @@
 
 }  // namespace
 
-std::string status_members(const EngineRegistry& engines, const StatusFigures& figures,
+std::string status_members(const EngineRegistry& engines, const StatusValues& values,
                            const std::string& ledger_member) {
-    std::string list;
+    std::string engine_list;
     for (const auto& [id, engine] : engines.all())
-        list += (list.empty() ? "" : ",") + json_of(*engine);
-    return R"(,"engines":[)" + list + R"(],"statements":)" + std::to_string(figures.statements) +
-           R"(,"waitingBytes":)" + std::to_string(figures.waiting_bytes) + R"(,"connections":)" +
-           std::to_string(figures.connections) + R"(,"alpha":)" + std::to_string(figures.alpha) +
+        engine_list += (engine_list.empty() ? "" : ",") + json_of(*engine);
+    return R"(,"engines":[)" + engine_list + R"(],"statements":)" + std::to_string(values.statements) +
+           R"(,"waitingBytes":)" + std::to_string(values.waiting_bytes) + R"(,"connections":)" +
+           std::to_string(values.connections) + R"(,"alpha":)" + std::to_string(values.sensitive_share) +
            ledger_member;
 }
 
