--- a/src/discovery/dns_endpoint_source.cpp
+++ b/src/discovery/dns_endpoint_source.cpp
@@ -15,7 +15,7 @@
 constexpr Micros kInjectedBackoffFactor = 6;  // multiple of `backoff_poll_interval`
 
 // Applies a "key=value" string of a TXT record; unknown keys are ignored.
-void apply_text(decide::DiscoveredEndpoint& endpoint, std::string_view text) {
+void apply_txt_string(decide::DiscoveredEndpoint& endpoint, std::string_view text) {
     const std::size_t equals = text.find('=');
     if (equals == std::string_view::npos)
         return;
@@ -30,34 +30,34 @@
 }
 
 // Returns the endpoint of an SRV record, whose target is "name.zone.domain".
-Result<decide::DiscoveredEndpoint> endpoint_of(const dns::SrvRecord& service, const dns::Response& answer) {
+Result<decide::DiscoveredEndpoint> endpoint_of(const dns::SrvRecord& record, const dns::Response& response) {
     decide::DiscoveredEndpoint endpoint;
-    const std::string& target = service.target;
+    const std::string& target = record.target;
     const std::size_t name_end = target.find('.');
     if (name_end == std::string::npos)
-        return Error{"a target without a zone: " + target};
+        return Error{"SRV target without a zone: " + target};
     const std::size_t zone_end = target.find('.', name_end + 1);
     endpoint.name = target.substr(0, name_end);
     endpoint.zone = target.substr(
         name_end + 1, zone_end == std::string::npos ? std::string::npos : zone_end - name_end - 1);
-    const auto address = answer.addresses.find(target);
-    if (address == answer.addresses.end())
-        return Error{"no address of " + target};
-    endpoint.address = address->second + ":" + std::to_string(service.port);
-    endpoint.state = service.priority == 0 ? EndpointState::ready : EndpointState::draining;
-    endpoint.share = service.weight / kSrvWeightPerShare;
-    const auto texts = answer.texts.find(target);
-    if (texts != answer.texts.end())
+    const auto address = response.addresses.find(target);
+    if (address == response.addresses.end())
+        return Error{"no A record for SRV target " + target};
+    endpoint.address = address->second + ":" + std::to_string(record.port);
+    endpoint.state = record.priority == 0 ? EndpointState::ready : EndpointState::draining;
+    endpoint.share = record.weight / kSrvWeightPerShare;
+    const auto texts = response.texts.find(target);
+    if (texts != response.texts.end())
         for (const std::string_view text : texts->second)
-            apply_text(endpoint, text);
+            apply_txt_string(endpoint, text);
     return endpoint;
 }
 
 // Fails if a record lacks its zone or its address.
-Result<std::vector<decide::DiscoveredEndpoint>> endpoints_of(const dns::Response& answer) {
+Result<std::vector<decide::DiscoveredEndpoint>> endpoints_of(const dns::Response& response) {
     std::vector<decide::DiscoveredEndpoint> endpoints;
-    for (const auto& service : answer.srv_records) {
-        auto endpoint = endpoint_of(service, answer);
+    for (const auto& record : response.srv_records) {
+        auto endpoint = endpoint_of(record, response);
         if (!endpoint)
             return endpoint.failure();
         endpoints.push_back(std::move(*endpoint));
@@ -122,9 +122,10 @@
     const Micros now = loop_.now();
     while (!pending_polls_.empty() && pending_polls_.front().sent_at < now - settings_.response_lifetime)
         pending_polls_.pop_front();
-    const bool port_is_due = unanswered_polls_ > 0 && unanswered_polls_ % settings_.attempts_per_port == 0;
+    const bool port_renewal_due =
+        unanswered_polls_ > 0 && unanswered_polls_ % settings_.attempts_per_port == 0;
     // If no descriptor is left for a new port, the old one remains in use.
-    if (port_is_due && settings_.renew_port)
+    if (port_renewal_due && settings_.renew_port)
         (void)open_port();
     close_old_ports();
     const auto id = static_cast<std::uint16_t>(random_.next());
@@ -147,13 +148,15 @@
 // Interval between polls while the server responds. Its growth with the response size bounds the traffic of
 // long lists.
 Micros DnsEndpointSource::steady_interval() const {
-    const Micros by_size = settings_.poll_interval * static_cast<Micros>(response_bytes_) /
-                           static_cast<Micros>(settings_.typical_response_bytes);
-    const Micros usual = std::max(settings_.poll_interval, std::min(by_size, settings_.max_poll_interval));
+    const Micros size_based = settings_.poll_interval * static_cast<Micros>(response_bytes_) /
+                              static_cast<Micros>(settings_.typical_response_bytes);
+    const Micros typical =
+        std::max(settings_.poll_interval, std::min(size_based, settings_.max_poll_interval));
     // A server that no longer responds does not count as slow, even if its last round trip was long.
-    const bool responds = loop_.now() - last_response_at_ <= round_trip_ + settings_.slow_poll_interval;
-    const bool slow = round_trip_ > settings_.poll_interval && responds;
-    return slow ? std::max(usual, settings_.slow_poll_interval) : usual;
+    const bool server_responds =
+        loop_.now() - last_response_at_ <= round_trip_ + settings_.slow_poll_interval;
+    const bool slow = round_trip_ > settings_.poll_interval && server_responds;
+    return slow ? std::max(typical, settings_.slow_poll_interval) : typical;
 }
 
 // Delay until the next poll if this one is not answered.
@@ -168,20 +171,21 @@
     return std::min(steady_interval(), std::max(settings_.response_timeout, by_round_trip));
 }
 
-Micros DnsEndpointSource::with_jitter(Micros span) {
+Micros DnsEndpointSource::with_jitter(Micros interval) {
     const double offset = settings_.jitter * (2 * random_.uniform() - 1);
-    return span + static_cast<Micros>(offset * static_cast<double>(span));
+    return interval + static_cast<Micros>(offset * static_cast<double>(interval));
 }
 
 void DnsEndpointSource::on_datagram(const net::Address& sender, std::string_view message) {
     if (sender != server_ || message.size() < kIdBytes)
         return;
     const auto id = static_cast<std::uint16_t>(read_big_endian(message.substr(0, kIdBytes)));
-    const auto poll = std::find_if(pending_polls_.begin(), pending_polls_.end(), [&](const PendingPoll& p) {
-        return p.id == id;
-    });
+    const auto poll =
+        std::find_if(pending_polls_.begin(), pending_polls_.end(), [&](const PendingPoll& pending) {
+            return pending.id == id;
+        });
     if (poll == pending_polls_.end())
-        return events_.on_bad_response("an answer under an id not asked with");
+        return events_.on_bad_response("response with an unknown message id");
     on_response(PendingPoll{*poll}, message);
 }
 
@@ -210,19 +214,19 @@
 
 // Returns nothing for a malformed response, which is reported.
 std::optional<ReceivedUpdate> DnsEndpointSource::parse(const PendingPoll& poll, std::string_view message) {
-    const auto answer = dns::parse_response(message, poll.id, service_name_);
-    if (!answer) {
-        events_.on_bad_response(answer.error());
+    const auto response = dns::parse_response(message, poll.id, service_name_);
+    if (!response) {
+        events_.on_bad_response(response.error());
         return std::nullopt;
     }
-    auto endpoints = endpoints_of(*answer);
+    auto endpoints = endpoints_of(*response);
     if (!endpoints) {
         events_.on_bad_response(endpoints.error());
         return std::nullopt;
     }
     last_content_ = message.substr(kIdBytes);
-    last_serial_ = answer->serial;
-    return ReceivedUpdate{answer->serial, poll.sent_at, std::move(*endpoints)};
+    last_serial_ = response->serial;
+    return ReceivedUpdate{response->serial, poll.sent_at, std::move(*endpoints)};
 }
 
 }  // namespace gatetiller::discovery
--- a/src/discovery/dns_endpoint_source.hpp
+++ b/src/discovery/dns_endpoint_source.hpp
@@ -105,7 +105,7 @@
     void close_old_ports();
     Micros steady_interval() const;
     Micros delay_after_poll() const;
-    Micros with_jitter(Micros span);
+    Micros with_jitter(Micros interval);
     void on_datagram(const net::Address& sender, std::string_view message);
     void on_response(const PendingPoll& poll, std::string_view message);
     std::optional<ReceivedUpdate> parse(const PendingPoll& poll, std::string_view message);
--- a/src/discovery/endpoint_cache.cpp
+++ b/src/discovery/endpoint_cache.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 // Names of the states in an engine list, as parsed by config::read_engine_list.
-const char* list_name_of(EndpointState state) {
+const char* state_name_in_list(EndpointState state) {
     switch (state) {
         case EndpointState::ready:
             return "on";
@@ -30,7 +30,7 @@
                                 {"kind", engine.kind},
                                 {"cell", engine.cell},
                                 {"share", engine.share},
-                                {"state", list_name_of(engine.state)}};
+                                {"state", state_name_in_list(engine.state)}};
     auto written = replace_file(file, nlohmann::json{{"engines", std::move(engines)}}.dump(1) + "\n");
     if (!written)
         return Error{"the endpoint list cannot be cached: " + written.error(), written.failure().code};
--- a/src/discovery/endpoint_source.cpp
+++ b/src/discovery/endpoint_source.cpp
@@ -31,11 +31,11 @@
     }
 
     void poll() override {
-        std::ifstream in(file_, std::ios::binary);
+        std::ifstream stream(file_, std::ios::binary);
         std::ostringstream text;
-        if (in)
-            text << in.rdbuf();
-        if (!in || text.str().size() > kMaxListBytes)
+        if (stream)
+            text << stream.rdbuf();
+        if (!stream || text.str().size() > kMaxListBytes)
             return on_failure(file_ + ": cannot be read: " + std::strerror(errno));
         if (available_ && text.str() == last_text_)
             return;
@@ -103,11 +103,11 @@
             request.headers.add("If-None-Match", entity_tag_);
         fetch_in_flight_ = client_.send(request, std::max(poll_interval_, kMinFetchTimeout),
                                         [this](const http::Answer& answer) {
-                                            on_answer(answer);
+                                            on_response(answer);
                                         });
     }
 
-    void on_answer(const http::Answer& answer) {
+    void on_response(const http::Answer& answer) {
         poll_timer_ = loop_.after(poll_interval_, [this] {
             fetch();
         });
@@ -121,8 +121,8 @@
             return;
         }
         if (answer.response.status != kStatusOk)
-            return on_failure("status " + std::to_string(answer.response.status), requested);
-        auto list = config::read_engine_list(answer.response.body, "http list " + path_);
+            return on_failure("HTTP status " + std::to_string(answer.response.status), requested);
+        auto list = config::read_engine_list(answer.response.body, "HTTP list " + path_);
         if (!list)
             return on_failure(list.error(), requested);
         entity_tag_ = answer.response.headers.find("ETag").value_or("");
--- a/src/dns/dns.cpp
+++ b/src/dns/dns.cpp
@@ -10,9 +10,9 @@
 namespace gatetiller::dns {
 namespace {
 
-constexpr std::size_t kHeader = 12;
+constexpr std::size_t kHeaderBytes = 12;
 
-std::string plain(std::string_view name) {
+std::string normalized_name(std::string_view name) {
     while (name.ends_with('.'))
         name.remove_suffix(1);
     std::string out(name);
@@ -21,13 +21,13 @@
     return out;
 }
 
-// Calls `take` for each record of a section. Returns false if a record can't be parsed or is rejected by
-// `take`.
-template <typename Take>
-bool each(ns_msg& message, ns_sect section, Take take) {
+// Calls `visit` for each record of a section. Returns false if a record can't be parsed or is rejected by
+// `visit`.
+template <typename Visitor>
+bool for_each_record(ns_msg& message, ns_sect section, Visitor visit) {
     for (int i = 0; i < ns_msg_count(message, section); ++i) {
         ns_rr record;
-        if (ns_parserr(&message, section, i, &record) != 0 || !take(record))
+        if (ns_parserr(&message, section, i, &record) != 0 || !visit(record))
             return false;
     }
     return true;
@@ -57,83 +57,83 @@
 
 Result<Response> parse_response(std::string_view bytes, std::uint16_t id, const std::string& name) {
     ns_msg message;
-    if (bytes.size() < kHeader || ns_initparse(reinterpret_cast<const unsigned char*>(bytes.data()),
-                                               static_cast<int>(bytes.size()), &message) != 0)
-        return Error{"a message that can't be read"};
+    if (bytes.size() < kHeaderBytes || ns_initparse(reinterpret_cast<const unsigned char*>(bytes.data()),
+                                                    static_cast<int>(bytes.size()), &message) != 0)
+        return Error{"malformed message"};
     if (ns_msg_id(message) != id || ns_msg_getflag(message, ns_f_qr) != 1)
-        return Error{"not this question's answer"};
+        return Error{"not a response to this query"};
     if (ns_msg_getflag(message, ns_f_tc) != 0)
-        return Error{"cut short"};
+        return Error{"truncated response"};
     if (ns_msg_getflag(message, ns_f_rcode) != ns_r_noerror)
-        return Error{"the name service reports failure " +
-                     std::to_string(ns_msg_getflag(message, ns_f_rcode))};
-    const auto data = [&](const ns_rr& r) {
-        return reinterpret_cast<const unsigned char*>(ns_rr_rdata(r));
+        return Error{"error response with RCODE " + std::to_string(ns_msg_getflag(message, ns_f_rcode))};
+    const auto data = [&](const ns_rr& record) {
+        return reinterpret_cast<const unsigned char*>(ns_rr_rdata(record));
     };
-    const std::string wanted = plain(name);
-    const bool asked = each(message, ns_s_qd, [&](const ns_rr& r) {
-        return plain(ns_rr_name(r)) == wanted && ns_rr_type(r) == ns_t_srv;
+    const std::string queried_name = normalized_name(name);
+    const bool question_matches = for_each_record(message, ns_s_qd, [&](const ns_rr& record) {
+        return normalized_name(ns_rr_name(record)) == queried_name && ns_rr_type(record) == ns_t_srv;
     });
-    if (!asked)
-        return Error{"an answer to another question"};
-    Response answer;
-    bool serial = false;
-    const auto name_at = [&](const unsigned char* at, std::string& into) {
+    if (!question_matches)
+        return Error{"response to another question"};
+    Response response;
+    bool has_serial = false;
+    const auto read_name = [&](const unsigned char* position, std::string& result) {
         char text[NS_MAXDNAME];
-        const int taken =
-            ns_name_uncompress(ns_msg_base(message), ns_msg_end(message), at, text, sizeof text);
-        if (taken >= 0)
-            into = plain(text);
-        return taken;
+        const int length =
+            ns_name_uncompress(ns_msg_base(message), ns_msg_end(message), position, text, sizeof text);
+        if (length >= 0)
+            result = normalized_name(text);
+        return length;
     };
-    const auto take = [&](const ns_rr& r) {
-        const unsigned char* at = data(r);
-        const unsigned char* const end = at + ns_rr_rdlen(r);
-        switch (ns_rr_type(r)) {
+    const auto read_record = [&](const ns_rr& record) {
+        const unsigned char* position = data(record);
+        const unsigned char* const end = position + ns_rr_rdlen(record);
+        switch (ns_rr_type(record)) {
             case ns_t_srv: {
-                SrvRecord s;
-                if (ns_rr_rdlen(r) < 7)
+                SrvRecord srv;
+                if (ns_rr_rdlen(record) < 7)
                     return false;
-                s.priority = static_cast<std::uint16_t>(ns_get16(at));
-                s.weight = static_cast<std::uint16_t>(ns_get16(at + 2));
-                s.port = static_cast<std::uint16_t>(ns_get16(at + 4));
-                if (const int n = name_at(at + 6, s.target); n < 0 || at + 6 + n != end)
+                srv.priority = static_cast<std::uint16_t>(ns_get16(position));
+                srv.weight = static_cast<std::uint16_t>(ns_get16(position + 2));
+                srv.port = static_cast<std::uint16_t>(ns_get16(position + 4));
+                if (const int length = read_name(position + 6, srv.target);
+                    length < 0 || position + 6 + length != end)
                     return false;
-                if (plain(ns_rr_name(r)) == wanted)
-                    answer.srv_records.push_back(std::move(s));
+                if (normalized_name(ns_rr_name(record)) == queried_name)
+                    response.srv_records.push_back(std::move(srv));
                 return true;
             }
             case ns_t_a: {
-                if (ns_rr_rdlen(r) != 4)
+                if (ns_rr_rdlen(record) != 4)
                     return false;
                 char text[INET_ADDRSTRLEN];
-                inet_ntop(AF_INET, at, text, sizeof text);
-                answer.addresses[plain(ns_rr_name(r))] = text;
+                inet_ntop(AF_INET, position, text, sizeof text);
+                response.addresses[normalized_name(ns_rr_name(record))] = text;
                 return true;
             }
             case ns_t_txt: {
-                auto& texts = answer.texts[plain(ns_rr_name(r))];
-                while (at < end) {
-                    const std::size_t size = *at++;
-                    if (size > static_cast<std::size_t>(end - at))
+                auto& texts = response.texts[normalized_name(ns_rr_name(record))];
+                while (position < end) {
+                    const std::size_t size = *position++;
+                    if (size > static_cast<std::size_t>(end - position))
                         return false;
-                    texts.emplace_back(reinterpret_cast<const char*>(at), size);
-                    at += size;
+                    texts.emplace_back(reinterpret_cast<const char*>(position), size);
+                    position += size;
                 }
                 return true;
             }
             case ns_t_soa: {
-                std::string skipped;
-                for (int names = 0; names < 2; ++names) {
-                    const int n = name_at(at, skipped);
-                    if (n < 0 || n > end - at)
+                std::string unused_name;
+                for (int i = 0; i < 2; ++i) {
+                    const int length = read_name(position, unused_name);
+                    if (length < 0 || length > end - position)
                         return false;
-                    at += n;
+                    position += length;
                 }
-                if (end - at != 20)
+                if (end - position != 20)
                     return false;
-                answer.serial = static_cast<std::uint32_t>(ns_get32(at));
-                serial = true;
+                response.serial = static_cast<std::uint32_t>(ns_get32(position));
+                has_serial = true;
                 return true;
             }
             default:
@@ -141,11 +141,11 @@
         }
     };
     for (const ns_sect section : {ns_s_an, ns_s_ns, ns_s_ar})
-        if (!each(message, section, take))
-            return Error{"a record that can't be read"};
-    if (!serial)
-        return Error{"an answer without a serial"};
-    return answer;
+        if (!for_each_record(message, section, read_record))
+            return Error{"malformed record"};
+    if (!has_serial)
+        return Error{"response without an SOA record"};
+    return response;
 }
 
 }  // namespace gatetiller::dns
--- a/src/store/accounting_store.cpp
+++ b/src/store/accounting_store.cpp
@@ -17,8 +17,8 @@
     LoggedQuery query;
     std::vector<std::string> tags;
     for (const auto& tag : event.tags) {
-        if (auto name = decide::parse_attempt_tag(tag))
-            query.attempt_tag = std::move(name);
+        if (auto attempt_tag = decide::parse_attempt_tag(tag))
+            query.attempt_tag = std::move(attempt_tag);
         else
             tags.push_back(tag);
     }
@@ -44,17 +44,17 @@
     EntryJoin(EventCursor& events, const std::function<void(const AccountEntry&)>& visit)
         : events_(events), visit_(visit) {}
 
-    void visit_unnamed_events() {
+    void visit_untagged_events() {
         while (events_.valid() && !events_.event().attempt_tag)
             visit_event();
     }
     void visit_request(const RequestAccount& account) {
-        while (events_.valid() && name_of_event() < name_of(account))
+        while (events_.valid() && id_of_event() < id_of(account))
             visit_event();
         entry_.account = &account;
         entry_.events_by_attempt.assign(account.attempts.size(), {});
         entry_.unmatched_events.clear();
-        for (; events_.valid() && name_of_event() == name_of(account); events_.next())
+        for (; events_.valid() && id_of_event() == id_of(account); events_.next())
             add_event(account);
         visit_(entry_);
     }
@@ -64,12 +64,12 @@
     }
 
 private:
-    using RequestName = std::tuple<const std::string&, std::uint32_t>;
+    using RequestId = std::tuple<const std::string&, std::uint32_t>;
 
-    static RequestName name_of(const RequestAccount& account) {
+    static RequestId id_of(const RequestAccount& account) {
         return {account.incarnation->name, account.request.number};
     }
-    RequestName name_of_event() const {
+    RequestId id_of_event() const {
         return {events_.event().attempt_tag->incarnation, events_.event().attempt_tag->request};
     }
     void visit_event() {
@@ -122,14 +122,14 @@
     return LedgerCollector(ledger_, file).collect();
 }
 
-StoreFailure AccountingStore::put_event(Statement& put, const LoggedQuery& event, bool& inserted) {
-    const auto name = event.attempt_tag.value_or(decide::AttemptTag{});
-    put.bind(0, name.incarnation).bind(1, name.request).bind(2, name.attempt);
-    put.bind(3, event.engine).bind(4, event.id).bind(5, event.user).bind(6, event.source);
-    put.bind(7, event.tags).bind(8, event.created).bind(9, event.ended).bind(10, event.work);
-    put.bind(11, event.peak_bytes).bind(12, event.spilled_bytes).bind(13, event.row_bytes);
-    put.bind(14, event.error);
-    auto failure = put.run();
+StoreFailure AccountingStore::insert_event(Statement& insert, const LoggedQuery& event, bool& inserted) {
+    const auto tag = event.attempt_tag.value_or(decide::AttemptTag{});
+    insert.bind(0, tag.incarnation).bind(1, tag.request).bind(2, tag.attempt);
+    insert.bind(3, event.engine).bind(4, event.id).bind(5, event.user).bind(6, event.source);
+    insert.bind(7, event.tags).bind(8, event.created).bind(9, event.ended).bind(10, event.work);
+    insert.bind(11, event.peak_bytes).bind(12, event.spilled_bytes).bind(13, event.row_bytes);
+    insert.bind(14, event.error);
+    auto failure = insert.run();
     inserted = !failure && ledger_.db().changed_rows() > 0;
     return failure;
 }
@@ -139,9 +139,9 @@
     ChunkedTransaction transaction(ledger_.db());
     if (transaction.failure())
         return Error{transaction.failure().text};
-    auto put = ledger_.db().prepare("INSERT OR IGNORE INTO events VALUES(?,?,?,?,?,?,?,?,?,?,?,?,?,?,?)");
-    if (put.failure())
-        return Error{put.failure().text};
+    auto insert = ledger_.db().prepare("INSERT OR IGNORE INTO events VALUES(?,?,?,?,?,?,?,?,?,?,?,?,?,?,?)");
+    if (insert.failure())
+        return Error{insert.failure().text};
     std::string line;
     for (std::int64_t number = 1; std::getline(lines, line); ++number) {
         if (lines.eof())
@@ -155,7 +155,7 @@
             continue;
         }
         bool inserted = false;
-        if (auto failure = put_event(put, logged_query(*event), inserted))
+        if (auto failure = insert_event(insert, logged_query(*event), inserted))
             return Error{failure.text};
         (inserted ? result.events : result.known_events) += 1;
         if (auto failure = transaction.on_row_written())
@@ -166,13 +166,14 @@
     return result;
 }
 
-StoreFailure AccountingStore::incarnations(std::map<std::string, decide::IncarnationRecord>& to) {
+StoreFailure AccountingStore::incarnations(
+    std::map<std::string, decide::IncarnationRecord>& records_by_name) {
     std::vector<Incarnation> all;
     if (auto failure = ledger_.incarnations(all))
         return failure;
     RecordsByRow records;
     for (const Incarnation& incarnation : all)
-        records[incarnation.row] = &to[incarnation.name];
+        records[incarnation.row] = &records_by_name[incarnation.name];
     if (auto failure = read_gaps(records))
         return failure;
     for (const Incarnation& incarnation : all)
@@ -208,7 +209,7 @@
                                              const DamageReporter& damaged) {
     EventCursor events(ledger_.db());
     EntryJoin join(events, visit);
-    join.visit_unnamed_events();
+    join.visit_untagged_events();
     const auto visit_request = [&](const RequestAccount& account) {
         join.visit_request(account);
     };
--- a/src/store/accounting_store.hpp
+++ b/src/store/accounting_store.hpp
@@ -41,9 +41,9 @@
     // no request. Events without an attempt tag are visited first. Unreadable data is reported to `damaged`.
     StoreFailure for_each_entry(const std::function<void(const AccountEntry&)>& visit,
                                 const DamageReporter& damaged);
-    // Adds the gaps and the clock slack of each incarnation to `to`, by incarnation name. An incarnation that
-    // was neither ended nor marked as killed gets an open gap after its last commit.
-    StoreFailure incarnations(std::map<std::string, decide::IncarnationRecord>& to);
+    // Adds the gaps and the clock slack of each incarnation to `records_by_name`, by incarnation name. An
+    // incarnation that was neither ended nor marked as killed gets an open gap after its last commit.
+    StoreFailure incarnations(std::map<std::string, decide::IncarnationRecord>& records_by_name);
     Ledger& ledger() {
         return ledger_;
     }
@@ -53,7 +53,7 @@
 
     StoreFailure read_gaps(const RecordsByRow& records);
     StoreFailure read_clock_slack(const RecordsByRow& records);
-    StoreFailure put_event(Statement& put, const decide::LoggedQuery& event, bool& inserted);
+    StoreFailure insert_event(Statement& insert, const decide::LoggedQuery& event, bool& inserted);
 
     Ledger ledger_;
 };
--- a/src/store/db.cpp
+++ b/src/store/db.cpp
@@ -9,7 +9,7 @@
 
 constexpr int kBusyTimeoutMilliseconds = 2000;  // wait for another process to commit
 
-StoreError error_of(int code) {
+StoreError to_store_error(int code) {
     switch (code & 0xff) {
         case SQLITE_OK:
         case SQLITE_ROW:
@@ -119,12 +119,12 @@
 }
 
 StoreFailure Db::to_failure(int code) const {
-    if (error_of(code) == StoreError::none)
+    if (to_store_error(code) == StoreError::none)
         return {};
     const int extended = handle_ ? sqlite3_extended_errcode(handle_) : code;
     std::string text = file_ + ": " + (handle_ ? sqlite3_errmsg(handle_) : sqlite3_errstr(code)) + " (" +
                        std::to_string(extended) + ")";
-    return {error_of(code), std::move(text)};
+    return {to_store_error(code), std::move(text)};
 }
 
 StoreFailure Db::exec(const std::string& sql) {
@@ -169,20 +169,20 @@
     return std::string();
 }
 
-StoreFailure Db::copy_to(const std::string& file, int pages_at_once) {
-    Db to;
-    if (auto failure = to.open(file, {}))
+StoreFailure Db::copy_to(const std::string& file, int pages_per_step) {
+    Db target;
+    if (auto failure = target.open(file, {}))
         return failure;
-    sqlite3_backup* backup = sqlite3_backup_init(to.handle_, "main", handle_, "main");
+    sqlite3_backup* backup = sqlite3_backup_init(target.handle_, "main", handle_, "main");
     if (!backup)
-        return to.to_failure(sqlite3_errcode(to.handle_));
+        return target.to_failure(sqlite3_errcode(target.handle_));
     int code = SQLITE_OK;
     // A writer waits for one step at most.
     do
-        code = sqlite3_backup_step(backup, pages_at_once);
+        code = sqlite3_backup_step(backup, pages_per_step);
     while (code == SQLITE_OK || code == SQLITE_BUSY || code == SQLITE_LOCKED);
     sqlite3_backup_finish(backup);
-    return code == SQLITE_DONE ? StoreFailure{} : to.to_failure(code);
+    return code == SQLITE_DONE ? StoreFailure{} : target.to_failure(code);
 }
 
 }  // namespace gatetiller::store
--- a/src/store/db.hpp
+++ b/src/store/db.hpp
@@ -89,8 +89,8 @@
     std::int64_t last_insert_row() const;
     std::int64_t changed_rows() const;
 
-    // Copies the database, `pages_at_once` pages at a time, while other connections may write to it.
-    StoreFailure copy_to(const std::string& file, int pages_at_once);
+    // Copies the database, `pages_per_step` pages at a time, while other connections may write to it.
+    StoreFailure copy_to(const std::string& file, int pages_per_step);
     const std::string& file() const {
         return file_;
     }
--- a/src/store/failure.cpp
+++ b/src/store/failure.cpp
@@ -6,27 +6,26 @@
 namespace gatetiller::store {
 
 StoreFailure not_open(const std::string& file) {
-    return {StoreError::no_access, file + ": not open"};
+    return {StoreError::no_access, file + ": the database is not open"};
 }
 
 StoreFailure foreign_database(const std::string& file) {
     return {StoreError::foreign,
-            file + ": is a database of another program; name another file for the ledger"};
+            file + ": database of another program; configure another file for the ledger"};
 }
 
 StoreFailure unknown_version(const std::string& file, std::int64_t version, std::int64_t known) {
-    return {StoreError::foreign, file + ": is a ledger of version " + std::to_string(version) +
-                                     ", this program knows " + std::to_string(known) +
-                                     ": use the newer program, or name another file"};
+    return {StoreError::foreign, file + ": ledger of schema version " + std::to_string(version) +
+                                     ", but this program supports versions up to " + std::to_string(known) +
+                                     "; use a newer program or another file"};
 }
 
 StoreFailure empty_file(const std::string& file) {
-    return {StoreError::foreign, file + ": is empty, not a ledger"};
+    return {StoreError::foreign, file + ": empty file, not a ledger"};
 }
 
 StoreFailure locked_by_another(const std::string& file) {
-    return {StoreError::locked,
-            file + ": another process keeps this ledger; give each front a file of its own"};
+    return {StoreError::locked, file + ": locked by another process; each front needs its own ledger file"};
 }
 
 StoreFailure lock_unavailable(const std::string& lock_file, int error_number) {
--- a/src/store/ledger.cpp
+++ b/src/store/ledger.cpp
@@ -10,9 +10,9 @@
 
 // Time for which requests may be uncommitted: a flush interval, a commit, and clock steps below the detection
 // threshold.
-constexpr Micros kUncommittedTail = 300 * kMillisecond;
-constexpr int kPagesFreedAtOnce = 1000;
-constexpr int kPagesCopiedAtOnce = 500;
+constexpr Micros kMaxUncommittedDuration = 300 * kMillisecond;
+constexpr int kPagesFreedPerExpiry = 1000;
+constexpr int kPagesCopiedPerStep = 500;
 
 }  // namespace
 
@@ -36,8 +36,8 @@
     insert_gap_ = db_.prepare(
         "INSERT OR IGNORE INTO gaps(life,cause,since,until,requests,updates) VALUES(?,?,?,?,?,?)");
     insert_clock_step_ = db_.prepare("INSERT OR IGNORE INTO clock_steps VALUES(?,?,?)");
-    update_last_ = db_.prepare("UPDATE lives SET last=? WHERE row=?");
-    for (const Statement* statement : {&insert_gap_, &insert_clock_step_, &update_last_})
+    update_last_commit_ = db_.prepare("UPDATE lives SET last=? WHERE row=?");
+    for (const Statement* statement : {&insert_gap_, &insert_clock_step_, &update_last_commit_})
         if (statement->failure())
             return statement->failure();
     return codec_.prepare();
@@ -46,7 +46,7 @@
 void Ledger::close() {
     insert_gap_ = {};
     insert_clock_step_ = {};
-    update_last_ = {};
+    update_last_commit_ = {};
     codec_.close();
     incarnation_row_ = 0;
     db_.close();
@@ -68,7 +68,7 @@
     return find.failure();
 }
 
-StoreFailure Ledger::begin_incarnation(const std::string& name, const std::string& front, Micros wall,
+StoreFailure Ledger::begin_incarnation(const std::string& name, const std::string& front, Micros wall_now,
                                        RecoveredState& recovered) {
     Transaction transaction(db_);
     if (transaction.begin_failure())
@@ -80,10 +80,10 @@
         return incarnation.name == name;
     });
     std::int64_t row = 0;
-    if (auto failure = upsert_incarnation({0, name, front, wall, wall, 0}, row))
+    if (auto failure = upsert_incarnation({0, name, front, wall_now, wall_now, 0}, row))
         return failure;
     if (!known)
-        if (auto failure = recover(earlier, wall, recovered))
+        if (auto failure = recover(earlier, wall_now, recovered))
             return failure;
     if (auto failure = transaction.commit())
         return failure;
@@ -91,7 +91,7 @@
     return {};
 }
 
-StoreFailure Ledger::recover(const std::vector<Incarnation>& earlier, Micros wall,
+StoreFailure Ledger::recover(const std::vector<Incarnation>& earlier, Micros wall_now,
                              RecoveredState& recovered) {
     if (auto failure =
             mark_interrupted<RequestRow>("SELECT * FROM requests WHERE state=0 ORDER BY row",
@@ -103,7 +103,8 @@
         return failure;
     if (earlier.empty() || earlier.back().ended_at != 0)
         return {};
-    recovered.killed_gap = decide::gap_after_kill(earlier.back().last_commit_at, wall, kUncommittedTail);
+    recovered.killed_gap =
+        decide::gap_after_kill(earlier.back().last_commit_at, wall_now, kMaxUncommittedDuration);
     return add_gap(earlier.back().row, *recovered.killed_gap);
 }
 
@@ -129,9 +130,9 @@
     return {};
 }
 
-StoreFailure Ledger::end_incarnation(Micros wall) {
+StoreFailure Ledger::end_incarnation(Micros wall_now) {
     auto update = db_.prepare("UPDATE lives SET last=?, ended=? WHERE row=?");
-    update.bind(0, wall).bind(1, wall).bind(2, incarnation_row_);
+    update.bind(0, wall_now).bind(1, wall_now).bind(2, incarnation_row_);
     return update.run();
 }
 
@@ -157,13 +158,13 @@
     for (const LedgerGap& gap : batch.gaps)
         if (auto failure = add_gap(incarnation_row_, gap))
             return failure;
-    for (const auto& [at, by] : batch.clock_steps) {
-        insert_clock_step_.bind(0, incarnation_row_).bind(1, at).bind(2, by);
+    for (const auto& [at, step] : batch.clock_steps) {
+        insert_clock_step_.bind(0, incarnation_row_).bind(1, at).bind(2, step);
         if (auto failure = insert_clock_step_.run())
             return failure;
     }
-    update_last_.bind(0, batch.complete_until).bind(1, incarnation_row_);
-    return update_last_.run();
+    update_last_commit_.bind(0, batch.complete_until).bind(1, incarnation_row_);
+    return update_last_commit_.run();
 }
 
 StoreFailure Ledger::add_gap(std::int64_t incarnation_row, const LedgerGap& gap) {
@@ -172,47 +173,48 @@
     return insert_gap_.run();
 }
 
-StoreFailure Ledger::expire(Micros wall, int max_requests, std::int64_t& removed) {
+StoreFailure Ledger::expire(Micros received_before, int max_requests, std::int64_t& removed) {
     removed = 0;
     Transaction transaction(db_);
     if (transaction.begin_failure())
         return transaction.begin_failure();
     std::int64_t last_key = 0;
-    LedgerGap gap{StoreError::none, wall, 0, 0, 0};
-    if (auto failure = select_expired(wall, max_requests, last_key, gap))
+    LedgerGap gap{StoreError::none, received_before, 0, 0, 0};
+    if (auto failure = select_expired(received_before, max_requests, last_key, gap))
         return failure;
     if (last_key == 0)
         return {};
-    if (auto failure = delete_until(last_key))
+    if (auto failure = delete_up_to(last_key))
         return failure;
-    if (auto failure = grow_expired_gap(gap))
+    if (auto failure = extend_expired_gap(gap))
         return failure;
     if (auto failure = transaction.commit())
         return failure;
     removed = gap.requests;
     // Freed pages are returned to the file system in small steps, so that no batch waits long.
-    return db_.exec("PRAGMA incremental_vacuum(" + std::to_string(kPagesFreedAtOnce) + ")");
+    return db_.exec("PRAGMA incremental_vacuum(" + std::to_string(kPagesFreedPerExpiry) + ")");
 }
 
 // Row keys follow the order of receipt, so the oldest requests come first.
-StoreFailure Ledger::select_expired(Micros wall, int max_requests, std::int64_t& last_key, LedgerGap& gap) {
+StoreFailure Ledger::select_expired(Micros received_before, int max_requests, std::int64_t& last_key,
+                                    LedgerGap& gap) {
     auto oldest = db_.prepare("SELECT row, taken, state FROM requests ORDER BY row LIMIT ?");
     oldest.bind(0, max_requests);
     while (oldest.step()) {
-        const Micros taken = oldest.column_int64(1);
+        const Micros received_at = oldest.column_int64(1);
         const bool open = oldest.column_int64(2) == static_cast<int>(RequestState::open);
-        if (taken >= wall || open)
+        if (received_at >= received_before || open)
             break;
         last_key = oldest.column_int64(0);
         ++gap.requests;
-        gap.from = std::min(gap.from, taken);
-        gap.to = std::max(gap.to, taken);
+        gap.from = std::min(gap.from, received_at);
+        gap.to = std::max(gap.to, received_at);
     }
     oldest.reset();
     return oldest.failure();
 }
 
-StoreFailure Ledger::delete_until(std::int64_t last_key) {
+StoreFailure Ledger::delete_up_to(std::int64_t last_key) {
     for (const char* sql : {"DELETE FROM attempts WHERE request<=?", "DELETE FROM requests WHERE row<=?"}) {
         auto remove = db_.prepare(sql);
         remove.bind(0, last_key);
@@ -223,18 +225,18 @@
 }
 
 // A single gap, without incarnation and with cause none, covers all requests removed by age.
-StoreFailure Ledger::grow_expired_gap(const LedgerGap& gap) {
-    auto grow = db_.prepare(
+StoreFailure Ledger::extend_expired_gap(const LedgerGap& gap) {
+    auto extend = db_.prepare(
         "UPDATE gaps SET since=min(since,?), until=max(until,?), requests=requests+? "
         "WHERE cause=0");
-    grow.bind(0, gap.from).bind(1, gap.to).bind(2, gap.requests);
-    if (auto failure = grow.run())
+    extend.bind(0, gap.from).bind(1, gap.to).bind(2, gap.requests);
+    if (auto failure = extend.run())
         return failure;
     return db_.changed_rows() == 0 ? add_gap(0, gap) : StoreFailure{};
 }
 
 StoreFailure Ledger::snapshot(const std::string& file) {
-    return db_.copy_to(file, kPagesCopiedAtOnce);
+    return db_.copy_to(file, kPagesCopiedPerStep);
 }
 
 }  // namespace gatetiller::store
--- a/src/store/ledger.hpp
+++ b/src/store/ledger.hpp
@@ -85,15 +85,15 @@
     // Begins the incarnation to which write() adds rows. Requests and attempts that earlier incarnations had
     // in flight are marked as interrupted, and a gap is added for a killed one. An existing name continues
     // that incarnation, for example after the file was temporarily inaccessible.
-    StoreFailure begin_incarnation(const std::string& name, const std::string& front, Micros wall,
+    StoreFailure begin_incarnation(const std::string& name, const std::string& front, Micros wall_now,
                                    RecoveredState& recovered);
-    StoreFailure end_incarnation(Micros wall);
+    StoreFailure end_incarnation(Micros wall_now);
     StoreFailure write(const Batch& batch);
 
-    // Removes at most `max_requests` of the oldest closed requests received before `wall`, and adds them to
-    // the gap of expired requests. Stops at an open request, so later ones are retained. `removed` is 0 once
-    // none is left.
-    StoreFailure expire(Micros wall, int max_requests, std::int64_t& removed);
+    // Removes at most `max_requests` of the oldest closed requests received before `received_before`, and
+    // adds them to the gap of expired requests. Stops at an open request, so later ones are retained.
+    // `removed` is 0 once none is left.
+    StoreFailure expire(Micros received_before, int max_requests, std::int64_t& removed);
 
     // Work of one requester in one interval.
     struct WorkSample {
@@ -101,8 +101,9 @@
         Micros interval_start = 0;
         Micros work = 0;  // CPU time
     };
-    // Adds the work of all requests received since `wall` to `to`, by requester and by intervals of `step`.
-    StoreFailure work_samples_since(Micros wall, Micros step, std::vector<WorkSample>& to);
+    // Adds the work of all requests received at or after `since` to `samples`, by requester and by intervals
+    // of `step`.
+    StoreFailure work_samples_since(Micros since, Micros step, std::vector<WorkSample>& samples);
 
     // Copies the file; other processes may write to it meanwhile.
     StoreFailure snapshot(const std::string& file);
@@ -115,12 +116,12 @@
     StoreFailure for_each_request_with_key(
         const std::function<void(const Incarnation&, const RequestRow&)>& visit);
 
-    // Adds the incarnations to `to`, ordered by row.
-    StoreFailure incarnations(std::vector<Incarnation>& to);
-    // Adds the gaps to `to`, ordered by time, each with the name of its front.
-    StoreFailure gaps(std::vector<std::pair<std::string, LedgerGap>>& to);
-    // Adds the steps of the wall clock to `to`, ordered by time, as in Batch.
-    StoreFailure clock_steps(std::vector<std::pair<Micros, Micros>>& to);
+    // Adds the incarnations to `result`, ordered by row.
+    StoreFailure incarnations(std::vector<Incarnation>& result);
+    // Adds the gaps to `result`, ordered by time, each with the name of its front.
+    StoreFailure gaps(std::vector<std::pair<std::string, LedgerGap>>& result);
+    // Adds the steps of the wall clock to `result`, ordered by time, as in Batch.
+    StoreFailure clock_steps(std::vector<std::pair<Micros, Micros>>& result);
 
     // For the accounting store: inserts an incarnation of another ledger or extends the existing one, and
     // sets `row` to its row in this file.
@@ -140,12 +141,13 @@
     StoreFailure prepare();
     template <typename Row, typename State>
     StoreFailure mark_interrupted(const char* select_open, State interrupted, std::int64_t& marked);
-    StoreFailure recover(const std::vector<Incarnation>& earlier, Micros wall, RecoveredState& recovered);
+    StoreFailure recover(const std::vector<Incarnation>& earlier, Micros wall_now, RecoveredState& recovered);
     StoreFailure write_rows(const Batch& batch);
     StoreFailure add_gap(std::int64_t incarnation_row, const LedgerGap& gap);
-    StoreFailure select_expired(Micros wall, int max_requests, std::int64_t& last_key, LedgerGap& gap);
-    StoreFailure delete_until(std::int64_t last_key);
-    StoreFailure grow_expired_gap(const LedgerGap& gap);
+    StoreFailure select_expired(Micros received_before, int max_requests, std::int64_t& last_key,
+                                LedgerGap& gap);
+    StoreFailure delete_up_to(std::int64_t last_key);
+    StoreFailure extend_expired_gap(const LedgerGap& gap);
     std::vector<AttemptRow> read_attempts(TableCursor& attempts, const Incarnation& incarnation,
                                           std::int64_t request, const DamageReporter& damaged);
 
@@ -154,7 +156,7 @@
     std::int64_t incarnation_row_ = 0;
     Statement insert_gap_;
     Statement insert_clock_step_;
-    Statement update_last_;
+    Statement update_last_commit_;
 };
 
 }  // namespace gatetiller::store
--- a/src/store/ledger_collector.hpp
+++ b/src/store/ledger_collector.hpp
@@ -23,13 +23,13 @@
     std::vector<std::string> problems;  // unreadable rows and lines, each with its location
 };
 
-// Collects `file` into `to`, once.
+// Collects `file` into `target`, once.
 class LedgerCollector {
 public:
-    LedgerCollector(Ledger& to, std::string file) : to_(to), file_(std::move(file)) {}
+    LedgerCollector(Ledger& target, std::string file) : target_(target), file_(std::move(file)) {}
 
-    // Fails if the ledger can't be opened or `to` can't be written. Of a damaged ledger the readable rows are
-    // collected: `problems` lists the unreadable ones, and each incarnation gets a gap over its whole
+    // Fails if the ledger can't be opened or `target` can't be written. Of a damaged ledger the readable rows
+    // are collected: `problems` lists the unreadable ones, and each incarnation gets a gap over its whole
     // duration.
     Result<CollectResult> collect();
 
@@ -42,15 +42,16 @@
     StoreFailure add_damage_gaps();
     StoreFailure collect_clock_steps();
 
-    Ledger& to_;
+    Ledger& target_;
     std::string file_;
-    Ledger from_;
+    Ledger source_;
     CollectResult result_;
     std::vector<Incarnation> incarnations_;
-    std::map<std::int64_t, std::int64_t> rows_;  // rows of the incarnations: in `from_` -> in `to_`
+    std::map<std::int64_t, std::int64_t>
+        target_rows_;  // rows of the incarnations: in `source_` -> in `target_`
     Statement find_request_;
     Statement find_attempt_;
-    Statement put_gap_;
+    Statement insert_gap_;
 };
 
 }  // namespace gatetiller::store
--- a/src/store/ledger_messages.hpp
+++ b/src/store/ledger_messages.hpp
@@ -8,8 +8,8 @@
 
 namespace gatetiller::store {
 
-// `by`: size of the step of the wall clock.
-std::string clock_step_message(Micros by);
+// `step`: size of the step of the wall clock.
+std::string clock_step_message(Micros step);
 std::string gap_message(const LedgerGap& gap);
 // Logged after recovery from an incarnation that was killed.
 std::string recovered_message(const RecoveredState& recovered);
--- a/src/store/ledger_read.cpp
+++ b/src/store/ledger_read.cpp
@@ -13,53 +13,53 @@
 }
 
 void report_orphan(const Incarnation& incarnation, std::int64_t key, const DamageReporter& damaged) {
-    damaged("attempts: one of " + request_name(incarnation, key) + ", whose request is not there");
+    damaged("attempts: a row of " + request_name(incarnation, key) + " has no request");
 }
 
 StoreError cause_from(std::int64_t number) {
-    static constexpr int kCauses = static_cast<int>(StoreError::foreign) + 1;
-    return number >= 0 && number < kCauses ? static_cast<StoreError>(number) : StoreError::none;
+    static constexpr int kCauseCount = static_cast<int>(StoreError::foreign) + 1;
+    return number >= 0 && number < kCauseCount ? static_cast<StoreError>(number) : StoreError::none;
 }
 
 }  // namespace
 
-StoreFailure Ledger::incarnations(std::vector<Incarnation>& to) {
+StoreFailure Ledger::incarnations(std::vector<Incarnation>& result) {
     auto rows = db_.prepare("SELECT row,name,front,began,last,ended FROM lives ORDER BY row");
     while (rows.step())
-        to.push_back({rows.column_int64(0), rows.column_text(1), rows.column_text(2), rows.column_int64(3),
-                      rows.column_int64(4), rows.column_int64(5)});
+        result.push_back({rows.column_int64(0), rows.column_text(1), rows.column_text(2),
+                          rows.column_int64(3), rows.column_int64(4), rows.column_int64(5)});
     return rows.failure();
 }
 
-StoreFailure Ledger::gaps(std::vector<std::pair<std::string, LedgerGap>>& to) {
+StoreFailure Ledger::gaps(std::vector<std::pair<std::string, LedgerGap>>& result) {
     auto rows = db_.prepare(
         "SELECT coalesce(front,''),cause,since,until,requests,updates FROM gaps "
         "LEFT JOIN lives ON lives.row=life ORDER BY since, until, cause, 1");
     while (rows.step()) {
         const LedgerGap gap{cause_from(rows.column_int64(1)), rows.column_int64(2), rows.column_int64(3),
                             rows.column_int64(4), rows.column_int64(5)};
-        to.emplace_back(rows.column_text(0), gap);
+        result.emplace_back(rows.column_text(0), gap);
     }
     return rows.failure();
 }
 
-StoreFailure Ledger::clock_steps(std::vector<std::pair<Micros, Micros>>& to) {
+StoreFailure Ledger::clock_steps(std::vector<std::pair<Micros, Micros>>& result) {
     auto rows = db_.prepare("SELECT at,by FROM clock_steps ORDER BY at,by");
     while (rows.step())
-        to.emplace_back(rows.column_int64(0), rows.column_int64(1));
+        result.emplace_back(rows.column_int64(0), rows.column_int64(1));
     return rows.failure();
 }
 
-StoreFailure Ledger::work_samples_since(Micros wall, Micros step, std::vector<WorkSample>& to) {
-    const Micros step_or_one = std::max<Micros>(1, step);
+StoreFailure Ledger::work_samples_since(Micros since, Micros step, std::vector<WorkSample>& samples) {
+    const Micros positive_step = std::max<Micros>(1, step);
     // Selects by the time of each row: after clock steps, row keys may not follow the order of time.
     auto rows = db_.prepare(
         "SELECT who, taken/?2, sum(work) FROM requests JOIN attempts ON request=requests.row "
         "WHERE taken>=?1 GROUP BY 1, 2 ORDER BY 2, 1");
-    rows.bind(0, wall).bind(1, step_or_one);
+    rows.bind(0, since).bind(1, positive_step);
     while (rows.step())
-        to.push_back({codec_.requester_at(rows.column_int64(0)), rows.column_int64(1) * step_or_one,
-                      rows.column_int64(2)});
+        samples.push_back({codec_.requester_at(rows.column_int64(0)), rows.column_int64(1) * positive_step,
+                           rows.column_int64(2)});
     return rows.failure();
 }
 
--- a/src/store/ledger_writer.cpp
+++ b/src/store/ledger_writer.cpp
@@ -16,9 +16,9 @@
 
 // Interval at which empty batches are written, so that the last commit of an idle incarnation stays recent.
 constexpr Micros kIdleWriteInterval = kSecondMicros;
-constexpr int kExpireAtOnce = 2000;   // requests
-constexpr int kThreadNice = 10;       // statements take precedence over the ledger when CPU is scarce
-constexpr Micros kHistorySteps = 60;  // intervals in the history window
+constexpr int kMaxExpiredPerCommit = 2000;  // requests
+constexpr int kThreadNice = 10;             // statements take precedence over the ledger when CPU is scarce
+constexpr Micros kHistoryIntervals = 60;    // intervals in the history window
 
 template <typename Row>
 void append(std::vector<Row>& to, std::vector<Row>& from) {
@@ -49,9 +49,9 @@
     stop_thread();
 }
 
-bool LedgerWriter::add_request(RequestRow& row, Micros wall, QueueSlot& slot) {
+bool LedgerWriter::add_request(RequestRow& row, Micros wall_now, QueueSlot& slot) {
     row.number = ++last_number_;
-    if (!intake_.admit(queue_.size() + handed_over_rows_, wall))
+    if (!intake_.admit(queue_.size() + handed_over_rows_, wall_now))
         return false;
     slot = {flush_, queue_.size()};
     queue_.emplace_back(row);
@@ -59,41 +59,41 @@
 }
 
 template <typename Row>
-void LedgerWriter::enqueue(Row row, Micros wall, QueueSlot& slot) {
+void LedgerWriter::enqueue(Row row, Micros wall_now, QueueSlot& slot) {
     if (slot.flush == flush_) {
         std::get<Row>(queue_[slot.index]) = std::move(row);
-    } else if (intake_.admit_update(queue_.size() + handed_over_rows_, wall)) {
+    } else if (intake_.admit_update(queue_.size() + handed_over_rows_, wall_now)) {
         slot = {flush_, queue_.size()};
         queue_.emplace_back(std::move(row));
     }
 }
 
-void LedgerWriter::update(RequestRow row, Micros wall, QueueSlot& slot) {
-    enqueue(std::move(row), wall, slot);
+void LedgerWriter::update(RequestRow row, Micros wall_now, QueueSlot& slot) {
+    enqueue(std::move(row), wall_now, slot);
 }
 
-void LedgerWriter::update(AttemptRow row, Micros wall, QueueSlot& slot) {
-    enqueue(std::move(row), wall, slot);
+void LedgerWriter::update(AttemptRow row, Micros wall_now, QueueSlot& slot) {
+    enqueue(std::move(row), wall_now, slot);
 }
 
-std::vector<std::string> LedgerWriter::poll(Micros now, Micros wall) {
-    hand_over(now, wall);
+std::vector<std::string> LedgerWriter::poll(Micros now, Micros wall_now) {
+    hand_over(now, wall_now);
     if (thread_.joinable())
-        handed_over_.notify_one();
+        batch_ready_.notify_one();
     else
         write_pending(now);
     const std::lock_guard guard(mutex_);
     return std::exchange(log_lines_, {});
 }
 
-void LedgerWriter::hand_over(Micros now, Micros wall) {
+void LedgerWriter::hand_over(Micros now, Micros wall_now) {
     const std::lock_guard guard(mutex_);
     Batch next;
     next.rows = std::exchange(queue_, {});
     queue_.reserve(next.rows.size());
     ++flush_;
-    if (const auto step = clock_.detect(now, wall)) {
-        next.clock_steps.emplace_back(wall, *step);
+    if (const auto step = clock_step_detector_.detect(now, wall_now)) {
+        next.clock_steps.emplace_back(wall_now, *step);
         log_lines_.push_back(clock_step_message(*step));
     }
     if (error_ == decide::StoreError::none)
@@ -101,11 +101,11 @@
             next.gaps.push_back(*gap);
             log_lines_.push_back(gap_message(*gap));
         }
-    next.complete_until = wall;
+    next.complete_until = wall_now;
     handed_over_rows_ += next.rows.size();
-    append(shared_, next);
-    shared_now_ = now;
-    batch_waits_ = true;
+    append(handed_over_batch_, next);
+    handed_over_at_ = now;
+    batch_pending_ = true;
 }
 
 LedgerWriterStatus LedgerWriter::status() const {
@@ -121,7 +121,7 @@
 
 LedgerWriter::PreviousIncarnation LedgerWriter::previous_incarnation() const {
     const std::lock_guard guard(mutex_);
-    return previous_;
+    return previous_incarnation_;
 }
 
 void LedgerWriter::start_thread() {
@@ -140,15 +140,15 @@
 void LedgerWriter::stop_thread() {
     {
         const std::lock_guard guard(mutex_);
-        stop_ = true;
+        stop_requested_ = true;
     }
-    handed_over_.notify_one();
+    batch_ready_.notify_one();
     if (thread_.joinable())
         thread_.join();
 }
 
-std::vector<std::string> LedgerWriter::finish(Micros now, Micros wall) {
-    auto lines = poll(now, wall);
+std::vector<std::string> LedgerWriter::finish(Micros now, Micros wall_now) {
+    auto lines = poll(now, wall_now);
     stop_thread();
     // With the thread stopped, the caller may use the writer's state. A failing ledger is retried without
     // waiting for the retry delay.
@@ -156,7 +156,7 @@
     if (!pending_.rows.empty()) {
         log(rows_lost_message(pending_.rows.size()));
     } else if (ledger_.is_open()) {
-        if (const auto failure = ledger_.end_incarnation(wall))
+        if (const auto failure = ledger_.end_incarnation(wall_now))
             log(end_failed_message(failure));
     }
     ledger_.close();
@@ -176,13 +176,13 @@
         Micros now = 0;
         {
             std::unique_lock guard(mutex_);
-            handed_over_.wait(guard, [this] {
-                return batch_waits_ || stop_;
+            batch_ready_.wait(guard, [this] {
+                return batch_pending_ || stop_requested_;
             });
-            if (stop_)
+            if (stop_requested_)
                 return;
-            batch_waits_ = false;
-            now = shared_now_;
+            batch_pending_ = false;
+            now = handed_over_at_;
         }
         write_pending(now);
     }
@@ -191,8 +191,8 @@
 void LedgerWriter::write_pending(Micros now) {
     {
         const std::lock_guard guard(mutex_);
-        if (shared_.complete_until > 0)
-            append(pending_, shared_);
+        if (handed_over_batch_.complete_until > 0)
+            append(pending_, handed_over_batch_);
     }
     if (!prepare_to_write(now))
         return;
@@ -252,7 +252,7 @@
         return;
     std::int64_t removed = 0;
     if (const auto failure =
-            ledger_.expire(pending_.complete_until - settings_.retention, kExpireAtOnce, removed))
+            ledger_.expire(pending_.complete_until - settings_.retention, kMaxExpiredPerCommit, removed))
         log(expire_failed_message(failure));
 }
 
@@ -270,8 +270,8 @@
         log(recovered_message(recovered));
     {
         const std::lock_guard guard(mutex_);
-        if (!std::exchange(previous_.known, true) && recovered.killed_gap)
-            previous_.last_commit_before_kill = recovered.killed_gap->from;
+        if (!std::exchange(previous_incarnation_.known, true) && recovered.killed_gap)
+            previous_incarnation_.last_commit_before_kill = recovered.killed_gap->from;
     }
     if (settings_.history_window > 0 && !std::exchange(history_read_, true))
         read_work_history();
@@ -282,7 +282,7 @@
     std::vector<Ledger::WorkSample> history;
     const Micros window = settings_.history_window;
     if (const auto failure =
-            ledger_.work_samples_since(pending_.complete_until - window, window / kHistorySteps, history))
+            ledger_.work_samples_since(pending_.complete_until - window, window / kHistoryIntervals, history))
         log(history_failed_message(failure));
     const std::lock_guard guard(mutex_);
     work_history_ = std::move(history);
--- a/src/store/ledger_writer.hpp
+++ b/src/store/ledger_writer.hpp
@@ -64,25 +64,25 @@
         std::size_t index = 0;
     };
     // Queues a new request and sets its number. Returns false if the queue is full: the request will not be
-    // in the ledger, and update() must not be called for it. `wall`: current time of the wall clock.
-    bool add_request(RequestRow& row, Micros wall, QueueSlot& slot);
+    // in the ledger, and update() must not be called for it. `wall_now`: current time of the wall clock.
+    bool add_request(RequestRow& row, Micros wall_now, QueueSlot& slot);
     // Queues the next state of an added request, or of one of its attempts.
-    void update(RequestRow row, Micros wall, QueueSlot& slot);
-    void update(AttemptRow row, Micros wall, QueueSlot& slot);
+    void update(RequestRow row, Micros wall_now, QueueSlot& slot);
+    void update(AttemptRow row, Micros wall_now, QueueSlot& slot);
     // Overloads for callers that keep no slot: each call queues a separate row.
-    bool add_request(RequestRow& row, Micros wall) {
+    bool add_request(RequestRow& row, Micros wall_now) {
         QueueSlot unused;
-        return add_request(row, wall, unused);
+        return add_request(row, wall_now, unused);
     }
     template <typename Row>
-    void update(Row row, Micros wall) {
+    void update(Row row, Micros wall_now) {
         QueueSlot unused;
-        update(std::move(row), wall, unused);
+        update(std::move(row), wall_now, unused);
     }
 
     // Hands the queued rows to the writer; called every `flush_interval`. `now` is monotonic time. Returns
     // lines for the log.
-    std::vector<std::string> poll(Micros now, Micros wall);
+    std::vector<std::string> poll(Micros now, Micros wall_now);
     LedgerWriterStatus status() const;
 
     // Returns the work of earlier incarnations within `history_window` once, after the ledger was opened;
@@ -100,13 +100,13 @@
     void start_thread();
     // Writes the queued rows, marks the incarnation as ended, and closes and unlocks the file. A failing
     // ledger gets one more attempt. Returns lines for the log, including the number of rows that were lost.
-    std::vector<std::string> finish(Micros now, Micros wall);
+    std::vector<std::string> finish(Micros now, Micros wall_now);
 
 private:
     // Event loop
     template <typename Row>
-    void enqueue(Row row, Micros wall, QueueSlot& slot);
-    void hand_over(Micros now, Micros wall);
+    void enqueue(Row row, Micros wall_now, QueueSlot& slot);
+    void hand_over(Micros now, Micros wall_now);
     void stop_thread();
 
     // Writer
@@ -125,28 +125,28 @@
 
     // Event loop only
     decide::LedgerIntake intake_;
-    decide::ClockStepDetector clock_;
+    decide::ClockStepDetector clock_step_detector_;
     std::vector<std::variant<RequestRow, AttemptRow>> queue_;
     std::uint32_t last_number_ = 0;
     std::uint64_t flush_ = 1;
 
     // Shared, guarded by mutex_
     mutable std::mutex mutex_;
-    std::condition_variable handed_over_;
-    Batch shared_;
-    Micros shared_now_ = 0;
+    std::condition_variable batch_ready_;
+    Batch handed_over_batch_;
+    Micros handed_over_at_ = 0;
     std::vector<std::string> log_lines_;
     std::vector<Ledger::WorkSample> work_history_;
-    PreviousIncarnation previous_;
-    bool batch_waits_ = false;
-    bool stop_ = false;
+    PreviousIncarnation previous_incarnation_;
+    bool batch_pending_ = false;
+    bool stop_requested_ = false;
     decide::StoreError error_ = decide::StoreError::none;
     decide::StoreError last_error_ = decide::StoreError::none;
     std::int64_t committed_rows_ = 0;
     std::int64_t batches_ = 0;
     Micros written_until_ = 0;
 
-    // Number of rows in shared_ and pending_
+    // Number of rows in handed_over_batch_ and pending_
     std::atomic<std::size_t> handed_over_rows_ = 0;
 
     // Writer only
--- a/src/store/row_codec.cpp
+++ b/src/store/row_codec.cpp
@@ -55,19 +55,19 @@
     write_attempt_ = db_.prepare("INSERT OR REPLACE INTO attempts VALUES(?,?,?,?,?,?,?,?,?,?,?,?,?,?)");
     if (write_attempt_.failure())
         return write_attempt_.failure();
-    return names_.prepare();
+    return name_cache_.prepare();
 }
 
 void RowCodec::close() {
     write_request_ = {};
     write_attempt_ = {};
-    names_.close();
+    name_cache_.close();
 }
 
 StoreFailure RowCodec::write(std::int64_t incarnation_row, const RequestRow& request) {
     StoreFailure failure;
     const std::int64_t key = request_key(incarnation_row, request.number);
-    const std::int64_t requester = names_.requester_row(*request.requester, failure);
+    const std::int64_t requester = name_cache_.requester_row(*request.requester, failure);
     if (failure)
         return failure;
     write_request_.bind(0, key)
@@ -88,7 +88,7 @@
 StoreFailure RowCodec::write(std::int64_t incarnation_row, const AttemptRow& attempt) {
     StoreFailure failure;
     const std::int64_t request = request_key(incarnation_row, attempt.request);
-    const std::int64_t endpoint = names_.endpoint_row(attempt.engine, attempt.kind, failure);
+    const std::int64_t endpoint = name_cache_.endpoint_row(attempt.engine, attempt.kind, failure);
     if (failure)
         return failure;
     write_attempt_.bind(0, request)
@@ -112,7 +112,7 @@
     const std::int64_t key = statement.column_int64(0);
     const std::int64_t requester = statement.column_int64(1);
     request.number = request_number_of(key);
-    request.requester = names_.requester_at(requester);
+    request.requester = name_cache_.requester_at(requester);
     request.id = statement.column_text(2);
     request.key = statement.column_text(3);
     request.key_window = statement.column_int64(4);
@@ -130,7 +130,7 @@
     const std::int64_t endpoint = statement.column_int64(2);
     attempt.request = request_number_of(request);
     attempt.number = static_cast<std::uint32_t>(statement.column_int64(1));
-    std::tie(attempt.engine, attempt.kind) = names_.endpoint_at(endpoint);
+    std::tie(attempt.engine, attempt.kind) = name_cache_.endpoint_at(endpoint);
     attempt.engine_id = statement.column_text(3);
     attempt.state = state_from<AttemptState>(statement.column_int64(4), decide::kAttemptStates);
     attempt.sent_after = statement.column_int64(5);
--- a/src/store/row_codec.hpp
+++ b/src/store/row_codec.hpp
@@ -28,7 +28,7 @@
 // Writes and reads rows of one open database.
 class RowCodec {
 public:
-    explicit RowCodec(Db& db) : db_(db), names_(db) {}
+    explicit RowCodec(Db& db) : db_(db), name_cache_(db) {}
 
     // Prepares the statements for writing; not needed for reading.
     StoreFailure prepare();
@@ -36,7 +36,7 @@
     void close();
     // Must be called after a transaction with write() was rolled back.
     void on_rolled_back() {
-        names_.clear();
+        name_cache_.clear();
     }
 
     // Inserts the row, or replaces the one with the same key.
@@ -49,12 +49,12 @@
     bool read(Statement& statement, AttemptRow& attempt);
 
     std::shared_ptr<const decide::Requester> requester_at(std::int64_t row) {
-        return names_.requester_at(row);
+        return name_cache_.requester_at(row);
     }
 
 private:
     Db& db_;
-    NameCache names_;
+    NameCache name_cache_;
     Statement write_request_;
     Statement write_attempt_;
 };
--- a/src/store/schema.cpp
+++ b/src/store/schema.cpp
@@ -38,14 +38,14 @@
 
 bool has_ledger_header(const std::string& file) {
     // SQLite file format: application_id is stored at offset 68, big-endian.
-    static constexpr std::size_t kIdOffset = 68;
-    static constexpr std::size_t kIdEnd = 72;
+    static constexpr std::size_t kApplicationIdOffset = 68;
+    static constexpr std::size_t kApplicationIdEnd = 72;
     std::ifstream in(file, std::ios::binary);
-    std::array<char, kIdEnd> header{};
+    std::array<char, kApplicationIdEnd> header{};
     if (!in.read(header.data(), header.size()))
         return false;
     std::int64_t id = 0;
-    for (std::size_t i = kIdOffset; i < kIdEnd; ++i)
+    for (std::size_t i = kApplicationIdOffset; i < kApplicationIdEnd; ++i)
         id = id << 8 | static_cast<unsigned char>(header[i]);
     return id == kApplicationId;
 }
--- a/src/store/table_cursor.cpp
+++ b/src/store/table_cursor.cpp
@@ -15,9 +15,9 @@
     incarnation_ = &incarnation;
     key_ = request_key(incarnation.row, 0);
     end_key_ = request_key(incarnation.row + 1, 0);
-    step_ = 1;
-    unreadable_behind_.reset();
-    seek_behind(key_);
+    seek_distance_ = 1;
+    unreadable_after_.reset();
+    seek_after(key_);
     next();
 }
 
@@ -25,36 +25,37 @@
     for (valid_ = true;;) {
         if (statement_.step()) {
             const std::int64_t key = statement_.column_int64(0);
-            if (unreadable_behind_)
-                report_until(key);
+            if (unreadable_after_)
+                report_unreadable_until(key);
             key_ = key;
-            step_ = 1;
+            seek_distance_ = 1;
             return;
         }
         const bool failed = static_cast<bool>(statement_.failure());
-        if (failed && !unreadable_behind_)
-            unreadable_behind_ = key_;
-        if (!failed || *unreadable_behind_ + step_ >= end_key_) {
-            if (unreadable_behind_)
-                report_until(end_key_);
+        if (failed && !unreadable_after_)
+            unreadable_after_ = key_;
+        if (!failed || *unreadable_after_ + seek_distance_ >= end_key_) {
+            if (unreadable_after_)
+                report_unreadable_until(end_key_);
             valid_ = false;
             return;
         }
-        seek_behind(*unreadable_behind_ + step_);
-        step_ *= 2;
+        seek_after(*unreadable_after_ + seek_distance_);
+        seek_distance_ *= 2;
     }
 }
 
-void TableCursor::seek_behind(std::int64_t key) {
+void TableCursor::seek_after(std::int64_t key) {
     statement_.reset();
     statement_.bind(0, key).bind(1, end_key_);
 }
 
-void TableCursor::report_until(std::int64_t key) {
-    damaged_(table_ + ": unreadable in life " + incarnation_->name + " from behind number " +
-             std::to_string(request_number_of(*unreadable_behind_)) +
-             (key == end_key_ ? " to its end" : " to before " + std::to_string(request_number_of(key))));
-    unreadable_behind_.reset();
+void TableCursor::report_unreadable_until(std::int64_t key) {
+    damaged_(
+        table_ + ": unreadable rows of incarnation " + incarnation_->name + " after request " +
+        std::to_string(request_number_of(*unreadable_after_)) +
+        (key == end_key_ ? " to the end" : " to before request " + std::to_string(request_number_of(key))));
+    unreadable_after_.reset();
 }
 
 }  // namespace gatetiller::store
--- a/src/store/table_cursor.hpp
+++ b/src/store/table_cursor.hpp
@@ -37,8 +37,8 @@
     }
 
 private:
-    void seek_behind(std::int64_t key);
-    void report_until(std::int64_t key);
+    void seek_after(std::int64_t key);
+    void report_unreadable_until(std::int64_t key);
 
     std::string table_;
     Statement statement_;
@@ -46,8 +46,8 @@
     const Incarnation* incarnation_ = nullptr;
     std::int64_t key_ = 0;
     std::int64_t end_key_ = 0;
-    std::int64_t step_ = 1;
-    std::optional<std::int64_t> unreadable_behind_;
+    std::int64_t seek_distance_ = 1;
+    std::optional<std::int64_t> unreadable_after_;
     bool valid_ = false;
 };
 
--- a/tests/discovery/discovery_test.cpp
+++ b/tests/discovery/discovery_test.cpp
@@ -13,11 +13,11 @@
 namespace gatetiller::discovery {
 namespace {
 
-std::string list_text(const std::vector<std::string>& names, const std::string& state = "on") {
+std::string list_text(const std::vector<std::string>& engine_names, const std::string& state = "on") {
     std::string text;
-    for (const auto& n : names)
+    for (const auto& name : engine_names)
         text += (text.empty() ? "" : ", ") +
-                ("\"" + n + "\": {\"address\": \"127.0.0.1:1\", \"state\": \"" + state + "\"}");
+                ("\"" + name + "\": {\"address\": \"127.0.0.1:1\", \"state\": \"" + state + "\"}");
     return "{\"engines\": {" + text + "}}";
 }
 
@@ -28,8 +28,8 @@
         source->start({[this](auto list) {
                            last_list = std::move(list), ++lists_received;
                        },
-                       [this](const std::string& why) {
-                           reason = why, ++times_unavailable;
+                       [this](const std::string& new_reason) {
+                           reason = new_reason, ++times_unavailable;
                        }});
     }
     template <typename Condition>
@@ -43,7 +43,7 @@
     std::string reason;
 };
 
-TEST_F(EndpointSourceTest, AWatchedFileThatIsBrokenOrGoneLeavesTheLastListInForce) {
+TEST_F(EndpointSourceTest, KeepsLastListWhileWatchedFileIsMalformedOrMissing) {
     const std::string file = ::testing::TempDir() + "roster-" + std::to_string(::getpid()) + ".json";
     const auto write = [&](const std::string& text) {
         std::ofstream(file) << text;
@@ -78,31 +78,31 @@
     std::filesystem::remove(file);
 }
 
-TEST_F(EndpointSourceTest, AnHttpListIsPolledWithEntityTagsAndItsLossIsReportedToEachPoll) {
+TEST_F(EndpointSourceTest, PollsHttpListWithEntityTagsAndReportsUnavailabilityToEachPoll) {
     std::string tag = "\"1\"", body = list_text({"a"});
-    int full = 0, unchanged = 0;
-    bool down = false;
-    std::string agent;
-    http::Server server(loop, {}, [&](http::Request& r, http::Server::Reply reply) {
-        agent = r.headers.find("User-Agent").value_or("");
-        if (down)
+    int full_responses = 0, not_modified_responses = 0;
+    bool unavailable = false;
+    std::string user_agent;
+    http::Server server(loop, {}, [&](http::Request& request, http::Server::Reply reply) {
+        user_agent = request.headers.find("User-Agent").value_or("");
+        if (unavailable)
             return reply.send({503, {}, ""});
         http::Response answer{200, {}, body};
-        if (r.headers.find("If-None-Match") == tag)
-            answer = {304, {}, ""}, ++unchanged;
+        if (request.headers.find("If-None-Match") == tag)
+            answer = {304, {}, ""}, ++not_modified_responses;
         else
-            ++full;
+            ++full_responses;
         answer.headers.add("ETag", tag);
         reply.send(answer);
     });
-    const auto at = *server.listen(*net::Address::parse("127.0.0.1:0"));
-    start({.http = at, .path = "/list", .every = 5 * kMillisecond});
+    const auto address = *server.listen(*net::Address::parse("127.0.0.1:0"));
+    start({.http = address, .path = "/list", .every = 5 * kMillisecond});
     ASSERT_TRUE(wait_until([&] {
-        return lists_received == 1 && unchanged >= 3;
+        return lists_received == 1 && not_modified_responses >= 3;
     }));
-    EXPECT_EQ(full, 1);
-    EXPECT_EQ(agent, "gatetiller/f1");
-    down = true;
+    EXPECT_EQ(full_responses, 1);
+    EXPECT_EQ(user_agent, "gatetiller/f1");
+    unavailable = true;
     ASSERT_TRUE(wait_until([&] {
         return times_unavailable == 1;
     }));
@@ -113,7 +113,7 @@
         source->poll();  // no effect while a poll is in flight
         return times_unavailable == 2;
     }));
-    down = false;
+    unavailable = false;
     ASSERT_TRUE(wait_until([&] {
         return lists_received >= 2;
     }));  // unchanged, but available again
@@ -129,17 +129,17 @@
     EXPECT_EQ(last_list.size(), 2u);
 }
 
-TEST(EndpointCache, LoadsWhatWasSavedAndRejectsAFileTruncatedAtAnyByte) {
+TEST(EndpointCache, LoadsSavedListAndRejectsTruncatedFile) {
     const std::string file = ::testing::TempDir() + "last-" + std::to_string(::getpid()) + ".json";
     EXPECT_FALSE(load_cached_endpoints(file));
     const auto list = *config::read_engine_list(list_text({"a", "b", "c"}, "fading"), "l");
     ASSERT_TRUE(save_cached_endpoints(file, list));
-    const auto back = load_cached_endpoints(file);
-    ASSERT_TRUE(back) << back.error();
-    ASSERT_EQ(back->size(), 3u);
-    EXPECT_EQ(back->at(1).name, "b");
-    EXPECT_EQ(back->at(1).state, EndpointState::draining);
-    EXPECT_EQ(back->at(1).address, list[1].address);
+    const auto loaded = load_cached_endpoints(file);
+    ASSERT_TRUE(loaded) << loaded.error();
+    ASSERT_EQ(loaded->size(), 3u);
+    EXPECT_EQ(loaded->at(1).name, "b");
+    EXPECT_EQ(loaded->at(1).state, EndpointState::draining);
+    EXPECT_EQ(loaded->at(1).address, list[1].address);
     const std::string text = *config::whole_file(file);
     // Without its last brace and newline the list is still accepted.
     for (std::size_t n = 0; n + 2 < text.size(); ++n) {
--- a/tests/store/fault_vfs.hpp
+++ b/tests/store/fault_vfs.hpp
@@ -18,20 +18,20 @@
 class FaultVfs {
 public:
     explicit FaultVfs(std::string name, std::uint64_t seed) : random(seed), name_(std::move(name)) {
-        below_ = sqlite3_vfs_find(nullptr);
-        vfs_ = *below_;
-        vfs_.szOsFile = static_cast<int>(sizeof(File)) + below_->szOsFile;
+        base_vfs_ = sqlite3_vfs_find(nullptr);
+        vfs_ = *base_vfs_;
+        vfs_.szOsFile = static_cast<int>(sizeof(File)) + base_vfs_->szOsFile;
         vfs_.zName = name_.c_str();
         vfs_.pAppData = this;
         vfs_.xOpen = open;
         vfs_.xDelete = remove;
         vfs_.xAccess = [](sqlite3_vfs* v, const char* n, int f, int* out) {
-            auto* b = self(v).below_;
-            return b->xAccess(b, n, f, out);
+            auto* base = self(v).base_vfs_;
+            return base->xAccess(base, n, f, out);
         };
         vfs_.xFullPathname = [](sqlite3_vfs* v, const char* n, int size, char* out) {
-            auto* b = self(v).below_;
-            return b->xFullPathname(b, n, size, out);
+            auto* base = self(v).base_vfs_;
+            return base->xFullPathname(base, n, size, out);
         };
         sqlite3_vfs_register(&vfs_, 0);
     }
@@ -43,7 +43,7 @@
 
     // Undoes a random subset of the writes since each file's last sync. Call after all connections are
     // closed.
-    void lose_unsynced() {
+    void lose_unsynced_writes() {
         for (auto& [file, undo] : unsynced_) {
             std::fstream f(file, std::ios::in | std::ios::out | std::ios::binary);
             if (!f)
@@ -93,7 +93,7 @@
 
     // Counts one modifying operation. Returns the code with which it fails, or SQLITE_OK. Sets `torn` if
     // power is lost during it.
-    int count(bool& torn) {
+    int count_operation(bool& torn) {
         if (crashed)
             return SQLITE_IOERR;
         const long n = operations++;
@@ -108,44 +108,46 @@
         return SQLITE_OK;
     }
     static int open(sqlite3_vfs* v, sqlite3_filename n, sqlite3_file* f, int flags, int* out) {
-        auto& me = self(v);
-        File& mine = file(f);
-        mine.base.pMethods = nullptr;
-        mine.vfs = &me;
-        std::snprintf(mine.name, sizeof mine.name, "%s", n ? n : "");
-        if (me.crashed)
+        auto& owner = self(v);
+        File& opened = file(f);
+        opened.base.pMethods = nullptr;
+        opened.vfs = &owner;
+        std::snprintf(opened.name, sizeof opened.name, "%s", n ? n : "");
+        if (owner.crashed)
             return SQLITE_IOERR;
-        const int rc = me.below_->xOpen(me.below_, n, mine.real(), flags, out);
+        const int rc = owner.base_vfs_->xOpen(owner.base_vfs_, n, opened.real(), flags, out);
         if (rc == SQLITE_OK)
-            mine.base.pMethods = methods();
+            opened.base.pMethods = methods();
         return rc;
     }
     static int remove(sqlite3_vfs* v, const char* n, int sync) {
         bool torn = false;
-        auto& me = self(v);
-        if (const int rc = me.count(torn))
+        auto& owner = self(v);
+        if (const int rc = owner.count_operation(torn))
             return rc;
-        me.unsynced_.erase(n);
-        return me.below_->xDelete(me.below_, n, sync);
+        owner.unsynced_.erase(n);
+        return owner.base_vfs_->xDelete(owner.base_vfs_, n, sync);
     }
     static int write(sqlite3_file* f, const void* bytes, int size, sqlite3_int64 at) {
-        File& mine = file(f);
-        FaultVfs& me = *mine.vfs;
+        File& opened = file(f);
+        FaultVfs& owner = *opened.vfs;
         bool torn = false;
-        const int rc = me.count(torn);
+        const int rc = owner.count_operation(torn);
         if (rc != SQLITE_OK && !torn)
             return rc;
-        const int n = torn ? static_cast<int>(me.random.below(static_cast<std::uint64_t>(size) + 1)) : size;
+        const int n =
+            torn ? static_cast<int>(owner.random.below(static_cast<std::uint64_t>(size) + 1)) : size;
         sqlite3_int64 length = 0;
-        mine.real()->pMethods->xFileSize(mine.real(), &length);
-        const auto old = static_cast<int>(std::clamp<sqlite3_int64>(length - at, 0, n));
+        opened.real()->pMethods->xFileSize(opened.real(), &length);
+        const auto existing_bytes = static_cast<int>(std::clamp<sqlite3_int64>(length - at, 0, n));
         // Beyond the end of the file the old contents are zeros, as a hole reads.
-        Undo u{at, std::string(static_cast<std::size_t>(n), '\0')};
-        if (old > 0)
-            mine.real()->pMethods->xRead(mine.real(), u.before.data(), old, at);
-        me.unsynced_[mine.name].push_back(std::move(u));
-        const int wrote = n > 0 ? mine.real()->pMethods->xWrite(mine.real(), bytes, n, at) : SQLITE_OK;
-        return torn ? rc : wrote;
+        Undo undo{at, std::string(static_cast<std::size_t>(n), '\0')};
+        if (existing_bytes > 0)
+            opened.real()->pMethods->xRead(opened.real(), undo.before.data(), existing_bytes, at);
+        owner.unsynced_[opened.name].push_back(std::move(undo));
+        const int write_result =
+            n > 0 ? opened.real()->pMethods->xWrite(opened.real(), bytes, n, at) : SQLITE_OK;
+        return torn ? rc : write_result;
     }
     static const sqlite3_io_methods* methods() {
         static const sqlite3_io_methods kMethods = {
@@ -159,13 +161,13 @@
             write,
             [](sqlite3_file* f, sqlite3_int64 size) {
                 bool torn = false;
-                if (const int rc = file(f).vfs->count(torn))
+                if (const int rc = file(f).vfs->count_operation(torn))
                     return rc;
                 return file(f).real()->pMethods->xTruncate(file(f).real(), size);
             },
             [](sqlite3_file* f, int flags) {
                 bool torn = false;
-                if (const int rc = file(f).vfs->count(torn))
+                if (const int rc = file(f).vfs->count_operation(torn))
                     return rc;
                 file(f).vfs->unsynced_.erase(file(f).name);
                 return file(f).real()->pMethods->xSync(file(f).real(), flags);
@@ -209,7 +211,7 @@
     }
 
     std::string name_;
-    sqlite3_vfs* below_ = nullptr;
+    sqlite3_vfs* base_vfs_ = nullptr;
     sqlite3_vfs vfs_{};
     std::map<std::string, std::vector<Undo>> unsynced_;
 };
--- a/tests/store/ledger_contents.hpp
+++ b/tests/store/ledger_contents.hpp
@@ -36,21 +36,22 @@
 };
 
 inline RequestRow make_request(std::uint32_t number, RequestState state, Random& random) {
-    RequestRow r;
-    r.number = number;
-    r.requester = std::make_shared<const decide::Requester>(
+    RequestRow request;
+    request.number = number;
+    request.requester = std::make_shared<const decide::Requester>(
         decide::Requester{"user-" + std::to_string(random.below(5)), "s",
                           "t=" + std::to_string(random.below(3)), "short", "x"});
-    r.id = "id-" + std::to_string(number), r.received_at = kWall + number, r.state = state;
-    r.ended_after = static_cast<Micros>(random.below(1000));
-    return r;
+    request.id = "id-" + std::to_string(number), request.received_at = kWall + number, request.state = state;
+    request.ended_after = static_cast<Micros>(random.below(1000));
+    return request;
 }
 
-inline AttemptRow make_attempt(std::uint32_t of, AttemptState state, Random& random) {
-    AttemptRow a;
-    a.request = of, a.engine = "e" + std::to_string(random.below(4)), a.kind = "std", a.state = state;
-    a.work = static_cast<Micros>(random.below(1'000'000));
-    return a;
+inline AttemptRow make_attempt(std::uint32_t request_number, AttemptState state, Random& random) {
+    AttemptRow attempt;
+    attempt.request = request_number, attempt.engine = "e" + std::to_string(random.below(4)),
+    attempt.kind = "std", attempt.state = state;
+    attempt.work = static_cast<Micros>(random.below(1'000'000));
+    return attempt;
 }
 
 struct LedgerContents {
@@ -59,26 +60,26 @@
 };
 inline LedgerContents read_ledger(Ledger& ledger) {
     LedgerContents contents;
-    const auto f = ledger.for_each_request(
+    const auto failure = ledger.for_each_request(
         [&](const RequestAccount& account) {
-            const bool fresh =
+            const bool inserted =
                 contents.accounts
                     .emplace(account.incarnation->name + "." + std::to_string(account.request.number),
                              account)
                     .second;
-            EXPECT_TRUE(fresh) << "twice: " << account.request.number;
+            EXPECT_TRUE(inserted) << "duplicate request: " << account.request.number;
         },
         [&](std::string text) {
             contents.damaged.push_back(std::move(text));
         });
-    EXPECT_FALSE(f) << f.text;
+    EXPECT_FALSE(failure) << failure.text;
     return contents;
 }
 inline LedgerContents read_ledger(const std::string& file, bool read_only = true) {
     Ledger ledger;
-    const auto f = ledger.open(file, {"", read_only});
-    EXPECT_FALSE(f) << f.text;
-    return f ? LedgerContents{} : read_ledger(ledger);
+    const auto failure = ledger.open(file, {"", read_only});
+    EXPECT_FALSE(failure) << failure.text;
+    return failure ? LedgerContents{} : read_ledger(ledger);
 }
 
 }  // namespace gatetiller::store
--- a/tests/store/ledger_test.cpp
+++ b/tests/store/ledger_test.cpp
@@ -16,29 +16,31 @@
     std::map<std::uint32_t, std::pair<RequestState, Micros>> requests, with_last;
     std::map<std::uint32_t, Micros> work, work_with_last;
 
-    Batch draw(Random& random, std::uint32_t& next) {
+    Batch make_batch(Random& random, std::uint32_t& last_number) {
         requests = with_last, work = work_with_last;
-        Batch b;
-        b.complete_until = kWall + next * 1000;
-        for (auto n = random.below(12) + 1; n > 0; --n) {
-            const bool fresh = with_last.empty() || random.chance(0.5);
-            const auto number = fresh ? ++next : static_cast<std::uint32_t>(random.below(next) + 1);
-            const auto state = fresh ? RequestState::open : RequestState::served;
-            auto r = make_request(number, state, random);
-            with_last[number] = {state, r.ended_after};
-            b.rows.emplace_back(std::move(r));
-            auto a = make_attempt(number, fresh ? AttemptState::in_flight : AttemptState::answered, random);
-            work_with_last[number] = a.work;
-            b.rows.emplace_back(std::move(a));
+        Batch batch;
+        batch.complete_until = kWall + last_number * 1000;
+        for (auto rows_left = random.below(12) + 1; rows_left > 0; --rows_left) {
+            const bool is_new = with_last.empty() || random.chance(0.5);
+            const auto number =
+                is_new ? ++last_number : static_cast<std::uint32_t>(random.below(last_number) + 1);
+            const auto state = is_new ? RequestState::open : RequestState::served;
+            auto request = make_request(number, state, random);
+            with_last[number] = {state, request.ended_after};
+            batch.rows.emplace_back(std::move(request));
+            auto attempt =
+                make_attempt(number, is_new ? AttemptState::in_flight : AttemptState::answered, random);
+            work_with_last[number] = attempt.work;
+            batch.rows.emplace_back(std::move(attempt));
         }
-        return b;
+        return batch;
     }
-    bool matches(const LedgerContents& r, bool last) const {
+    bool matches(const LedgerContents& contents, bool last) const {
         const auto& expected = last ? with_last : requests;
         const auto& expected_work = last ? work_with_last : work;
-        if (r.accounts.size() != expected.size())
+        if (contents.accounts.size() != expected.size())
             return false;
-        for (const auto& [name, account] : r.accounts) {
+        for (const auto& [name, account] : contents.accounts) {
             const auto found = expected.find(account.request.number);
             if (found == expected.end() || found->second.first != account.request.state ||
                 found->second.second != account.request.ended_after || account.attempts.size() != 1 ||
@@ -51,39 +53,40 @@
 
 // Loses power at a random write, 200 times: committed batches are complete, an uncommitted one is complete or
 // absent, and no row is duplicated.
-TEST(LedgerCrash, CommittedRowsSurviveALossOfPowerAtAnyWrite) {
-    int hit = 0, torn_kept = 0;
+TEST(LedgerCrash, CommittedRowsSurvivePowerLossAtAnyWrite) {
+    int crashes = 0, failed_batches_present = 0;
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
         SCOPED_TRACE("seed " + std::to_string(seed));
         const TempLedgerFile temp("power");
         FaultVfs vfs("power", seed);
         Random random(seed);
-        ExpectedLedger model;
-        bool last = true;
+        ExpectedLedger expected_ledger;
+        bool last_write_succeeded = true;
         {
             Ledger ledger;
             ASSERT_FALSE(ledger.open(temp.file, {"power"}));
-            RecoveredState taken;
-            ASSERT_FALSE(ledger.begin_incarnation(kFirstIncarnation, "f", kWall, taken));
+            RecoveredState recovered;
+            ASSERT_FALSE(ledger.begin_incarnation(kFirstIncarnation, "f", kWall, recovered));
             vfs.crash_at = vfs.operations + static_cast<long>(random.below(120));
-            std::uint32_t next = 0;
-            for (int i = 0; i < 30 && last; ++i) {
+            std::uint32_t last_number = 0;
+            for (int i = 0; i < 30 && last_write_succeeded; ++i) {
                 // Occasional checkpoints, so that power is also lost while the database file itself is
                 // written.
                 if (random.chance(0.2))
                     (void)ledger.db().exec("PRAGMA wal_checkpoint(TRUNCATE)");
-                last = !ledger.write(model.draw(random, next));
+                last_write_succeeded = !ledger.write(expected_ledger.make_batch(random, last_number));
             }
         }
-        hit += vfs.crashed;
-        vfs.lose_unsynced();
-        const auto found = read_ledger(temp.file, false);
-        EXPECT_TRUE(found.damaged.empty()) << found.damaged.front();
-        const bool with = model.matches(found, true);
-        EXPECT_TRUE(with || (!last && model.matches(found, false)));
-        torn_kept += with && !last;
+        crashes += vfs.crashed;
+        vfs.lose_unsynced_writes();
+        const auto contents = read_ledger(temp.file, false);
+        EXPECT_TRUE(contents.damaged.empty()) << contents.damaged.front();
+        const bool last_batch_present = expected_ledger.matches(contents, true);
+        EXPECT_TRUE(last_batch_present ||
+                    (!last_write_succeeded && expected_ledger.matches(contents, false)));
+        failed_batches_present += last_batch_present && !last_write_succeeded;
     }
-    EXPECT_GT(hit, 150);
+    EXPECT_GT(crashes, 150);
 }
 
 }  // namespace
--- a/tests/store/ledger_writer_test.cpp
+++ b/tests/store/ledger_writer_test.cpp
@@ -16,7 +16,7 @@
 
 // Fails two consecutive I/O operations, starting at every third one in turn: the writer retries, and no row
 // is missing or duplicated.
-TEST(LedgerWriterFailures, FailureAtAnyWriteDelaysAndLosesNothing) {
+TEST(LedgerWriterFailures, RetriesAfterIoFailureWithoutLosingRows) {
     for (const int code : {SQLITE_IOERR_WRITE, SQLITE_FULL, SQLITE_IOERR_FSYNC})
         for (long n = 0;; n += 3) {
             SCOPED_TRACE("code " + std::to_string(code) + ", operation " + std::to_string(n));
@@ -27,17 +27,17 @@
             LedgerWriter writer({temp.file, "f", kFirstIncarnation, 100 * kMillisecond, 0, {}, "fail"});
             Micros now = 0;
             for (int i = 0; i < 12; ++i) {
-                auto r = make_request(0, RequestState::open, random);
-                ASSERT_TRUE(writer.add_request(r, kWall + now));
-                writer.update(make_attempt(r.number, AttemptState::in_flight, random), kWall + now);
+                auto request = make_request(0, RequestState::open, random);
+                ASSERT_TRUE(writer.add_request(request, kWall + now));
+                writer.update(make_attempt(request.number, AttemptState::in_flight, random), kWall + now);
                 if (i % 2 == 0) {
-                    r.state = RequestState::served;
-                    writer.update(r, kWall + now);
+                    request.state = RequestState::served;
+                    writer.update(request, kWall + now);
                 }
                 now += 100 * kMillisecond;
                 (void)writer.poll(now, kWall + now);
             }
-            const bool struck = vfs.failures < 2;
+            const bool failure_injected = vfs.failures < 2;
             for (int i = 0; i < 100 && writer.status().queued_rows > 0; ++i) {
                 now += 500 * kMillisecond;
                 (void)writer.poll(now, kWall + now);
@@ -51,7 +51,7 @@
                 EXPECT_EQ(account.attempts.size(), 1u);
             }
             EXPECT_TRUE(found.damaged.empty());
-            if (!struck)
+            if (!failure_injected)
                 break;
             ASSERT_LT(n, 1000);
         }
@@ -61,9 +61,10 @@
 protected:
     std::unique_ptr<LedgerWriter> open(const std::string& incarnation, std::size_t max_queued_rows = 1000,
                                        const std::string& vfs = "") {
-        LedgerWriterSettings s{temp.file, "front-1", incarnation, 100 * kMillisecond, keep, {}, vfs};
-        s.limits.max_queued_rows = max_queued_rows;
-        return std::make_unique<LedgerWriter>(s);
+        LedgerWriterSettings settings{temp.file, "front-1", incarnation, 100 * kMillisecond,
+                                      retention, {},        vfs};
+        settings.limits.max_queued_rows = max_queued_rows;
+        return std::make_unique<LedgerWriter>(settings);
     }
     std::string poll(LedgerWriter& writer, int times = 1) {
         std::string log_lines;
@@ -75,15 +76,15 @@
         return log_lines;
     }
     std::uint32_t add_request(LedgerWriter& writer, RequestState state = RequestState::open) {
-        auto r = make_request(0, RequestState::open, random);
-        r.received_at = kWall + now;
-        if (!writer.add_request(r, kWall + now))
+        auto request = make_request(0, RequestState::open, random);
+        request.received_at = kWall + now;
+        if (!writer.add_request(request, kWall + now))
             return 0;
         if (state != RequestState::open) {
-            r.state = state;
-            writer.update(r, kWall + now);
+            request.state = state;
+            writer.update(request, kWall + now);
         }
-        return r.number;
+        return request.number;
     }
     std::vector<std::pair<std::string, LedgerGap>> gaps(const std::string& file) {
         Ledger ledger;
@@ -94,15 +95,15 @@
     }
     TempLedgerFile temp{"writer"};
     Random random{5};
-    Micros now = 0, keep = 0;
+    Micros now = 0, retention = 0;
 };
 
-TEST_F(LedgerWriterTest, KilledIncarnationIsMarkedAndItsGapRecorded) {
+TEST_F(LedgerWriterTest, KillMarksOpenRequestsInterruptedAndRecordsGap) {
     auto first = open(kFirstIncarnation);
     for (int i = 0; i < 10; ++i) {
-        const auto n = add_request(*first, i < 4 ? RequestState::served : RequestState::open);
+        const auto number = add_request(*first, i < 4 ? RequestState::served : RequestState::open);
         if (i >= 4)
-            first->update(make_attempt(n, AttemptState::in_flight, random), kWall);
+            first->update(make_attempt(number, AttemptState::in_flight, random), kWall);
     }
     poll(*first);
     const Micros committed = kWall + now;
@@ -129,36 +130,36 @@
     EXPECT_EQ(all[0].second.to, kWall + now);
 }
 
-TEST_F(LedgerWriterTest, FullDiskIsLoggedBoundedAndRecordedAsAGap) {
+TEST_F(LedgerWriterTest, FullDiskIsLoggedAndRecordedAsGapWithBoundedQueue) {
     FaultVfs vfs("full", 1);
     auto writer = open(kFirstIncarnation, 1000, "full");
     for (int i = 0; i < 10; ++i)
         add_request(*writer, RequestState::served);
     poll(*writer);
     vfs.fail_at = vfs.operations, vfs.failures = 1'000'000, vfs.code = SQLITE_FULL;
-    int refused = 0;
+    int rejected = 0;
     std::string log_lines;
     for (int i = 0; i < 2000; ++i) {
-        refused += add_request(*writer) == 0;
+        rejected += add_request(*writer) == 0;
         if (i % 100 == 0)
             log_lines += poll(*writer);
         EXPECT_LE(writer->status().queued_rows, 1000u);
     }
     EXPECT_NE(log_lines.find("NOT WRITTEN (disk full)"), std::string::npos) << log_lines;
-    EXPECT_GT(refused, 1000);
+    EXPECT_GT(rejected, 1000);
     vfs.stop_failing();
     log_lines = poll(*writer, 30);
-    EXPECT_NE(log_lines.find("written again"), std::string::npos) << log_lines;
+    EXPECT_NE(log_lines.find("writing resumed"), std::string::npos) << log_lines;
     EXPECT_EQ(writer->status().queued_rows, 0u);
     writer->finish(now, kWall + now);
-    EXPECT_EQ(read_ledger(temp.file).accounts.size(), static_cast<std::size_t>(2010 - refused));
+    EXPECT_EQ(read_ledger(temp.file).accounts.size(), static_cast<std::size_t>(2010 - rejected));
     const auto all = gaps(temp.file);
     ASSERT_EQ(all.size(), 1u);
     EXPECT_EQ(all[0].second.cause, StoreError::full);
-    EXPECT_EQ(all[0].second.requests, refused);
+    EXPECT_EQ(all[0].second.requests, rejected);
 }
 
-TEST_F(LedgerWriterTest, SecondProcessIsLockedOutAndLogsIt) {
+TEST_F(LedgerWriterTest, SecondWriterIsLockedOutAndLogsTheLock) {
     auto first = open(kFirstIncarnation);
     poll(*first);
     auto second = open(kSecondIncarnation);
@@ -173,7 +174,7 @@
     EXPECT_EQ(read_ledger(temp.file).accounts.size(), 2u);
 }
 
-TEST_F(LedgerWriterTest, ForeignFileIsNeverTouched) {
+TEST_F(LedgerWriterTest, ForeignFileIsNeverModified) {
     std::ofstream(temp.file) << std::string(5000, 'x');
     auto writer = open(kFirstIncarnation);
     add_request(*writer);
@@ -190,7 +191,7 @@
 
 // Pages of the file are overwritten. The front continues with a new file; the readable rows of the old one
 // are read, and unreadable ranges are reported.
-TEST_F(LedgerWriterTest, DamagedFileIsQuarantinedAndReadAroundTheDamage) {
+TEST_F(LedgerWriterTest, CorruptFileIsQuarantinedAndItsReadableRowsAreRead) {
     auto writer = open(kFirstIncarnation);
     for (int i = 0; i < 900; ++i)
         add_request(*writer, RequestState::served);
@@ -206,16 +207,16 @@
     // Corrupts the header of every fifth page except the first ones, like torn blocks.
     const auto size = static_cast<std::int64_t>(std::filesystem::file_size(temp.file));
     {
-        std::fstream f(temp.file, std::ios::in | std::ios::out | std::ios::binary);
-        for (std::int64_t at = std::max<std::int64_t>(page + 8, 20); at < size / 4096; at += 5) {
-            f.seekp(at * 4096);
-            f.write("torn!torn!torn!torn!", 20);
+        std::fstream stream(temp.file, std::ios::in | std::ios::out | std::ios::binary);
+        for (std::int64_t index = std::max<std::int64_t>(page + 8, 20); index < size / 4096; index += 5) {
+            stream.seekp(index * 4096);
+            stream.write("torn!torn!torn!torn!", 20);
         }
     }
-    const auto around = read_ledger(temp.file);
-    EXPECT_GT(around.accounts.size(), 100u);
-    EXPECT_LT(around.accounts.size(), 900u);
-    EXPECT_FALSE(around.damaged.empty());
+    const auto readable = read_ledger(temp.file);
+    EXPECT_GT(readable.accounts.size(), 100u);
+    EXPECT_LT(readable.accounts.size(), 900u);
+    EXPECT_FALSE(readable.damaged.empty());
     writer = open(kSecondIncarnation);
     std::string log_lines;
     for (int i = 0; i < 900; ++i) {
@@ -236,7 +237,7 @@
         << log_lines;
 }
 
-TEST_F(LedgerWriterTest, RowThatDiffersFromItsChecksumIsReported) {
+TEST_F(LedgerWriterTest, ReportsRowThatDoesNotMatchItsChecksum) {
     auto writer = open(kFirstIncarnation);
     for (int i = 0; i < 3; ++i)
         add_request(*writer, RequestState::served);
@@ -253,24 +254,24 @@
     EXPECT_NE(found.damaged[0].find(kFirstIncarnation + ".2 does not match"), std::string::npos);
 }
 
-TEST_F(LedgerWriterTest, ExpiredRowsLeaveAGapThatGrows) {
-    keep = 10 * kSecondMicros;
+TEST_F(LedgerWriterTest, ExpiryExtendsASingleGap) {
+    retention = 10 * kSecondMicros;
     auto writer = open(kFirstIncarnation);
     for (int i = 0; i < 60; ++i) {
         add_request(*writer, RequestState::served);
         poll(*writer);
     }
     writer->finish(now, kWall + now);
-    const auto left = read_ledger(temp.file).accounts.size();
-    EXPECT_GE(left, 18u);
-    EXPECT_LE(left, 22u);
+    const auto remaining = read_ledger(temp.file).accounts.size();
+    EXPECT_GE(remaining, 18u);
+    EXPECT_LE(remaining, 22u);
     const auto all = gaps(temp.file);
     ASSERT_EQ(all.size(), 1u);
     EXPECT_EQ(all[0].second.cause, StoreError::none);
-    EXPECT_EQ(all[0].second.requests, static_cast<std::int64_t>(60 - left));
+    EXPECT_EQ(all[0].second.requests, static_cast<std::int64_t>(60 - remaining));
 }
 
-TEST_F(LedgerWriterTest, ExpiredRowsFreeDiskSpace) {
+TEST_F(LedgerWriterTest, ExpiryFreesDiskSpace) {
     auto writer = open(kFirstIncarnation);
     for (int i = 0; i < 6000; ++i) {
         add_request(*writer, RequestState::served);
@@ -280,7 +281,7 @@
     poll(*writer);
     writer->finish(now, kWall + now);
     const auto before = std::filesystem::file_size(temp.file);
-    keep = 10 * kSecondMicros;
+    retention = 10 * kSecondMicros;
     writer = open(kSecondIncarnation);
     for (int i = 0; i < 40; ++i) {
         add_request(*writer, RequestState::served);
@@ -291,7 +292,7 @@
     EXPECT_LT(read_ledger(temp.file).accounts.size(), 50u);
 }
 
-TEST_F(LedgerWriterTest, SnapshotWhileWritingIsCompleteAndCanBeContinued) {
+TEST_F(LedgerWriterTest, SnapshotWhileWritingIsCompleteAndRestorable) {
     auto writer = open(kFirstIncarnation);
     for (int i = 0; i < 50; ++i)
         add_request(*writer, i % 2 ? RequestState::served : RequestState::open);
@@ -312,7 +313,7 @@
     EXPECT_NE(poll(*writer).find("25 requests"), std::string::npos);
 }
 
-TEST_F(LedgerWriterTest, OlderVersionIsMigratedAndALaterOneRefused) {
+TEST_F(LedgerWriterTest, MigratesOlderSchemaVersionAndRejectsLaterOne) {
     {
         auto writer = open(kFirstIncarnation);
         add_request(*writer, RequestState::served);
--- a/tests/store/stored_data_test.cpp
+++ b/tests/store/stored_data_test.cpp
@@ -19,9 +19,9 @@
 
 const std::string kKilledIncarnation = "2e95bf413e434afd";
 const std::string kEndedIncarnation = "53b015b7d3eb7a74";
-constexpr Micros kKilledFrom = 1'796'286'848'438'133;  // wall clock, last commit
-constexpr Micros kNextBegan = 1'796'286'848'954'054;   // wall clock
-constexpr Micros kOrderlyEnd = 1'796'286'850'615'812;  // wall clock
+constexpr Micros kLastCommitBeforeKill = 1'796'286'848'438'133;  // wall clock, last commit
+constexpr Micros kNextIncarnationStart = 1'796'286'848'954'054;  // wall clock
+constexpr Micros kCleanEnd = 1'796'286'850'615'812;              // wall clock
 
 // Requests and attempts of a ledger file.
 struct LedgerContents {
@@ -39,7 +39,7 @@
         }
         by_id[account.request.id] = account;
     }
-    void expect_those_of_version_2() const {
+    void expect_version_2_contents() const {
         EXPECT_TRUE(damaged.empty()) << damaged.front();
         EXPECT_EQ(requests, (std::map<RequestState, int>{{RequestState::interrupted, 1},
                                                          {RequestState::served, 5},
@@ -65,26 +65,26 @@
     std::string path(const std::string& file) const {
         return folder_ + "/" + file;
     }
-    static void expect_incarnations_of_version_2(Ledger& ledger) {
+    static void expect_version_2_incarnations(Ledger& ledger) {
         std::vector<Incarnation> incarnations;
         ASSERT_FALSE(ledger.incarnations(incarnations));
         ASSERT_EQ(incarnations.size(), 2u);
         EXPECT_EQ(incarnations[0].name, kKilledIncarnation);
         EXPECT_EQ(incarnations[0].front, "office-1");
-        EXPECT_EQ(incarnations[0].last_commit_at, kKilledFrom);
+        EXPECT_EQ(incarnations[0].last_commit_at, kLastCommitBeforeKill);
         EXPECT_EQ(incarnations[0].ended_at, 0);
         EXPECT_EQ(incarnations[1].name, kEndedIncarnation);
-        EXPECT_EQ(incarnations[1].started_at, kNextBegan);
-        EXPECT_EQ(incarnations[1].ended_at, kOrderlyEnd);
+        EXPECT_EQ(incarnations[1].started_at, kNextIncarnationStart);
+        EXPECT_EQ(incarnations[1].ended_at, kCleanEnd);
     }
-    static void expect_gaps_of_version_2(Ledger& ledger) {
+    static void expect_version_2_gaps(Ledger& ledger) {
         std::vector<std::pair<std::string, LedgerGap>> gaps;
         ASSERT_FALSE(ledger.gaps(gaps));
         ASSERT_EQ(gaps.size(), 1u);
         EXPECT_EQ(gaps[0].first, "office-1");
         EXPECT_EQ(gaps[0].second.cause, StoreError::killed);
-        EXPECT_EQ(gaps[0].second.from, kKilledFrom);
-        EXPECT_EQ(gaps[0].second.to, kNextBegan);
+        EXPECT_EQ(gaps[0].second.from, kLastCommitBeforeKill);
+        EXPECT_EQ(gaps[0].second.to, kNextIncarnationStart);
         EXPECT_EQ(gaps[0].second.requests, -1);
         EXPECT_EQ(gaps[0].second.updates, -1);
     }
@@ -105,15 +105,15 @@
     return contents;
 }
 
-TEST_F(StoredDataTest, LedgerOfVersion2IsReadToTheRow) {
+TEST_F(StoredDataTest, ReadsEveryRowOfVersion2Ledger) {
     for (const bool read_only : {true, false}) {
         Ledger ledger;
         const auto failure = ledger.open(path("v2/front.ledger"), {"", read_only});
         ASSERT_FALSE(failure) << failure.text;
         const LedgerContents contents = read_ledger(ledger);
-        contents.expect_those_of_version_2();
-        expect_incarnations_of_version_2(ledger);
-        expect_gaps_of_version_2(ledger);
+        contents.expect_version_2_contents();
+        expect_version_2_incarnations(ledger);
+        expect_version_2_gaps(ledger);
         const RequestAccount& served = contents.by_id.at("20261203_083408_00001_665c3");
         EXPECT_EQ(served.request.number, 1u);
         EXPECT_EQ(*served.request.requester,
@@ -132,18 +132,18 @@
     }
 }
 
-TEST_F(StoredDataTest, LedgerOfVersion2IsContinuedByANewIncarnation) {
+TEST_F(StoredDataTest, NewIncarnationContinuesVersion2Ledger) {
     Ledger ledger;
     ASSERT_FALSE(ledger.open(path("v2/front.ledger"), {}));
     RecoveredState recovered;
-    ASSERT_FALSE(ledger.begin_incarnation("00000000000000a1", "office-1", kOrderlyEnd + 1, recovered));
+    ASSERT_FALSE(ledger.begin_incarnation("00000000000000a1", "office-1", kCleanEnd + 1, recovered));
     EXPECT_EQ(recovered.requests_interrupted, 0);
     EXPECT_EQ(recovered.attempts_interrupted, 0);
     EXPECT_FALSE(recovered.killed_gap);
-    read_ledger(ledger).expect_those_of_version_2();
+    read_ledger(ledger).expect_version_2_contents();
 }
 
-TEST_F(StoredDataTest, AccountingStoreOfVersion2IsSettledAsBefore) {
+TEST_F(StoredDataTest, SettlesVersion2AccountingStoreAsBefore) {
     AccountingStore accounts;
     const auto opened = accounts.open(path("v2/accounting.books"), true);
     ASSERT_FALSE(opened) << opened.text;
@@ -173,7 +173,7 @@
             contents.damaged.push_back(std::move(text));
         });
     ASSERT_FALSE(failure) << failure.text;
-    contents.expect_those_of_version_2();
+    contents.expect_version_2_contents();
     EXPECT_EQ(findings, (std::map<SettlementFinding, int>{{SettlementFinding::agreed, 5},
                                                           {SettlementFinding::end_not_observed, 1},
                                                           {SettlementFinding::never_ran, 1},
@@ -181,8 +181,8 @@
                                                           {SettlementFinding::direct, 1}}));
     EXPECT_EQ(work_by_user, (std::map<std::string, Micros>{
                                 {"ann", 15'000 + 324'046 + 1'500'000}, {"joe", 4'000}, {"lee", 0}}));
-    expect_incarnations_of_version_2(accounts.ledger());
-    expect_gaps_of_version_2(accounts.ledger());
+    expect_version_2_incarnations(accounts.ledger());
+    expect_version_2_gaps(accounts.ledger());
     std::map<std::string, decide::IncarnationRecord> records;
     ASSERT_FALSE(accounts.incarnations(records));
     ASSERT_EQ(records.size(), 2u);
@@ -190,7 +190,7 @@
     EXPECT_TRUE(records.at(kEndedIncarnation).gaps.empty());
 }
 
-TEST_F(StoredDataTest, LedgerOfVersion2AddsNothingToAStoreThatHasIt) {
+TEST_F(StoredDataTest, CollectingVersion2LedgerAgainAddsNothing) {
     AccountingStore accounts;
     ASSERT_FALSE(accounts.open(path("v2/accounting.books")));
     const auto collected = accounts.collect_ledger(path("v2/front.ledger"));
@@ -201,7 +201,7 @@
     EXPECT_TRUE(collected->problems.empty());
 }
 
-TEST_F(StoredDataTest, EndpointCacheOfVersion2IsRead) {
+TEST_F(StoredDataTest, LoadsVersion2EndpointCache) {
     const auto endpoints = discovery::load_cached_endpoints(path("v2/endpoint_cache.json"));
     ASSERT_TRUE(endpoints) << endpoints.error();
     struct Expected {
