--- a/src/discovery/endpoint_source.cpp
+++ b/src/discovery/endpoint_source.cpp
@@ -102,30 +102,30 @@
         if (!entity_tag_.empty())
             request.headers.add("If-None-Match", entity_tag_);
         fetch_in_flight_ = client_.send(request, std::max(poll_interval_, kMinFetchTimeout),
-                                        [this](const http::Answer& answer) {
-                                            on_response(answer);
+                                        [this](const http::Answer& result) {
+                                            on_response(result);
                                         });
     }
 
-    void on_response(const http::Answer& answer) {
+    void on_response(const http::Answer& result) {
         poll_timer_ = loop_.after(poll_interval_, [this] {
             fetch();
         });
         const bool requested = std::exchange(poll_requested_, false);
-        if (answer.reached != http::Reached::answered)
-            return on_failure(answer.error, requested);
-        if (answer.response.status == kStatusNotModified) {
+        if (result.reached != http::Reached::answered)
+            return on_failure(result.error, requested);
+        if (result.response.status == kStatusNotModified) {
             const bool was_available = std::exchange(available_, true);
             if (!was_available || requested)
                 events_.on_list(last_list_);
             return;
         }
-        if (answer.response.status != kStatusOk)
-            return on_failure("HTTP status " + std::to_string(answer.response.status), requested);
-        auto list = config::read_engine_list(answer.response.body, "HTTP list " + path_);
+        if (result.response.status != kStatusOk)
+            return on_failure("HTTP status " + std::to_string(result.response.status), requested);
+        auto list = config::read_engine_list(result.response.body, "HTTP list " + path_);
         if (!list)
             return on_failure(list.error(), requested);
-        entity_tag_ = answer.response.headers.find("ETag").value_or("");
+        entity_tag_ = result.response.headers.find("ETag").value_or("");
         available_ = true;
         last_list_ = *list;
         events_.on_list(std::move(*list));
--- a/src/store/accounting_store.cpp
+++ b/src/store/accounting_store.cpp
@@ -206,14 +206,14 @@
 }
 
 StoreFailure AccountingStore::for_each_entry(const std::function<void(const AccountEntry&)>& visit,
-                                             const DamageReporter& damaged) {
+                                             const DamageReporter& report_damage) {
     EventCursor events(ledger_.db());
     EntryJoin join(events, visit);
     join.visit_untagged_events();
     const auto visit_request = [&](const RequestAccount& account) {
         join.visit_request(account);
     };
-    if (auto failure = ledger_.for_each_request(visit_request, damaged))
+    if (auto failure = ledger_.for_each_request(visit_request, report_damage))
         return failure;
     join.visit_remaining_events();
     return events.failure();
--- a/src/store/accounting_store.hpp
+++ b/src/store/accounting_store.hpp
@@ -38,9 +38,10 @@
     Result<CollectResult> collect_journal(const std::string& name, std::istream& lines);
 
     // Visits every request, ordered by incarnation name and request number, and every event that belongs to
-    // no request. Events without an attempt tag are visited first. Unreadable data is reported to `damaged`.
+    // no request. Events without an attempt tag are visited first. Unreadable data is reported to
+    // `report_damage`.
     StoreFailure for_each_entry(const std::function<void(const AccountEntry&)>& visit,
-                                const DamageReporter& damaged);
+                                const DamageReporter& report_damage);
     // Adds the gaps and the clock slack of each incarnation to `records_by_name`, by incarnation name. An
     // incarnation that was neither ended nor marked as killed gets an open gap after its last commit.
     StoreFailure incarnations(std::map<std::string, decide::IncarnationRecord>& records_by_name);
--- a/src/store/ledger.cpp
+++ b/src/store/ledger.cpp
@@ -8,8 +8,8 @@
 using decide::AttemptState;
 using decide::RequestState;
 
-// Time for which requests may be uncommitted: a flush interval, a commit, and clock steps below the detection
-// threshold.
+// Maximum time for which requests are uncommitted: a flush interval, a commit, and clock steps below the
+// detection threshold.
 constexpr Micros kMaxUncommittedDuration = 300 * kMillisecond;
 constexpr int kPagesFreedPerExpiry = 1000;
 constexpr int kPagesCopiedPerStep = 500;
--- a/src/store/ledger.hpp
+++ b/src/store/ledger.hpp
@@ -109,9 +109,9 @@
     StoreFailure snapshot(const std::string& file);
 
     // Visits all requests, ordered by incarnation name and request number. Unreadable data (a damaged page, a
-    // row that doesn't match its checksum) is skipped and reported to `damaged`.
+    // row that doesn't match its checksum) is skipped and reported to `report_damage`.
     StoreFailure for_each_request(const std::function<void(const RequestAccount&)>& visit,
-                                  const DamageReporter& damaged);
+                                  const DamageReporter& report_damage);
     // Visits the requests that have an idempotency key with a window, without their attempts.
     StoreFailure for_each_request_with_key(
         const std::function<void(const Incarnation&, const RequestRow&)>& visit);
@@ -149,7 +149,7 @@
     StoreFailure delete_up_to(std::int64_t last_key);
     StoreFailure extend_expired_gap(const LedgerGap& gap);
     std::vector<AttemptRow> read_attempts(TableCursor& attempts, const Incarnation& incarnation,
-                                          std::int64_t request, const DamageReporter& damaged);
+                                          std::int64_t request, const DamageReporter& report_damage);
 
     Db db_;
     RowCodec codec_{db_};
--- a/src/store/ledger_read.cpp
+++ b/src/store/ledger_read.cpp
@@ -12,8 +12,8 @@
     return incarnation.name + "." + std::to_string(request_number_of(key));
 }
 
-void report_orphan(const Incarnation& incarnation, std::int64_t key, const DamageReporter& damaged) {
-    damaged("attempts: a row of " + request_name(incarnation, key) + " has no request");
+void report_orphan(const Incarnation& incarnation, std::int64_t key, const DamageReporter& report_damage) {
+    report_damage("attempts: a row of " + request_name(incarnation, key) + " has no request");
 }
 
 StoreError cause_from(std::int64_t number) {
@@ -66,33 +66,33 @@
 // Reads the attempts of one request from the cursor. Attempts before them belong to no request and are
 // reported.
 std::vector<AttemptRow> Ledger::read_attempts(TableCursor& attempts, const Incarnation& incarnation,
-                                              std::int64_t request, const DamageReporter& damaged) {
+                                              std::int64_t request, const DamageReporter& report_damage) {
     std::vector<AttemptRow> found;
     for (; attempts.valid() && attempts.key() <= request; attempts.next()) {
         if (attempts.key() < request) {
-            report_orphan(incarnation, attempts.key(), damaged);
+            report_orphan(incarnation, attempts.key(), report_damage);
             continue;
         }
         AttemptRow row;
         if (codec_.read(attempts.row(), row))
             found.push_back(std::move(row));
         else
-            damaged("attempts: a row of " + request_name(incarnation, request) +
-                    " does not match its checksum");
+            report_damage("attempts: a row of " + request_name(incarnation, request) +
+                          " does not match its checksum");
     }
     return found;
 }
 
 StoreFailure Ledger::for_each_request(const std::function<void(const RequestAccount&)>& visit,
-                                      const DamageReporter& damaged) {
+                                      const DamageReporter& report_damage) {
     std::vector<Incarnation> by_name;
     if (auto failure = incarnations(by_name))
         return failure;
     std::sort(by_name.begin(), by_name.end(), [](const Incarnation& left, const Incarnation& right) {
         return left.name < right.name;
     });
-    TableCursor requests(db_, "requests", "row", damaged);
-    TableCursor attempts(db_, "attempts", "request", damaged);
+    TableCursor requests(db_, "requests", "row", report_damage);
+    TableCursor attempts(db_, "attempts", "request", report_damage);
     RequestAccount account;
     for (const Incarnation& incarnation : by_name) {
         account.incarnation = &incarnation;
@@ -100,15 +100,15 @@
         for (requests.start(incarnation); requests.valid(); requests.next()) {
             const std::int64_t key = requests.key();
             const bool intact = codec_.read(requests.row(), account.request);
-            account.attempts = read_attempts(attempts, incarnation, key, damaged);
+            account.attempts = read_attempts(attempts, incarnation, key, report_damage);
             if (intact)
                 visit(account);
             else
-                damaged("requests: the row of " + request_name(incarnation, key) +
-                        " does not match its checksum");
+                report_damage("requests: the row of " + request_name(incarnation, key) +
+                              " does not match its checksum");
         }
         for (; attempts.valid(); attempts.next())
-            report_orphan(incarnation, attempts.key(), damaged);
+            report_orphan(incarnation, attempts.key(), report_damage);
     }
     return {};
 }
--- a/src/store/ledger_writer.hpp
+++ b/src/store/ledger_writer.hpp
@@ -30,7 +30,7 @@
     Micros retention = 0;  // age at which closed requests are removed; 0: never
     decide::LedgerLimits limits{};
     std::string vfs{};          // name of an SQLite VFS; empty: the default one
-    Micros history_window = 0;  // how much work history is read at the start; 0: none
+    Micros history_window = 0;  // duration of work history read at the start; 0: none
 };
 
 struct LedgerWriterStatus {
--- a/src/store/table_cursor.cpp
+++ b/src/store/table_cursor.cpp
@@ -5,11 +5,11 @@
 namespace gatetiller::store {
 
 TableCursor::TableCursor(Db& db, std::string table, const std::string& key_column,
-                         const DamageReporter& damaged)
+                         const DamageReporter& report_damage)
     : table_(std::move(table)),
       statement_(db.prepare("SELECT * FROM " + table_ + " WHERE " + key_column + ">? AND " + key_column +
                             "<? ORDER BY " + key_column + (key_column == "row" ? "" : ",number"))),
-      damaged_(damaged) {}
+      report_damage_(report_damage) {}
 
 void TableCursor::start(const Incarnation& incarnation) {
     incarnation_ = &incarnation;
@@ -51,7 +51,7 @@
 }
 
 void TableCursor::report_unreadable_until(std::int64_t key) {
-    damaged_(
+    report_damage_(
         table_ + ": unreadable rows of incarnation " + incarnation_->name + " after request " +
         std::to_string(request_number_of(*unreadable_after_)) +
         (key == end_key_ ? " to the end" : " to before request " + std::to_string(request_number_of(key))));
--- a/src/store/table_cursor.hpp
+++ b/src/store/table_cursor.hpp
@@ -18,8 +18,9 @@
 // a row can be read, and reports the skipped range.
 class TableCursor {
 public:
-    // `key_column` contains request keys (row_codec.hpp). `damaged` must outlive the cursor.
-    TableCursor(Db& db, std::string table, const std::string& key_column, const DamageReporter& damaged);
+    // `key_column` contains request keys (row_codec.hpp). `report_damage` must outlive the cursor.
+    TableCursor(Db& db, std::string table, const std::string& key_column,
+                const DamageReporter& report_damage);
 
     // Moves to the first row of `incarnation`, which must outlive the reading of its rows.
     void start(const Incarnation& incarnation);
@@ -42,7 +43,7 @@
 
     std::string table_;
     Statement statement_;
-    const DamageReporter& damaged_;
+    const DamageReporter& report_damage_;
     const Incarnation* incarnation_ = nullptr;
     std::int64_t key_ = 0;
     std::int64_t end_key_ = 0;
--- a/tests/discovery/discovery_test.cpp
+++ b/tests/discovery/discovery_test.cpp
@@ -87,13 +87,13 @@
         user_agent = request.headers.find("User-Agent").value_or("");
         if (unavailable)
             return reply.send({503, {}, ""});
-        http::Response answer{200, {}, body};
+        http::Response response{200, {}, body};
         if (request.headers.find("If-None-Match") == tag)
-            answer = {304, {}, ""}, ++not_modified_responses;
+            response = {304, {}, ""}, ++not_modified_responses;
         else
             ++full_responses;
-        answer.headers.add("ETag", tag);
-        reply.send(answer);
+        response.headers.add("ETag", tag);
+        reply.send(response);
     });
     const auto address = *server.listen(*net::Address::parse("127.0.0.1:0"));
     start({.http = address, .path = "/list", .every = 5 * kMillisecond});
--- a/tests/store/ledger_contents.hpp
+++ b/tests/store/ledger_contents.hpp
@@ -56,7 +56,7 @@
 
 struct LedgerContents {
     std::map<std::string, RequestAccount> accounts;  // by "incarnation.number"
-    std::vector<std::string> damaged;
+    std::vector<std::string> damage_reports;
 };
 inline LedgerContents read_ledger(Ledger& ledger) {
     LedgerContents contents;
@@ -70,7 +70,7 @@
             EXPECT_TRUE(inserted) << "duplicate request: " << account.request.number;
         },
         [&](std::string text) {
-            contents.damaged.push_back(std::move(text));
+            contents.damage_reports.push_back(std::move(text));
         });
     EXPECT_FALSE(failure) << failure.text;
     return contents;
--- a/tests/store/ledger_test.cpp
+++ b/tests/store/ledger_test.cpp
@@ -80,7 +80,7 @@
         crashes += vfs.crashed;
         vfs.lose_unsynced_writes();
         const auto contents = read_ledger(temp.file, false);
-        EXPECT_TRUE(contents.damaged.empty()) << contents.damaged.front();
+        EXPECT_TRUE(contents.damage_reports.empty()) << contents.damage_reports.front();
         const bool last_batch_present = expected_ledger.matches(contents, true);
         EXPECT_TRUE(last_batch_present ||
                     (!last_write_succeeded && expected_ledger.matches(contents, false)));
--- a/tests/store/ledger_writer_test.cpp
+++ b/tests/store/ledger_writer_test.cpp
@@ -50,7 +50,7 @@
                           account.request.number % 2 == 1 ? RequestState::served : RequestState::open);
                 EXPECT_EQ(account.attempts.size(), 1u);
             }
-            EXPECT_TRUE(found.damaged.empty());
+            EXPECT_TRUE(found.damage_reports.empty());
             if (!failure_injected)
                 break;
             ASSERT_LT(n, 1000);
@@ -216,7 +216,7 @@
     const auto readable = read_ledger(temp.file);
     EXPECT_GT(readable.accounts.size(), 100u);
     EXPECT_LT(readable.accounts.size(), 900u);
-    EXPECT_FALSE(readable.damaged.empty());
+    EXPECT_FALSE(readable.damage_reports.empty());
     writer = open(kSecondIncarnation);
     std::string log_lines;
     for (int i = 0; i < 900; ++i) {
@@ -250,8 +250,8 @@
     }
     const auto found = read_ledger(temp.file);
     EXPECT_EQ(found.accounts.size(), 2u);
-    ASSERT_EQ(found.damaged.size(), 1u);
-    EXPECT_NE(found.damaged[0].find(kFirstIncarnation + ".2 does not match"), std::string::npos);
+    ASSERT_EQ(found.damage_reports.size(), 1u);
+    EXPECT_NE(found.damage_reports[0].find(kFirstIncarnation + ".2 does not match"), std::string::npos);
 }
 
 TEST_F(LedgerWriterTest, ExpiryExtendsASingleGap) {
--- a/tests/store/stored_data_test.cpp
+++ b/tests/store/stored_data_test.cpp
@@ -29,7 +29,7 @@
     std::map<AttemptState, int> attempts;
     std::map<std::string, Micros> work_by_user;
     std::map<std::string, RequestAccount> by_id;
-    std::vector<std::string> damaged;
+    std::vector<std::string> damage_reports;
 
     void add(const RequestAccount& account) {
         ++requests[account.request.state];
@@ -40,7 +40,7 @@
         by_id[account.request.id] = account;
     }
     void expect_version_2_contents() const {
-        EXPECT_TRUE(damaged.empty()) << damaged.front();
+        EXPECT_TRUE(damage_reports.empty()) << damage_reports.front();
         EXPECT_EQ(requests, (std::map<RequestState, int>{{RequestState::interrupted, 1},
                                                          {RequestState::served, 5},
                                                          {RequestState::shed, 2},
@@ -99,7 +99,7 @@
             contents.add(account);
         },
         [&](std::string text) {
-            contents.damaged.push_back(std::move(text));
+            contents.damage_reports.push_back(std::move(text));
         });
     EXPECT_FALSE(failure) << failure.text;
     return contents;
@@ -170,7 +170,7 @@
             }
         },
         [&](std::string text) {
-            contents.damaged.push_back(std::move(text));
+            contents.damage_reports.push_back(std::move(text));
         });
     ASSERT_FALSE(failure) << failure.text;
     contents.expect_version_2_contents();
