--- a/src/policy/health_checks.cpp
+++ b/src/policy/health_checks.cpp
@@ -6,18 +6,18 @@
 namespace {
 
 constexpr double kChecksPerRequest = 0.4;
-constexpr double kLargestCredit = 2;
+constexpr double kMaxCredit = 2;
 
 }  // namespace
 
 void HealthCheckSchedule::count_arrival() {
-    credit_ = std::min(credit_ + kChecksPerRequest, kLargestCredit);
+    credit_ = std::min(credit_ + kChecksPerRequest, kMaxCredit);
 }
 
 EndpointStatus* HealthCheckSchedule::next(Fleet& fleet, Micros now) {
     EndpointStatus* oldest = nullptr;
     for (EndpointStatus& endpoint : fleet.endpoints())
-        if (endpoint.takes_requests() &&
+        if (endpoint.is_ready() &&
             (oldest == nullptr || endpoint.health_checked_at < oldest->health_checked_at))
             oldest = &endpoint;
     if (oldest == nullptr || credit_ < 1 || now - oldest->health_checked_at < kHealthCheckInterval)
