--- a/src/discovery/endpoint_source.cpp
+++ b/src/discovery/endpoint_source.cpp
@@ -112,7 +112,7 @@
             fetch();
         });
         const bool requested = std::exchange(poll_requested_, false);
-        if (result.reached != http::Reached::answered)
+        if (result.outcome != http::CallOutcome::answered)
             return on_failure(result.error, requested);
         if (result.response.status == kStatusNotModified) {
             const bool was_available = std::exchange(available_, true);
--- a/src/node/attempt_dispatcher.cpp
+++ b/src/node/attempt_dispatcher.cpp
@@ -9,7 +9,7 @@
 namespace gatetiller::node {
 namespace {
 
-constexpr Micros kRetryTransit = 20 * kMillisecond;  // of a retry to its engine
+constexpr Micros kRetryTransit = 20 * kMillisecond;  // allowance for a retry to reach its engine
 
 }  // namespace
 
@@ -52,7 +52,7 @@
         endpoints_.record_slow_start_send(attempt.engine, attempt.dispatched_at,
                                           deps_.faults->slow_start_weight_of_attempt());
     send(attempt, *engine, *permit);
-    if (!attempt.over && attempt.number == 0 && deps_.faults->duplicates_first_attempt())
+    if (!attempt.ended && attempt.number == 0 && deps_.faults->duplicates_first_attempt())
         dispatch(request, engine_id, timeout);
 }
 
@@ -74,7 +74,7 @@
         attempt.timeout_timer = 0;
         complete(attempt, AttemptOutcome::timed_out);
     });
-    // A retry must arrive while the engines still know its key, not only be dispatched by then.
+    // A retry must arrive, not merely be dispatched, while the engines still recognize its key.
     if (request.class_settings->idempotency != Idempotency::keyed || !request.first_possible_execution)
         return;
     const Micros window_ends =
@@ -96,13 +96,13 @@
         complete(attempt, AttemptOutcome::not_sent);
 }
 
-// The request as it goes out now: `ms` is what is left of its time at this moment.
+// Returns the request as it is to be written now; the field `ms` is the time left at this moment.
 std::optional<Exchange::Request> AttemptDispatcher::current_request(const Attempt& attempt) {
     const ActiveRequest& request = attempt.request;
     const Micros now = deps_.faults->sends_stale_time_left() ? attempt.dispatched_at : loop_.now();
     const Micros time_left = attempt.expires_at - now;
-    const bool is_awaited = !request.lifecycle.finished() || deps_.faults->sends_after_client_disconnected();
-    if (attempt.over || time_left <= 0 || !is_awaited)
+    const bool is_needed = !request.lifecycle.finished() || deps_.faults->sends_after_client_disconnected();
+    if (attempt.ended || time_left <= 0 || !is_needed)
         return std::nullopt;
     std::string fields = "kind=" + request.class_settings->name +
                          ",ms=" + std::to_string(std::max<Micros>(1, time_left / kMillisecond));
@@ -116,18 +116,18 @@
     return Exchange::Request{std::move(fields), request.body};
 }
 
-// By what holds at this moment and not when the attempt was dispatched: a connection that came up late, or a
-// stall of this process, lies between the two.
+// Checks the conditions at this moment, as they may have changed since the dispatch: the connection may have
+// been established late, or this process may have stalled.
 bool AttemptDispatcher::may_begin(const Attempt& attempt, std::uint64_t connection) {
     auto context = context_of(attempt);
-    context.attempt_in_flight = false;  // it is this one
+    context.attempt_in_flight = false;  // the one in flight is this attempt
     const auto violation = guard_.find_violation(context, *attempt.request.class_settings, std::nullopt);
     const bool engine_ready =
         endpoints_.state(attempt.engine) == EndpointState::ready || deps_.faults->begins_at_draining_engine();
     const bool permitted = !violation || deps_.faults->begins_despite_violation();
-    const bool may_begin = !attempt.over && engine_ready && permitted;
+    const bool may_begin = !attempt.ended && engine_ready && permitted;
     if (deps_.trace)
-        deps_.trace(name_of(attempt) + (may_begin ? " begins" : " may not begin any more") +
+        deps_.trace(name_of(attempt) + (may_begin ? " begins" : " is no longer permitted to begin") +
                     " on connection " + std::to_string(connection) +
                     (violation ? std::string(": ") + decide::name_of(*violation) : "") +
                     " waited_ms=" + std::to_string((loop_.now() - attempt.dispatched_at) / kMillisecond) +
@@ -158,7 +158,7 @@
 // ---- While in flight
 
 void AttemptDispatcher::on_progress(Attempt& attempt, ProgressKind kind, double value) {
-    if (attempt.over)
+    if (attempt.ended)
         return;
     ++attempt.progress_updates;
     attempt.last_progress_at = loop_.now();
@@ -173,7 +173,7 @@
         attempt->exchange->set_priority(grant.priority);
 }
 
-// ---- Ends
+// ---- Completion
 
 void AttemptDispatcher::cancel(ActiveRequest& request, int number) {
     if (number >= 0 && number < static_cast<int>(request.attempts.size()))
@@ -181,23 +181,24 @@
 }
 
 void AttemptDispatcher::withdraw_unsent(Attempt& attempt) {
-    if (!attempt.over && attempt.exchange && attempt.exchange->withdraw_unsent())
+    if (!attempt.ended && attempt.exchange && attempt.exchange->withdraw_unsent())
         complete(attempt, AttemptOutcome::not_sent);
 }
 
-// Ends an attempt of which not all has been sent, at the price of its connection: it never ran.
+// Ends an attempt whose request has not been sent completely, and so was never executed. If a part has been
+// sent, its connection is reset.
 void AttemptDispatcher::reset_partial(Attempt& attempt) {
-    if (!attempt.over && attempt.exchange && attempt.exchange->reset_partial())
+    if (!attempt.ended && attempt.exchange && attempt.exchange->reset_partial())
         complete(attempt, AttemptOutcome::not_sent);
 }
 
-// Does not depend on PolicySettings::can_cancel: no attempt may begin for a client that has left.
-void AttemptDispatcher::on_client_left(ActiveRequest& request) {
+// Does not depend on PolicySettings::can_cancel: no attempt may begin for a disconnected client.
+void AttemptDispatcher::on_client_disconnected(ActiveRequest& request) {
     Attempt* const attempt = request.attempt_in_flight();
     if (!attempt)
         return;
     reset_partial(*attempt);
-    if (!attempt->over && attempt->exchange && attempt->exchange->discard_unacknowledged())
+    if (!attempt->ended && attempt->exchange && attempt->exchange->discard_unacknowledged())
         complete(*attempt, AttemptOutcome::connection_reset);
 }
 
@@ -207,7 +208,7 @@
 }
 
 void AttemptDispatcher::on_end(Attempt& attempt, decide::ExchangeResult result) {
-    if (attempt.over)
+    if (attempt.ended)
         return;
     if (result.status == decide::ExchangeResult::Status::completed && !attempt.request.lifecycle.finished())
         events_.on_result(attempt.request, result);
@@ -216,13 +217,13 @@
 
 void AttemptDispatcher::complete(Attempt& attempt, AttemptOutcome outcome,
                                  const decide::ExchangeResult* result) {
-    if (std::exchange(attempt.over, true))
+    if (std::exchange(attempt.ended, true))
         return;
     attempt.cancel_timers();
     const std::string progress = deps_.trace && attempt.exchange ? attempt.exchange->describe() : "";
     if (attempt.exchange && attempt.exchange->withdraw_unsent())
         outcome = AttemptOutcome::not_sent;
-    attempt.exchange.reset();  // cancels it at the engine, where it is not over
+    attempt.exchange.reset();  // cancels the request at the engine unless the exchange has ended
     if (!proves_not_executed(outcome))
         record_possible_execution(attempt);
     ++completed_[outcome];
--- a/src/node/endpoint_registry.cpp
+++ b/src/node/endpoint_registry.cpp
@@ -5,19 +5,19 @@
 namespace gatetiller::node {
 namespace {
 
-constexpr Micros kListOldAfter = 2 * kSecondMicros;  // without a response of the name service
-constexpr Micros kDiscardLead = 100 * kMillisecond;  // before the drain grace of an engine ends
-constexpr std::size_t kMaxEnginesLogged = 40;        // of one update
-constexpr double kWorkSmoothing = 0.02;              // weight of one request in the mean work
+constexpr Micros kListStaleAfter = 2 * kSecondMicros;  // without a confirmation by the name service
+constexpr Micros kDiscardLead = 100 * kMillisecond;    // before the end of an engine's drain grace
+constexpr std::size_t kMaxEnginesLogged = 40;          // per update
+constexpr double kWorkSmoothing = 0.02;                // weight of one request in the mean work
 
 const char* state_text(EndpointState state) {
     switch (state) {
         case EndpointState::ready:
-            return " is on";
+            return " is ready";
         case EndpointState::draining:
-            return " drains";
+            return " is draining";
         case EndpointState::removed:
-            return " is gone";
+            return " is removed";
     }
     return " is in an unknown state";
 }
@@ -60,13 +60,13 @@
 void EndpointRegistry::apply_received(const discovery::ReceivedUpdate& update) {
     const auto previous = list_.serial();
     if (deps_.trace)
-        deps_.trace("name service: list " + std::to_string(update.serial) + " of " +
-                    std::to_string(update.endpoints.size()) + " engines asked " +
+        deps_.trace("name service: list " + std::to_string(update.serial) + " with " +
+                    std::to_string(update.endpoints.size()) + " engines, polled " +
                     std::to_string((loop_.now() - update.polled_at) / kMillisecond) +
                     " ms ago, current: " + list_text());
     auto change = list_.apply(update.serial, update.endpoints, loop_.now(), wall_now(), update.polled_at);
     if (update.serial < previous && list_.serial() == update.serial)
-        deps_.log("the name service's numbering has started anew: list " + std::to_string(previous) +
+        deps_.log("the name service's serials have restarted: list " + std::to_string(previous) +
                   " was current, " + std::to_string(update.serial) + " is now");
     apply(std::move(change));
 }
@@ -81,16 +81,17 @@
     const auto replaced = connect_listed();
     for (auto& [id, engine] : engines_)
         engine.listed = list_.endpoints().contains(id);
-    record(*update);
+    apply_endpoint_states(*update);
     events_.on_update(deps_.faults->update_for_policy(std::move(*update)));
     for (const auto& connections : replaced)
-        connections->end_all("the engine has another address");
-    // What still waits to go out to an engine that is not ready would begin after its drain grace.
+        connections->end_all("the engine's address has changed");
+    // Requests still waiting to be sent to a draining engine could otherwise begin after its drain grace.
     events_.on_applied();
     reset_before_grace_ends();
 }
 
-// Gives each listed engine connections to its address, and returns those to earlier addresses.
+// Creates the connections of each listed engine whose address is new, and returns those to previous
+// addresses.
 std::vector<std::unique_ptr<EngineConnections>> EndpointRegistry::connect_listed() {
     std::vector<std::unique_ptr<EngineConnections>> replaced;
     for (const auto& [id, listed] : list_.endpoints()) {
@@ -111,7 +112,7 @@
 
 decide::ConnectionLimits EndpointRegistry::connection_limits() const {
     decide::ConnectionLimits limits;
-    // The pool limits those to all engines together.
+    // This limit is per engine; the pool limits the total.
     limits.max_connections = std::max<std::size_t>(1, limits_.engine_connections / 2);
     limits.max_streams = static_cast<std::size_t>(settings_.max_streams);
     limits.connect_timeout = settings_.connect_timeout;
@@ -119,7 +120,7 @@
     return limits;
 }
 
-void EndpointRegistry::record(const EndpointUpdate& update) {
+void EndpointRegistry::apply_endpoint_states(const EndpointUpdate& update) {
     const bool logs_each =
         update.kind == EndpointUpdateKind::incremental && update.endpoints.size() <= kMaxEnginesLogged;
     if (!logs_each)
@@ -149,7 +150,7 @@
     deps_.log(text);
 }
 
-// Bytes that a draining engine has not acknowledged could start an attempt there after its grace.
+// Bytes that a draining engine has not acknowledged could start an attempt there after its drain grace.
 // Connections with such bytes are reset shortly before the grace ends; the policy retries their attempts
 // where allowed.
 void EndpointRegistry::reset_before_grace_ends() {
@@ -177,11 +178,12 @@
         const RegisteredEngine* const engine = find(id);
         if (engine && engine->connections)
             engine->connections->end_unacknowledged(
-                "the engine drains and has not acknowledged what was sent");
+                "the engine is draining and has not acknowledged all sent bytes");
     }
 }
 
-// The wall clock as it stood at the start, moved on by the monotonic one: a later step of it changes nothing.
+// Returns the wall-clock time derived from the offset read at construction and the monotonic clock, so that
+// later steps of the wall clock have no effect.
 Micros EndpointRegistry::wall_now() const {
     return loop_.now() + wall_offset_;
 }
@@ -263,14 +265,14 @@
     log_list_age();
 }
 
-// Logged once for each silence. The current list stays in force, however old
-// (docs/incidents/drain-told-and-not-held.md).
+// Logs once when the list becomes old and once when it is confirmed again. The current list stays in use
+// regardless of its age (docs/incidents/drain-told-and-not-held.md).
 void EndpointRegistry::log_list_age() {
-    const bool old = loop_.now() - list_.confirmed_at() > kListOldAfter;
-    if (old == std::exchange(list_old_, old))
+    const bool is_stale = loop_.now() - list_.confirmed_at() > kListStaleAfter;
+    if (is_stale == std::exchange(list_stale_logged_, is_stale))
         return;
-    deps_.log((old ? "no response of the name service, the current list stays: "
-                   : "the name service responds again: ") +
+    deps_.log((is_stale ? "no response from the name service, keeping the current list: "
+                        : "the name service responds again: ") +
               list_text());
 }
 
--- a/tests/node/rig.hpp
+++ b/tests/node/rig.hpp
@@ -1,7 +1,7 @@
-// Fixtures that run a front node among the platform's stand-ins (lab/platform.hpp): engines, clients and a
-// name service. NodeRig runs in virtual time, SocketRig over loopback sockets. A test sets `settings`, adds
-// engines, calls start(), and ends with expect_rules_kept(), which judges the platform's rules from what the
-// stand-ins recorded on their sockets.
+// Fixtures that run a front node with the platform's stand-ins (lab/platform.hpp): engines, clients and a
+// name service. VirtualNodeTest runs in virtual time, SocketNodeTest over loopback sockets. A test sets
+// `settings`, adds engines, calls start(), and ends with expect_no_violations(), which checks the platform's
+// rules on the traffic that the stand-ins recorded.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
 template <typename Loop>
 class NodeFixture : public ::testing::Test {
 protected:
-    // How long a condition is awaited at most.
+    // Maximum time to wait for a condition, in microseconds.
     static constexpr Micros kMaxWait = 60 * kSecondMicros;
     static constexpr bool kVirtual = std::is_same_v<Loop, sim::VirtualLoop>;
     static auto loop_settings() {
@@ -27,7 +27,8 @@
         else
             return net::PollLoop::Limits{.input = 96 * 1024};
     }
-    // The address to listen on: this one in virtual time; on real sockets the kernel picks the port.
+    // Returns the address to listen on: `address` in virtual time; on real sockets the kernel chooses the
+    // port.
     static net::Address listen_address(const std::string& address) {
         return *net::Address::parse(kVirtual ? address : "127.0.0.1:0");
     }
@@ -48,103 +49,104 @@
         clients.clear();
     }
 
-    // Starts an engine and lists it at the name service; in virtual time at `address`, if one is given.
+    // Starts an engine and lists it at the name service. `address` is used in virtual time only; empty: one
+    // is assigned.
     lab::PlatformEngine& add_engine(const std::string& name, const std::string& address = "") {
-        lab::PlatformEngineSettings s;
-        s.name = name;
-        s.seed = ++seed;
-        auto e = std::make_unique<lab::PlatformEngine>(loop, s, records);
-        const auto place = e->listen(
+        lab::PlatformEngineSettings engine_settings;
+        engine_settings.name = name;
+        engine_settings.seed = ++seed;
+        auto engine = std::make_unique<lab::PlatformEngine>(loop, engine_settings, records);
+        const auto endpoint_address = engine->listen(
             "n0", listen_address(address.empty() ? "127.1.0." + std::to_string(engines.size() + 1) + ":5050"
                                                  : address));
-        EXPECT_TRUE(place) << place.error();
-        publish_endpoint(name, *place);
+        EXPECT_TRUE(endpoint_address) << endpoint_address.error();
+        publish_endpoint(name, *endpoint_address);
         lab::EngineFacts facts;
         facts.name = name;
         facts.address = name;
         facts.zone = "z";
         facts.kind = "std";
         records.facts.engines.push_back(facts);
-        engines.push_back(std::move(e));
+        engines.push_back(std::move(engine));
         return *engines.back();
     }
-    // An event of the name service; before start() it is part of the list of the start, as a configuration
-    // would hold it.
-    void publish_endpoint(const std::string& name, const net::Address& place, bool draining = false) {
-        name_service.put({name, "z", "std", {{"n0", place}}, draining});
+    // Adds or changes an endpoint at the name service; before start() also in the configured initial list.
+    void publish_endpoint(const std::string& name, const net::Address& endpoint_address,
+                          bool draining = false) {
+        name_service.put({name, "z", "std", {{"n0", endpoint_address}}, draining});
         if (node)
             return;
-        decide::DiscoveredEndpoint e;
-        e.name = name;
-        e.address = place.text();
-        e.zone = "z";
-        e.kind = "std";
-        settings.known_endpoints.push_back(std::move(e));
+        decide::DiscoveredEndpoint endpoint;
+        endpoint.name = name;
+        endpoint.address = endpoint_address.text();
+        endpoint.zone = "z";
+        endpoint.kind = "std";
+        settings.known_endpoints.push_back(std::move(endpoint));
     }
-    // Starts the name service and the node, and waits until the node answers a client.
+    // Starts the name service and the node, and waits until the node responds to a client.
     void start() {
         const auto dns = name_service.listen("n0", listen_address("127.2.0.1:1053"));
         ASSERT_TRUE(dns);
         settings.dns = *dns;
         settings.known_serial = name_service.number();
         node = std::make_unique<node::Node>(loop, settings,
-                                            node::NodeDeps{[this](const std::string& t) {
-                                                               log += t + "\n";
+                                            node::NodeDeps{[this](const std::string& line) {
+                                                               log += line + "\n";
                                                            },
-                                                           [this](const std::string& t) {
-                                                               log += t + "\n";
+                                                           [this](const std::string& line) {
+                                                               log += line + "\n";
                                                            }});
         const auto bound = node->start();
         ASSERT_TRUE(bound) << bound.error();
         settings.listen = *bound;
         wait_until_ready();
     }
-    // A new client, which connects at once.
+    // Returns a new client, which connects immediately.
     lab::PlatformClient& add_client() {
         clients.push_back(std::make_unique<lab::PlatformClient>(loop, "n0", settings.listen, records));
         return *clients.back();
     }
-    // Waits until the node answers a probe.
+    // Waits until the node responds to a probe.
     void wait_until_ready() {
-        auto& c = add_client();
-        c.probe();
+        auto& client = add_client();
+        client.probe();
         ASSERT_TRUE(run_until([&] {
-            return c.ready();
+            return client.ready();
         }));
     }
-    // A request of a new id, for work of so many milliseconds and a result of so many rows.
+    // Returns a request with a new id, `work_ms` milliseconds of work and a result of `rows` rows.
     lab::PlatformClient::Ask make_request(const std::string& cls = "lookup", int work_ms = 20,
                                           std::size_t rows = 3) {
-        lab::PlatformClient::Ask a;
-        a.cls = cls, a.tenant = "acme", a.rows = rows;
-        a.trace = random.hex(16);
-        a.sql = "SELECT a, b, c FROM sales_3.t /* gt: work_ms=" + std::to_string(work_ms) +
-                " rows=" + std::to_string(rows) + " */ -- " + a.trace;
-        a.aim = kSecondMicros, a.patience = cls == "load" ? 9 * kSecondMicros : 4 * kSecondMicros;
+        lab::PlatformClient::Ask request;
+        request.cls = cls, request.tenant = "acme", request.rows = rows;
+        request.trace = random.hex(16);
+        request.sql = "SELECT a, b, c FROM sales_3.t /* gt: work_ms=" + std::to_string(work_ms) +
+                      " rows=" + std::to_string(rows) + " */ -- " + request.trace;
+        request.aim = kSecondMicros, request.patience = cls == "load" ? 9 * kSecondMicros : 4 * kSecondMicros;
         if (cls == "load")
-            a.nonce = random.hex(32);
-        return a;
+            request.nonce = random.hex(32);
+        return request;
     }
-    // Runs the loop until the condition holds; false: it did not in time.
+    // Runs the loop until the condition holds. Returns false if it does not in time.
     template <typename C>
-    bool run_until(C condition, Micros longest = kMaxWait) {
+    bool run_until(C condition, Micros max_wait = kMaxWait) {
         if constexpr (kVirtual)
-            return loop.run(condition, longest);
+            return loop.run(condition, max_wait);
         else
-            return await(loop, condition, longest);
+            return await(loop, condition, max_wait);
     }
-    // Lets so much virtual time pass.
-    void advance_time(Micros span) {
+    // Advances the virtual time.
+    void advance_time(Micros duration) {
         static_assert(kVirtual, "conditions are awaited on real sockets");
-        const Micros end = loop.now() + span;
-        loop.after(span, [] {});
+        const Micros end = loop.now() + duration;
+        loop.after(duration, [] {});
         loop.run(
             [&] {
                 return loop.now() >= end;
             },
-            span + 1);
+            duration + 1);
     }
-    // The rules judged from what has been recorded by now.
+    // Checks the rules on all traffic recorded so far.
     lab::Judgement check_rules() {
         records.facts.classes = settings.policy.classes;
         records.facts.answer_grace = settings.policy.response_grace;
@@ -153,14 +155,14 @@
         return lab::judge(records);
     }
     void expect_no_violations() {
-        const auto j = check_rules();
-        for (const auto& v : j.violations)
-            ADD_FAILURE() << "rule " << v.rule << ": " << v.what << "\n" << v.story;
-        for (const auto& e : engines)
-            EXPECT_TRUE(e->unusable().empty()) << e->unusable()[0];
+        const auto report = check_rules();
+        for (const auto& violation : report.violations)
+            ADD_FAILURE() << "rule " << violation.rule << ": " << violation.what << "\n" << violation.story;
+        for (const auto& engine : engines)
+            EXPECT_TRUE(engine->unusable().empty()) << engine->unusable()[0];
     }
 
-    // Two classes: `lookup` is idempotent, `load` is safe to repeat by its key.
+    // Two classes: `lookup` is idempotent, `load` may be retried with its key.
     static void set_policy(PolicySettings& policy) {
         ClassSettings lookup;
         lookup.name = "lookup";
@@ -200,7 +202,7 @@
     Loop loop{loop_settings()};
     Random random{7};
     std::uint64_t seed = 0;
-    std::string log;  // of the node, with its trace
+    std::string log;  // log and trace lines of the node
     lab::Records records;
     lab::NameService name_service{loop, records, 3};
     node::NodeSettings settings;
