--- a/tests/cli/program_test.cpp
+++ b/tests/cli/program_test.cpp
@@ -154,7 +154,7 @@
         served.terminate();
         ASSERT_TRUE(served.wait(kPatience));
     }
-    EXPECT_EQ(log().find("not ended in order"), std::string::npos) << log();
+    EXPECT_EQ(log().find("not shut down cleanly"), std::string::npos) << log();
     {
         auto served = start("serve", "front.jsonnet");
         EXPECT_TRUE(served_once(served));
@@ -169,7 +169,7 @@
     auto served = start("serve", "front.jsonnet");
     EXPECT_TRUE(served_once(served));
     EXPECT_TRUE(await([&] {
-        return log().find("not ended in order") != std::string::npos;
+        return log().find("not shut down cleanly") != std::string::npos;
     })) << log();
     served.terminate();
     ASSERT_TRUE(served.wait(kPatience));
