--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -10,17 +10,17 @@
         client.loop_.cancel(timer);
     }
 
-    void begin(std::string bytes, bool head, Micros time_out, Done call, MayBegin may) {
+    void begin(std::string bytes, bool head, Micros time_out, Done call, MayBegin begin_allowed) {
         parser.reset(head);
         answers_head = head;
         ++serial;
-        done = std::move(call), may_begin = std::move(may);
+        done = std::move(call), may_begin = std::move(begin_allowed);
         client.loop_.cancel(std::exchange(timer, 0));
         if (time_out > 0)
             timer = client.loop_.after(time_out, [this] {
                 timer = 0;
                 fail(connected ? CallOutcome::timed_out : CallOutcome::connect_timed_out,
-                     "no answer in time");
+                     "no complete response in time");
             });
         sent = stream->send(std::move(bytes));
     }
@@ -28,24 +28,24 @@
         connected = true;
     }
     void on_sending(std::size_t) override {
-        const bool may = !may_begin || stream->written(sent) != net::Written::none || may_begin();
-        if (may || !stream->cancel_send(sent))
+        const bool allowed = !may_begin || stream->written(sent) != net::Written::none || may_begin();
+        if (allowed || !stream->cancel_send(sent))
             return;
-        // Told in a later turn, as the stream is at its writing.
+        // Reported in a later turn, because the stream is being written.
         client.loop_.cancel(std::exchange(timer, 0));
         timer = client.loop_.after(0, [this] {
             timer = 0;
-            fail(CallOutcome::withdrawn, "it might not begin any more");
+            fail(CallOutcome::withdrawn, "withdrawn before the first byte was sent");
         });
     }
     void on_data(Buffer& in) override {
         if (!done)
-            return drop();  // bytes that nobody asked for
+            return drop();  // unexpected bytes on an idle connection
         if (!parser.feed(in))
             return;
         if (parser.failed())
-            return fail(CallOutcome::broken, "an answer that can't be read: " + parser.error());
-        if (parser.response().status < 200) {  // 100 Continue and its like
+            return fail(CallOutcome::broken, "malformed response: " + parser.error());
+        if (parser.response().status < 200) {  // informational response, such as 100 Continue
             parser.reset(answers_head);
             if (!in.empty())
                 stream->schedule_delivery();
@@ -55,9 +55,9 @@
     }
     void on_closed(net::Closed how) override {
         const auto self = shared_from_this();
-        const bool answer_ends_it =
+        const bool end_completes_response =
             done && how == net::Closed::by_peer && parser.end_of_input() && parser.done();
-        if (answer_ends_it)
+        if (end_completes_response)
             return finish(false);
         if (std::exchange(connected, false) && !client.any_connected() && client.all_lost_)
             client.all_lost_();
@@ -66,18 +66,18 @@
         if (how == net::Closed::refused)
             return fail(CallOutcome::never_sent, "connection refused");
         if (how == net::Closed::local)
-            return fail(CallOutcome::lacks_local_resource, "this machine lacks something for a connection");
+            return fail(CallOutcome::lacks_local_resource, "this machine lacks a resource for a connection");
         if (how == net::Closed::connect_timed_out)
-            return fail(CallOutcome::connect_timed_out, "no connection in time");
-        fail(CallOutcome::broken, "the connection ended before the answer");
+            return fail(CallOutcome::connect_timed_out, "connecting timed out");
+        fail(CallOutcome::broken, "connection closed before the complete response");
     }
-    void finish(bool keep) {
+    void finish(bool reusable) {
         const auto self = shared_from_this();
         client.loop_.cancel(std::exchange(timer, 0));
         const auto call = std::exchange(done, nullptr);
         may_begin = nullptr;
         Answer answer{CallOutcome::answered, std::move(parser.response()), {}};
-        if (keep && client.idle_.size() < client.options_.idle_connections) {
+        if (reusable && client.idle_.size() < client.options_.idle_connections) {
             client.idle_.push_back(self);
             timer = client.loop_.after(client.options_.idle_time_out, [this] {
                 timer = 0, drop();
@@ -107,27 +107,27 @@
     std::unique_ptr<net::Stream> stream;
     Parser parser;
     bool connected = false, answers_head = false;
-    std::uint64_t serial = 0;  // which call of this connection is in flight
+    std::uint64_t serial = 0;  // number of the current call on this connection
     net::TimerId timer = 0;
-    net::SendId sent = 0;  // the request of the call in flight
+    net::SendId sent = 0;  // the send() of the current request
     Done done;
     MayBegin may_begin;
 };
 
 void Client::Call::cancel() {
     if (active())
-        of_.lock()->drop();
-    of_.reset();
+        connection_.lock()->drop();
+    connection_.reset();
 }
 
 void Client::Call::detach() {
     if (active())
-        of_.lock()->may_begin = nullptr;
-    of_.reset();
+        connection_.lock()->may_begin = nullptr;
+    connection_.reset();
 }
 
 bool Client::Call::withdraw() {
-    const auto c = of_.lock();
+    const auto c = connection_.lock();
     if (!active() || !c->stream->cancel_send(c->sent))
         return false;
     cancel();
@@ -135,7 +135,7 @@
 }
 
 bool Client::Call::active() const {
-    const auto c = of_.lock();
+    const auto c = connection_.lock();
     return c && c->serial == serial_ && c->done;
 }
 
@@ -159,7 +159,7 @@
 Client::Call Client::send(const Request& request, Micros time_out, Done done, MayBegin may_begin) {
     std::shared_ptr<Connection> c;
     if (!idle_.empty()) {
-        c = std::move(idle_.back());  // the one used last: least likely to be closed by the server just now
+        c = std::move(idle_.back());  // the most recently used one is least likely to be closed by the server
         idle_.pop_back();
     } else {
         c = std::make_shared<Connection>(*this);
--- a/src/http/client.hpp
+++ b/src/http/client.hpp
@@ -1,5 +1,6 @@
-// The client side: one Client for each server, with connections kept for reuse. The result of a call says
-// exactly how far it came, since what may be tried again depends on whether the server can have seen it.
+// The HTTP client: one Client per server, with a pool of idle connections. The outcome of a call states
+// exactly how far it got, because whether it may be retried depends on whether the server can have received
+// it.
 #pragma once
 
 #include <functional>
@@ -12,26 +13,26 @@
 namespace gatetiller::http {
 
 enum class CallOutcome {
-    answered,              // a whole response came
-    never_sent,            // no connection came about: the server has not seen the request
-    connect_timed_out,     // the same, after the time for connecting
-    lacks_local_resource,  // the same, for want of a descriptor, a port or the like at this machine
-    withdrawn,             // the same, as it might not begin any more when its first byte was to go out
-    broken,  // the connection broke after the request went out, or the answer made no sense: it may have run
-    timed_out,  // no whole answer in time: it may have run, or be running
+    answered,              // received a complete response
+    never_sent,            // connecting failed: the server has not received the request
+    connect_timed_out,     // not sent: connecting timed out
+    lacks_local_resource,  // not sent: this machine lacked a resource such as a descriptor or a port
+    withdrawn,             // not sent: `may_begin` returned false before the first byte was written
+    broken,     // the connection broke after sending, or the response was malformed: the request may have run
+    timed_out,  // no complete response in time: the request may have run or still be running
 };
 
 struct Answer {
     CallOutcome outcome = CallOutcome::answered;
-    Response response;  // where answered
-    std::string error;  // else: what happened
+    Response response;  // if answered
+    std::string error;  // otherwise: what failed
 };
 
 struct ClientOptions {
     Limits limits{};
     Micros connect_time_out = 250 * kMillisecond;
     Micros idle_time_out =
-        20 * kSecondMicros;  // shorter than servers': a request must not meet a closing connection
+        20 * kSecondMicros;  // shorter than servers', so that no request is sent on a connection being closed
     std::size_t idle_connections = 64;
 };
 
@@ -40,30 +41,31 @@
 
 public:
     using Done = std::function<void(Answer)>;
-    // A call in flight. Destroying or cancelling it closes its connection, and Done is not called any more.
+    // A call in flight. Destroying or cancelling it closes its connection, and Done is never called.
     class Call {
     public:
         Call() = default;
         Call(Call&& other) noexcept = default;
         Call& operator=(Call&& other) noexcept {
             if (this != &other)
-                cancel(), of_ = std::move(other.of_), serial_ = other.serial_;
+                cancel(), connection_ = std::move(other.connection_), serial_ = other.serial_;
             return *this;
         }
         ~Call() {
             cancel();
         }
         void cancel();
-        void detach();  // let it run to its end, Done included; whether it may begin is not asked any more
-        // Cancels the call where nothing of its request has gone out yet: the server never sees it. Whether
-        // that was so.
+        void detach();  // lets the call complete, calling Done; `may_begin` is no longer called
+        // Cancels the call if no byte of its request has been sent, so that the server never receives it.
+        // Returns whether it was cancelled.
         bool withdraw();
         bool active() const;
 
     private:
         friend class Client;
-        Call(std::weak_ptr<Connection> of, std::uint64_t serial) : of_(std::move(of)), serial_(serial) {}
-        std::weak_ptr<Connection> of_;
+        Call(std::weak_ptr<Connection> connection, std::uint64_t serial)
+            : connection_(std::move(connection)), serial_(serial) {}
+        std::weak_ptr<Connection> connection_;
         std::uint64_t serial_ = 0;
     };
 
@@ -72,9 +74,9 @@
     Client(const Client&) = delete;
     Client& operator=(const Client&) = delete;
 
-    // Asked right before the first byte of a request goes out; false: nothing of it does.
+    // Called right before the first byte of a request is written; returns false to withdraw the request.
     using MayBegin = std::function<bool()>;
-    // `time_out` is for the whole call, connecting included; 0: none. Done is never called before this
+    // `time_out` covers the entire call including connecting; 0: none. Done is never called before send()
     // returns.
     Call send(const Request& request, Micros time_out, Done done, MayBegin may_begin = nullptr);
     const net::Address& server() const {
@@ -83,10 +85,10 @@
     std::size_t open() const {
         return all_.size();
     }
-    // `told` each time that the server, or the network, has ended the last connection that was up: its
-    // process may have gone. Before the Done of the call that was on it.
-    void on_all_lost(std::function<void()> told) {
-        all_lost_ = std::move(told);
+    // Sets a callback for when the server or the network has closed the last established connection, as the
+    // server process may have ended. Called before the Done of the call on that connection.
+    void on_all_lost(std::function<void()> callback) {
+        all_lost_ = std::move(callback);
     }
 
 private:
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -2,7 +2,7 @@
 
 namespace gatetiller::http {
 
-std::string_view reason_of(int status) {
+std::string_view reason_phrase(int status) {
     switch (status) {
         case 100:
             return "Continue";
@@ -51,7 +51,7 @@
 
 namespace {
 
-void add_fields(std::string& out, const Headers& headers) {
+void append_fields(std::string& out, const Headers& headers) {
     for (const auto& [name, value] : headers)
         out.append(name).append(": ").append(value).append("\r\n");
 }
@@ -67,7 +67,7 @@
         .append(" HTTP/1.1\r\nHost: ")
         .append(host)
         .append("\r\n");
-    add_fields(out, request.headers);
+    append_fields(out, request.headers);
     if (!request.body.empty() || request.method == "POST" || request.method == "PUT")
         out.append("Content-Length: ").append(std::to_string(request.body.size())).append("\r\n");
     return out.append("\r\n").append(request.body);
@@ -79,9 +79,9 @@
     out.append("HTTP/1.1 ")
         .append(std::to_string(response.status))
         .append(" ")
-        .append(reason_of(response.status))
+        .append(reason_phrase(response.status))
         .append("\r\n");
-    add_fields(out, response.headers);
+    append_fields(out, response.headers);
     if (response.status != 204 && response.status >= 200)
         out.append("Content-Length: ").append(std::to_string(response.body.size())).append("\r\n");
     if (close)
--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -1,5 +1,5 @@
-// http: HTTP/1.1 (RFC 9112), both sides: messages, an incremental parser, a server and a client with pooled
-// connections. It knows nothing of statements. This file: messages as plain data.
+// http: HTTP/1.1 (RFC 9112): messages, an incremental parser, a server and a client with pooled connections.
+// It is independent of statements. This file defines messages as plain data.
 #pragma once
 
 #include <optional>
@@ -17,7 +17,7 @@
     void add(std::string name, std::string value) {
         fields_.emplace_back(std::move(name), std::move(value));
     }
-    // The first of that name, whatever its case.
+    // Returns the first field with this name, ignoring case.
     std::optional<std::string_view> find(std::string_view name) const {
         for (const auto& [key, value] : fields_)
             if (equals_ignore_case(key, name))
@@ -54,7 +54,7 @@
     int minor = 1;  // HTTP/1.minor
     Headers headers;
     std::string body;
-    std::string peer;  // address of the client, on the server's side
+    std::string peer;  // address of the client; set by the server
 };
 
 struct Response {
@@ -63,9 +63,10 @@
     std::string body;
 };
 
-std::string_view reason_of(int status);
+std::string_view reason_phrase(int status);
 
-// Whole messages as bytes. Content-Length is set here, never by the caller; `close` adds Connection: close.
+// Returns the serialized message. Content-Length is set here, never by the caller; `close` adds
+// Connection: close.
 std::string write(const Request& request, std::string_view host);
 std::string write(const Response& response, bool close, bool head_only);
 
--- a/src/http/parser.hpp
+++ b/src/http/parser.hpp
@@ -1,7 +1,7 @@
-// An incremental parser of HTTP/1.1 messages, for requests and for responses. Bytes may come in any pieces;
-// the result is the same. What two parsers could read differently is refused, since a request smuggled past
-// one of them ends up in somebody else's answer: two lengths, a length with chunked, bare LF, folded lines,
-// spaces before the colon, odd characters in names, signs or spaces in numbers.
+// An incremental parser of HTTP/1.1 requests and responses. The result does not depend on how the bytes are
+// split. Messages that two parsers could interpret differently are rejected, since a request smuggled past
+// one of them corrupts the response to another client: two lengths, a length with chunked, bare LF, folded
+// lines, spaces before the colon, invalid characters in names, signs or spaces in numbers.
 #pragma once
 
 #include "base/buffer.hpp"
@@ -11,7 +11,7 @@
 
 struct Limits {
     std::size_t start_line = 8 * 1024;
-    std::size_t header_bytes = 32 * 1024;  // all fields together
+    std::size_t header_bytes = 32 * 1024;  // total of all fields
     std::size_t header_count = 100;
     std::size_t body = 16 * 1024 * 1024;
 };
@@ -37,13 +37,14 @@
 
     Parser(Kind kind, Limits limits) : kind_(kind), limits_(limits) {}
 
-    // Takes what it can use from `in`, up to the end of one message. True once the message is done or has
-    // failed.
+    // Consumes bytes from `in`, up to the end of one message. Returns true once the message is complete or
+    // malformed.
     bool feed(Buffer& in);
-    // The peer closed the connection: the end of a body that has no other; else a failure, or nothing if
-    // idle.
+    // Handles a close by the peer: it ends a body without a length, has no effect while idle, and is an error
+    // otherwise. Returns whether the message is complete or malformed.
     bool end_of_input();
-    // For the next message on the connection. Of a response: whether it answers a HEAD, and so has no body.
+    // Prepares for the next message on the connection. `answers_head`: the response is to a HEAD request and
+    // has no body.
     void reset(bool answers_head = false);
 
     State state() const {
@@ -55,13 +56,14 @@
     bool failed() const {
         return state_ == State::failed;
     }
+    // Returns whether no byte of a message has been consumed yet.
     bool idle() const {
         return state_ == State::start && !started_;
-    }  // not a byte of a message yet
+    }
     bool head_done() const {
         return state_ > State::fields && state_ != State::failed;
     }
-    // After a failure: what was wrong, and the status that a server answers.
+    // After a failure: the error, and the status code of the server's response.
     const std::string& error() const {
         return error_;
     }
@@ -83,15 +85,15 @@
     }
 
 private:
-    bool take_line(Buffer& in, std::size_t limit, std::string& line, int too_long_status);
-    void fail(int status, std::string what);
+    bool read_line(Buffer& in, std::size_t limit, std::string& line, int too_long_status);
+    void fail(int status, std::string error);
     void on_start_line(std::string_view line);
     void on_request_line(std::string_view line);
     void on_status_line(std::string_view line);
     void on_field(std::string_view line);
     void on_fields_done();
     void on_chunk_size(std::string_view line);
-    void take_body(Buffer& in, State then);
+    void read_body(Buffer& in, State next);
 
     Headers& headers() {
         return kind_ == Kind::request ? request_.headers : response_.headers;
@@ -104,7 +106,7 @@
     Limits limits_;
     State state_ = State::start;
     bool started_ = false, answers_head_ = false, keep_alive_ = true, expects_continue_ = false;
-    std::size_t left_ = 0, header_bytes_ = 0, header_count_ = 0, scanned_ = 0;
+    std::size_t remaining_ = 0, header_bytes_ = 0, header_count_ = 0, scanned_ = 0;
     int minor_ = 1;
     Request request_;
     Response response_;
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -7,8 +7,8 @@
         idle,
         header,
         body,
-        answering,
-        writing_last
+        responding,
+        closing
     };
 
     Connection(Server& s, std::uint64_t number, std::unique_ptr<net::Stream> from)
@@ -34,69 +34,69 @@
             }
             if (parser.failed()) {
                 ++server.counts_.malformed;
-                return answer_and_close(parser.error_status(), parser.error());
+                return respond_and_close(parser.error_status(), parser.error());
             }
             ++server.counts_.requests;
-            enter(Phase::answering);
+            enter(Phase::responding);
             head_only = parser.request().method == "HEAD";
             close_after = !parser.keep_alive();
             Request request = std::move(parser.request());
             request.peer = stream->peer();
-            const auto self = shared_from_this();  // the handler may end this connection
+            const auto self = shared_from_this();  // the handler may close this connection
             server.handler_(request, Reply(self, ++serial));
             if (!stream)
                 return;
         }
-        // While an answer is due, further requests wait in the stream's buffer, which then holds back the
-        // client.
-        if (phase == Phase::writing_last)
+        // While a response is pending, further requests stay in the stream's buffer, which applies
+        // back-pressure to the client.
+        if (phase == Phase::closing)
             in.clear();
     }
 
-    void answer(const Response& response) {
-        if (server.mute_) {
-            muted = true;
+    void respond(const Response& response) {
+        if (server.suppress_responses_) {
+            response_suppressed = true;
             return;
         }
         const bool close = close_after || server.draining_;
         std::string text = write(response, close, head_only);
         if (server.faults_.cuts && server.faults_.cuts()) {
             stream->send(text.substr(0, text.size() / 2));
-            gone = nullptr;
-            return enter(Phase::writing_last);
+            disconnected = nullptr;
+            return enter(Phase::closing);
         }
         if (server.faults_.trickle_bytes > 0)
             return trickle(std::make_shared<std::string>(std::move(text)), 0, close);
         stream->send(std::move(text));
-        answered(close);
+        on_response_queued(close);
     }
     void trickle(std::shared_ptr<std::string> text, std::size_t from, bool close) {
         const std::size_t n = server.faults_.trickle_bytes > 0 ? server.faults_.trickle_bytes : text->size();
         stream->send(text->substr(from, n));
         if (from + n >= text->size())
-            return answered(close);
+            return on_response_queued(close);
         server.loop_.after(server.faults_.trickle_every, [weak = weak_from_this(), text, from, n, close] {
             if (const auto self = weak.lock(); self && self->stream)
                 self->trickle(text, from + n, close);
         });
     }
-    void answered(bool close) {
-        gone = nullptr;
+    void on_response_queued(bool close) {
+        disconnected = nullptr;
         unsent = stream->unsent();
         if (close)
-            return enter(Phase::writing_last);
+            return enter(Phase::closing);
         parser.reset();
         enter(Phase::idle);
         stream->schedule_delivery();
     }
-    void answer_and_close(int status, const std::string& what) {
-        Response r{status, {}, what + "\n"};
+    void respond_and_close(int status, const std::string& error) {
+        Response r{status, {}, error + "\n"};
         r.headers.add("Content-Type", "text/plain; charset=utf-8");
         close_after = true, head_only = false;
-        answer(r);
+        respond(r);
     }
     void on_sent() override {
-        if (phase == Phase::writing_last)
+        if (phase == Phase::closing)
             end();
     }
     void on_closed(net::Closed how) override {
@@ -109,26 +109,26 @@
         stream.reset();
         server.loop_.cancel(std::exchange(timer, 0));
         server.connections_.erase(id);
-        if (const auto call = std::exchange(gone, nullptr))
+        if (const auto call = std::exchange(disconnected, nullptr))
             call();
     }
 
-    // One timer for each connection: it looks whether its time was moved on when it rings.
+    // Uses one timer per connection, which checks on expiry whether the deadline was extended.
     void enter(Phase next) {
         phase = next;
         const ServerOptions& o = server.options_;
-        const Micros span = next == Phase::idle           ? o.idle_time_out
-                            : next == Phase::header       ? o.header_time_out
-                            : next == Phase::body         ? o.body_time_out
-                            : next == Phase::writing_last ? o.write_time_out
-                                                          : 0;
-        deadline = span > 0 ? server.loop_.now() + span : 0;
-        if (deadline > 0 && (timer == 0 || deadline < rings))
+        const Micros duration = next == Phase::idle      ? o.idle_time_out
+                                : next == Phase::header  ? o.header_time_out
+                                : next == Phase::body    ? o.body_time_out
+                                : next == Phase::closing ? o.write_time_out
+                                                         : 0;
+        deadline = duration > 0 ? server.loop_.now() + duration : 0;
+        if (deadline > 0 && (timer == 0 || deadline < timer_due))
             arm(deadline);
     }
     void arm(Micros at) {
         server.loop_.cancel(timer);
-        rings = at;
+        timer_due = at;
         timer = server.loop_.after(at - server.loop_.now(), [this] {
             on_timer();
         });
@@ -138,8 +138,8 @@
         const Micros now = server.loop_.now();
         if (deadline == 0)
             return;
-        // Whoever takes an answer slowly is left alone as long as some of it moves.
-        if (stream->unsent() > 0 && (phase == Phase::idle || phase == Phase::writing_last)) {
+        // A slow client is not timed out while its response makes progress.
+        if (stream->unsent() > 0 && (phase == Phase::idle || phase == Phase::closing)) {
             if (stream->unsent() == unsent && now >= deadline) {
                 ++server.counts_.write_timed_out;
                 return end();
@@ -155,7 +155,8 @@
             return end();
         }
         ++(phase == Phase::header ? server.counts_.header_timed_out : server.counts_.body_timed_out);
-        answer_and_close(408, phase == Phase::header ? "the header took too long" : "the body took too long");
+        respond_and_close(408, phase == Phase::header ? "time-out while reading the header"
+                                                      : "time-out while reading the body");
     }
 
     Server& server;
@@ -163,12 +164,12 @@
     std::unique_ptr<net::Stream> stream;
     Parser parser;
     Phase phase = Phase::idle;
-    bool head_only = false, close_after = false, muted = false;
+    bool head_only = false, close_after = false, response_suppressed = false;
     std::uint64_t serial = 0;
-    Micros deadline = 0, rings = 0;
+    Micros deadline = 0, timer_due = 0;
     std::size_t unsent = 0;
     net::TimerId timer = 0;
-    std::function<void()> gone;
+    std::function<void()> disconnected;
 };
 
 Server::Reply::~Reply() {
@@ -178,13 +179,13 @@
 
 bool Server::Reply::open() const {
     const auto to = to_.lock();
-    return to && to->stream && to->serial == serial_ && to->phase == Connection::Phase::answering;
+    return to && to->stream && to->serial == serial_ && to->phase == Connection::Phase::responding;
 }
 
 void Server::Reply::send(const Response& response) {
     const auto to = to_.lock();
     if (open())
-        to->answer(response);
+        to->respond(response);
     to_.reset();
 }
 
@@ -196,7 +197,7 @@
 
 void Server::Reply::on_disconnect(std::function<void()> call) {
     if (open())
-        to_.lock()->gone = std::move(call);
+        to_.lock()->disconnected = std::move(call);
 }
 
 Server::Server(net::Loop& loop, ServerOptions options, Handler handler)
@@ -204,7 +205,7 @@
 
 Server::~Server() {
     for (auto& [id, connection] : connections_) {
-        connection->gone = nullptr;
+        connection->disconnected = nullptr;
         connection->stream.reset();
     }
 }
@@ -230,13 +231,13 @@
 }
 
 void Server::suppress_responses(bool on) {
-    if (!std::exchange(mute_, on) || on)
+    if (!std::exchange(suppress_responses_, on) || on)
         return;
-    std::vector<std::shared_ptr<Connection>> owed;
+    std::vector<std::shared_ptr<Connection>> suppressed;
     for (auto& [id, c] : connections_)
-        if (c->muted)
-            owed.push_back(c);
-    for (auto& c : owed)
+        if (c->response_suppressed)
+            suppressed.push_back(c);
+    for (auto& c : suppressed)
         c->end();
 }
 
--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -1,5 +1,5 @@
-// The server side: connections, keep-alive, pipelining (one request at a time, in order), time-outs and
-// limits. A handler gets each whole request along with a Reply, which it may keep and send later.
+// The HTTP server: connections, keep-alive, pipelining (one request at a time, in order), time-outs and
+// limits. The handler receives each complete request with a Reply, which it may store and send later.
 #pragma once
 
 #include <functional>
@@ -14,13 +14,13 @@
 struct ServerOptions {
     Limits limits{.body = 4 * 1024 * 1024};
     Micros header_time_out = 10 * kSecondMicros;  // from a request's first byte to the end of its header
-    Micros body_time_out = 30 * kSecondMicros;    // and from there to the end of its body
+    Micros body_time_out = 30 * kSecondMicros;    // from the end of the header to the end of the body
     Micros idle_time_out = 75 * kSecondMicros;    // between two requests
-    Micros write_time_out = 30 * kSecondMicros;   // an answer of which the client takes nothing for so long
-    std::size_t connections = 20'000;             // more are closed at once
+    Micros write_time_out = 30 * kSecondMicros;   // without progress of the client in reading a response
+    std::size_t connections = 20'000;             // maximum; further ones are closed immediately
 };
 
-struct ServerCounts {  // each way to end, counted by itself
+struct ServerCounts {  // separate counters for each cause of an end
     std::uint64_t accepted = 0, over_limit = 0, requests = 0, malformed = 0, header_timed_out = 0,
                   body_timed_out = 0, idle_timed_out = 0, write_timed_out = 0, reset = 0;
 };
@@ -29,8 +29,8 @@
     struct Connection;
 
 public:
-    // Answers one request once. Destroyed without an answer it answers 500. Sending to a client who has left
-    // does nothing.
+    // Sends the response to one request, once. Sends 500 if it is destroyed without a response. Sending to a
+    // disconnected client has no effect.
     class Reply {
     public:
         Reply() = default;
@@ -42,9 +42,9 @@
         }
         ~Reply();
         void send(const Response& response);
-        bool open() const;        // the client still waits for it
-        void break_connection();  // in place of an answer
-        // Called once if the connection ends before the answer was sent.
+        bool open() const;        // whether the client still waits for the response
+        void break_connection();  // closes the connection instead of responding
+        // Sets a callback, called once if the connection ends before the response is sent.
         void on_disconnect(std::function<void()> call);
 
     private:
@@ -64,21 +64,22 @@
     void stop_listening() {
         listeners_.clear();
     }
-    // Every answer from now on closes its connection; idle ones close at once.
+    // Stops listening and closes idle connections; each further response closes its connection.
     void drain();
-    // For stand-ins with faults. Mute: requests are handled, but no answer leaves; once unmuted those
-    // connections break.
+    // For stand-in engines with faults: requests are handled, but no response is sent. Turning it off closes
+    // the connections whose responses were suppressed.
     void suppress_responses(bool on);
-    // And: answers leave a few bytes at a time, or break off in the middle. `cuts` is asked for each answer.
+    // For stand-in engines with faults: responses are sent a few bytes at a time, or truncated in the middle.
+    // `cuts` is called for each response.
     struct ResponseFaults {
-        std::size_t trickle_bytes = 0;  // 0: whole
+        std::size_t trickle_bytes = 0;  // 0: the complete response at once
         Micros trickle_every = 10 * kMillisecond;
         std::function<bool()> cuts;
     };
-    void inject_faults(ResponseFaults m) {
-        faults_ = std::move(m);
+    void inject_faults(ResponseFaults faults) {
+        faults_ = std::move(faults);
     }
-    void close_all();  // resets every connection
+    void close_all();  // closes every connection without finishing responses
     std::size_t connections() const {
         return connections_.size();
     }
@@ -92,7 +93,7 @@
     net::Loop& loop_;
     ServerOptions options_;
     Handler handler_;
-    bool draining_ = false, mute_ = false;
+    bool draining_ = false, suppress_responses_ = false;
     ResponseFaults faults_;
     std::uint64_t last_ = 0;
     ServerCounts counts_;
--- a/src/net/address.cpp
+++ b/src/net/address.cpp
@@ -7,7 +7,7 @@
 namespace gatetiller::net {
 
 Result<Address> Address::parse(std::string_view text) {
-    const auto wrong = [&](const char* what) {
+    const auto invalid = [&](const char* what) {
         return Error{"address '" + std::string(text) + "': " + what +
                      "; forms: 127.0.0.1:8080, [::1]:8080, localhost:8080, unix:/path"};
     };
@@ -16,17 +16,17 @@
         a.family = Family::local;
         a.host = text.substr(5);
         if (a.host.empty())
-            return wrong("the path is missing");
+            return invalid("the path is missing");
         if (a.host.size() >= sizeof(sockaddr_un::sun_path))
-            return wrong("the path is too long for a socket");
+            return invalid("the path is too long for a socket");
         return a;
     }
     const std::size_t colon = text.rfind(':');
     if (colon == std::string_view::npos)
-        return wrong("the port is missing");
+        return invalid("the port is missing");
     const auto port = to_number<std::uint16_t>(text.substr(colon + 1));
     if (!port)
-        return wrong("the port is not a number from 0 to 65535");
+        return invalid("the port is not a number from 0 to 65535");
     a.port = *port;
     a.host = text.substr(0, colon);
     if (a.host == "localhost")
@@ -36,9 +36,9 @@
         a.family = Family::ipv6;
         a.host = a.host.substr(1, a.host.size() - 2);
         if (inet_pton(AF_INET6, a.host.c_str(), bytes) != 1)
-            return wrong("not an IPv6 address");
+            return invalid("not an IPv6 address");
     } else if (inet_pton(AF_INET, a.host.c_str(), bytes) != 1) {
-        return wrong("not an IPv4 address (names are not looked up)");
+        return invalid("not an IPv4 address (names are not looked up)");
     }
     return a;
 }
--- a/src/net/kernel_address.cpp
+++ b/src/net/kernel_address.cpp
@@ -29,8 +29,8 @@
     return s;
 }
 
-Address from_kernel(const sockaddr_storage& storage, const Address& otherwise) {
-    Address a = otherwise;
+Address from_kernel(const sockaddr_storage& storage, const Address& fallback) {
+    Address a = fallback;
     char text[INET6_ADDRSTRLEN] = "";
     if (storage.ss_family == AF_INET) {
         const auto* in = reinterpret_cast<const sockaddr_in*>(&storage);
@@ -44,11 +44,11 @@
     return a;
 }
 
-Address bound_address(int fd, const Address& asked) {
-    sockaddr_storage got{};
-    socklen_t size = sizeof got;
-    ::getsockname(fd, reinterpret_cast<sockaddr*>(&got), &size);
-    return from_kernel(got, asked);
+Address bound_address(int fd, const Address& requested) {
+    sockaddr_storage bound{};
+    socklen_t size = sizeof bound;
+    ::getsockname(fd, reinterpret_cast<sockaddr*>(&bound), &size);
+    return from_kernel(bound, requested);
 }
 
 int open_socket(const Address& a, int type) {
--- a/src/net/kernel_address.hpp
+++ b/src/net/kernel_address.hpp
@@ -1,4 +1,4 @@
-// Addresses as the kernel takes and gives them.
+// Conversion between Address and the socket addresses of the kernel, and socket helpers.
 #pragma once
 
 #include <sys/socket.h>
@@ -16,13 +16,14 @@
 };
 
 KernelAddress to_kernel(const Address& address);
-// `otherwise` is given back for a family that has no number, such as a Unix socket's.
-Address from_kernel(const sockaddr_storage& storage, const Address& otherwise);
-// What a socket is bound to, with the port that the kernel chose.
-Address bound_address(int fd, const Address& asked);
-// A new non-blocking socket of the address's family, or -1 with errno.
+// Returns `fallback` for families without a numeric address, such as Unix sockets.
+Address from_kernel(const sockaddr_storage& storage, const Address& fallback);
+// Returns the address a socket is bound to, including the port chosen by the kernel.
+Address bound_address(int fd, const Address& requested);
+// Returns a new non-blocking socket of the address's family, or -1 with errno set.
 int open_socket(const Address& address, int type = SOCK_STREAM);
-// Small answers must not wait for an acknowledgement. Fails on Unix sockets, harmlessly.
+// Sets TCP_NODELAY, so that small responses do not wait for an acknowledgement. Has no effect on Unix
+// sockets.
 void set_no_delay(int fd);
 
 }  // namespace gatetiller::net
--- a/src/net/poll_listener.cpp
+++ b/src/net/poll_listener.cpp
@@ -1,4 +1,4 @@
-// Listeners, datagram sockets and the descriptor of signals of PollLoop.
+// Listeners, datagram sockets and the signal descriptor of PollLoop.
 #include <netinet/in.h>
 #include <sys/signalfd.h>
 #include <sys/socket.h>
@@ -15,15 +15,16 @@
 namespace gatetiller::net {
 namespace {
 
-constexpr Micros kAcceptRest = 100 * kMillisecond;  // when no descriptor is left for a new connection
-constexpr Micros kReceiveRest = 5 * kMillisecond;   // when the kernel lacks memory for a datagram
+constexpr Micros kAcceptPause =
+    100 * kMillisecond;  // after accepting failed, for example for lack of descriptors
+constexpr Micros kReceivePause = 5 * kMillisecond;  // after the kernel lacked memory for a datagram
 constexpr int kBacklog = 4096;
-constexpr int kDatagramsATurn = 64;
-constexpr int kFailedAccepts = 64;  // connections in a row that failed before they were accepted
-constexpr std::size_t kDatagramSize =
-    1024 * 1024;  // over what IP carries; a platform's own transport may carry more
+constexpr int kMaxDatagramsPerTurn = 64;
+constexpr int kMaxFailedAccepts = 64;  // consecutive connections that failed before they were accepted
+constexpr std::size_t kMaxDatagramSize =
+    1024 * 1024;  // exceeds the IP limit; a platform's own transport may carry more
 
-Error system_failure(const std::string& what, const Address& at, int fd) {
+Error system_error(const std::string& what, const Address& at, int fd) {
     const int code = errno;
     if (fd >= 0)
         ::close(fd);
@@ -36,61 +37,62 @@
 
 void PollLoop::ListeningSocket::on_ready(short) {
     for (int i = 0; i < loop.limits_.accepts && fd >= 0 && accepting; ++i)
-        if (accept_one() != Took::one)
+        if (accept_one() != AcceptResult::accepted)
             return;
     if (accepting)
-        loop.behind_ = true;  // more may wait, since as long ago
+        loop.accepts_pending_ = true;  // more connections may be pending, for as long as these
 }
 
-PollLoop::ListeningSocket::Took PollLoop::ListeningSocket::accept_one() {
+PollLoop::ListeningSocket::AcceptResult PollLoop::ListeningSocket::accept_one() {
     sockaddr_storage from{};
-    int got = -1;
-    for (int failed = 0; got < 0; ++failed) {
+    int accepted_fd = -1;
+    for (int failed = 0; accepted_fd < 0; ++failed) {
         socklen_t size = sizeof from;
-        got = ::accept4(fd, reinterpret_cast<sockaddr*>(&from), &size, SOCK_NONBLOCK | SOCK_CLOEXEC);
-        if (got >= 0)
+        accepted_fd = ::accept4(fd, reinterpret_cast<sockaddr*>(&from), &size, SOCK_NONBLOCK | SOCK_CLOEXEC);
+        if (accepted_fd >= 0)
             break;
         const auto error = accept_error(errno);
-        if (error == AcceptError::of_one_connection && failed < kFailedAccepts)
+        if (error == AcceptError::of_one_connection && failed < kMaxFailedAccepts)
             continue;
-        if (error == AcceptError::none_waits) {
-            starved_since = 0;
-            return Took::none;
+        if (error == AcceptError::none_pending) {
+            lacking_resources_since = 0;
+            return AcceptResult::none_pending;
         }
-        if (starved_since == 0)
-            starved_since = loop.now() - loop.input_delay();
-        pause(kAcceptRest);
-        return Took::not_now;
+        if (lacking_resources_since == 0)
+            lacking_resources_since = loop.now() - loop.input_delay();
+        pause(kAcceptPause);
+        return AcceptResult::lacks_resources;
     }
-    set_no_delay(got);
-    auto socket = std::make_shared<Socket>(loop, got);
+    set_no_delay(accepted_fd);
+    auto socket = std::make_shared<Socket>(loop, accepted_fd);
     socket->peer =
         address.family == Address::Family::local ? address.text() : from_kernel(from, address).text();
-    socket->starved_since = starved_since;
+    socket->lacking_resources_since = lacking_resources_since;
     socket->watch();
     accepted(std::make_unique<SocketStream>(socket));
-    // What was sent along with the connection is there as a rule, and waited as long as it did.
+    // The client's first bytes have usually arrived already and have waited as long as the connection.
     if (socket->fd >= 0 && socket->owner)
-        socket->read_in();
-    return Took::one;
+        socket->receive();
+    return AcceptResult::accepted;
 }
 
-bool PollLoop::ListeningSocket::somebody_waits() const {
+bool PollLoop::ListeningSocket::has_pending_connections() const {
     pollfd waiting{fd, POLLIN, 0};
-    return ::poll(&waiting, 1, 0) != 0;  // in doubt, somebody does
+    return ::poll(&waiting, 1, 0) != 0;  // on an error, assumes that a connection is pending
 }
 
 namespace {
 
-// A socket file left by a killed process is taken over; one that is answered belongs to somebody.
-void remove_dead_socket_file(const Address& at) {
+// Removes a socket file left by a killed process. If a connection succeeds, another process is using the
+// file.
+void remove_stale_socket_file(const Address& at) {
     auto to = to_kernel(at);
     const int probe = open_socket(at);
-    const bool dead = probe >= 0 && ::connect(probe, to.get(), to.size) != 0 && errno == ECONNREFUSED;
+    const bool stale = probe >= 0 && ::connect(probe, to.get(), to.size) != 0 && errno == ECONNREFUSED;
     if (probe >= 0)
         ::close(probe);
     struct stat info {};
-    if (dead && ::lstat(at.host.c_str(), &info) == 0 && S_ISSOCK(info.st_mode))
+    if (stale && ::lstat(at.host.c_str(), &info) == 0 && S_ISSOCK(info.st_mode))
         ::unlink(at.host.c_str());
 }
 
@@ -111,10 +113,11 @@
         socket_->accepting = on;
         socket_->update_wanted();
     }
-    bool accept_pending(std::size_t most) override {
-        const auto kept = socket_;  // the owner may destroy this listener in what it hears
-        while (most-- > 0 && kept->fd >= 0 && kept->accept_one() == ListeningSocket::Took::one) {}
-        return kept->fd < 0 || !kept->somebody_waits();
+    bool accept_pending(std::size_t max_count) override {
+        const auto socket = socket_;  // the owner may destroy this listener in a callback
+        while (max_count-- > 0 && socket->fd >= 0 &&
+               socket->accept_one() == ListeningSocket::AcceptResult::accepted) {}
+        return socket->fd < 0 || !socket->has_pending_connections();
     }
 
 private:
@@ -124,10 +127,10 @@
 Result<std::unique_ptr<Listener>> PollLoop::listen(const Address& at,
                                                    std::function<void(std::unique_ptr<Stream>)> accepted) {
     const auto failed = [&](int fd) {
-        return system_failure("cannot listen on", at, fd);
+        return system_error("cannot listen on", at, fd);
     };
     if (at.family == Address::Family::local)
-        remove_dead_socket_file(at);
+        remove_stale_socket_file(at);
     const int fd = open_socket(at);
     if (fd < 0)
         return failed(fd);
@@ -151,19 +154,19 @@
 
 void PollLoop::DatagramSocket::on_ready(short) {
     if (!buffer)
-        buffer = std::make_unique_for_overwrite<char[]>(kDatagramSize);  // what is not used stays untouched
-    const std::weak_ptr<char> here = alive;
-    for (int i = 0; i < kDatagramsATurn; ++i) {
+        buffer = std::make_unique_for_overwrite<char[]>(kMaxDatagramSize);  // unused pages are never touched
+    const std::weak_ptr<char> weak_alive = alive;
+    for (int i = 0; i < kMaxDatagramsPerTurn; ++i) {
         sockaddr_storage from{};
         socklen_t size = sizeof from;
         const ssize_t n =
-            ::recvfrom(fd, buffer.get(), kDatagramSize, 0, reinterpret_cast<sockaddr*>(&from), &size);
+            ::recvfrom(fd, buffer.get(), kMaxDatagramSize, 0, reinterpret_cast<sockaddr*>(&from), &size);
         if (n < 0 && transfer_error(errno) == TransferError::lacks_memory)
-            pause(kReceiveRest);
+            pause(kReceivePause);
         if (n < 0)
             return;
         received(from_kernel(from, address), std::string_view(buffer.get(), static_cast<std::size_t>(n)));
-        if (here.expired() || fd < 0)
+        if (weak_alive.expired() || fd < 0)
             return;
     }
 }
@@ -190,7 +193,7 @@
     const int fd = open_socket(at, SOCK_DGRAM);
     auto kernel = to_kernel(at);
     if (fd < 0 || ::bind(fd, kernel.get(), kernel.size) != 0)
-        return system_failure("cannot receive datagrams on", at, fd);
+        return system_error("cannot receive datagrams on", at, fd);
     auto socket = std::make_shared<DatagramSocket>(*this, fd);
     socket->address = bound_address(fd, at);
     socket->received = std::move(received);
@@ -203,12 +206,12 @@
 void PollLoop::SignalDescriptor::on_ready(short) {
     signalfd_siginfo info{};
     while (fd >= 0 && ::read(fd, &info, sizeof info) == sizeof info)
-        then(static_cast<int>(info.ssi_signo));
+        handler(static_cast<int>(info.ssi_signo));
 }
 
 namespace {
 
-sigset_t set_of(const std::vector<int>& signals) {
+sigset_t signal_set(const std::vector<int>& signals) {
     sigset_t set;
     sigemptyset(&set);
     for (const int s : signals)
@@ -219,20 +222,20 @@
 }  // namespace
 
 void block_signals(const std::vector<int>& signals) {
-    const sigset_t set = set_of(signals);
+    const sigset_t set = signal_set(signals);
     pthread_sigmask(SIG_BLOCK, &set, nullptr);
 }
 
-Result<bool> PollLoop::on_signals(const std::vector<int>& signals, std::function<void(int)> then) {
+Result<bool> PollLoop::on_signals(const std::vector<int>& signals, std::function<void(int)> handler) {
     block_signals(signals);
-    const sigset_t set = set_of(signals);
+    const sigset_t set = signal_set(signals);
     const int fd = ::signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC);
     if (fd < 0) {
         const int code = errno;
         return Error{std::string("cannot receive signals: ") + std::strerror(code), code};
     }
     auto watched = std::make_shared<SignalDescriptor>(*this, fd);
-    watched->then = std::move(then);
+    watched->handler = std::move(handler);
     watched->watch();
     return true;
 }
--- a/src/net/poll_socket.cpp
+++ b/src/net/poll_socket.cpp
@@ -1,4 +1,4 @@
-// Connections of PollLoop.
+// Stream sockets of PollLoop.
 #include <linux/sockios.h>
 #include <sys/ioctl.h>
 #include <sys/socket.h>
@@ -14,9 +14,10 @@
 namespace {
 
 constexpr std::size_t kReadSize = 64 * 1024;
-constexpr std::size_t kWriteSize = 256 * 1024;       // written at once, before the owner is asked again
-constexpr Micros kNoBuffers = 5 * kMillisecond;      // when the kernel lacks memory for a transfer
-constexpr Micros kConnectAgain = 20 * kMillisecond;  // when this machine lacks something for a connection
+constexpr std::size_t kWriteSize = 256 * 1024;       // maximum bytes written per on_sending() call
+constexpr Micros kNoBufferPause = 5 * kMillisecond;  // after the kernel lacked memory for a transfer
+// Interval between connection attempts while this machine lacks a resource.
+constexpr Micros kConnectRetryInterval = 20 * kMillisecond;
 
 int pending_error(int fd) {
     int error = 0;
@@ -47,11 +48,11 @@
         if (::connect(fd, kernel.get(), kernel.size) != 0)
             error = connect_error(errno);
     }
-    const Micros left = std::max<Micros>(0, connect_until - loop.now());
+    const Micros time_left = std::max<Micros>(0, connect_until - loop.now());
     switch (error) {
         case ConnectError::in_progress:
             watch();
-            return end_later(left, Closed::connect_timed_out);
+            return end_later(time_left, Closed::connect_timed_out);
         case ConnectError::refused:
             ::close(std::exchange(fd, -1));
             return end_later(0, Closed::refused);
@@ -60,11 +61,11 @@
     }
     if (fd >= 0)
         ::close(std::exchange(fd, -1));
-    if (left == 0)
+    if (time_left == 0)
         return end_later(0, Closed::local);
     const std::weak_ptr<Watched> weak = weak_from_this();
-    connect_timer = loop.after(std::min(kConnectAgain, left), [this, weak] {
-        if (const auto kept = weak.lock())
+    connect_timer = loop.after(std::min(kConnectRetryInterval, time_left), [this, weak] {
+        if (const auto self = weak.lock())
             try_connect();
     });
 }
@@ -77,8 +78,8 @@
     update_wanted();
     if (owner)
         owner->on_connected();
-    if (may_write())
-        write_soon();
+    if (can_write())
+        schedule_write();
 }
 
 // ---- Reading
@@ -86,33 +87,34 @@
 void PollLoop::Socket::on_ready(short ready) {
     if (connecting)
         return finish_connecting();
-    if ((ready & POLLOUT) && may_write())
-        write_soon();
+    if ((ready & POLLOUT) && can_write())
+        schedule_write();
     if (fd >= 0 && (ready & (POLLIN | POLLHUP | POLLERR)))
-        read_in();
+        receive();
 }
 
-bool PollLoop::Socket::read_in() {
+bool PollLoop::Socket::receive() {
     if (!reading || in.size() >= loop.limits_.input) {
-        // A stream that isn't read is still told of a reset. An end in order waits until it is read again, as
-        // bytes may stand before it; poll would report it in every turn, so it isn't asked meanwhile.
+        // A stream with reading disabled is still notified of a reset. An orderly close is reported once
+        // reading resumes, as unread bytes may precede it; poll would report it in every turn, so polling
+        // stops meanwhile.
         if (pending_error(fd) != 0)
             end(Closed::reset);
         else
-            loop.mute(*this);
+            loop.stop_polling(*this);
         return false;
     }
-    // To the end, where it is there: whoever has gone behind a request must be known to have gone before
-    // anything is sent on for it.
-    char piece[kReadSize];
+    // Reads up to the end of the stream if available: if the client has disconnected after a request, this
+    // must be known before anything is forwarded for that request.
+    char chunk[kReadSize];
     std::optional<Closed> ended;
-    std::size_t got = 0;
+    std::size_t received = 0;
     bool all = false;
-    while (got < kReadSize && in.size() < loop.limits_.input && !ended && !all) {
-        const ssize_t n = ::recv(fd, piece, sizeof piece, 0);
+    while (received < kReadSize && in.size() < loop.limits_.input && !ended && !all) {
+        const ssize_t n = ::recv(fd, chunk, sizeof chunk, 0);
         if (n > 0) {
-            in.append(std::string_view(piece, static_cast<std::size_t>(n)));
-            got += static_cast<std::size_t>(n);
+            in.append(std::string_view(chunk, static_cast<std::size_t>(n)));
+            received += static_cast<std::size_t>(n);
             continue;
         }
         if (n == 0) {
@@ -128,26 +130,26 @@
                     ended = Closed::reset;
                 break;
             case TransferError::lacks_memory:
-                pause(kNoBuffers);
+                pause(kNoBufferPause);
                 all = true;
                 break;
             case TransferError::connection_over:
                 ended = Closed::reset;
-                was_reset = true;  // the kernel tells it once
+                was_reset = true;  // the kernel reports it only once
                 break;
         }
     }
     const bool paused = pause_timer != 0;
-    // What is left unread has waited for as long as what was read.
+    // Bytes left unread have waited for as long as the bytes read.
     const bool left_over = paused || (!all && !ended);
-    if (left_over && starved_since == 0)
-        starved_since = loop.now() - loop.input_delay();
-    if (got > 0)
+    if (left_over && lacking_resources_since == 0)
+        lacking_resources_since = loop.now() - loop.input_delay();
+    if (received > 0)
         deliver();
     if (!left_over)
-        starved_since = 0;
-    // An owner that has turned reading off in this hears of the end once it reads again.
-    if (ended && fd >= 0 && (reading || got == 0))
+        lacking_resources_since = 0;
+    // If the owner disabled reading in on_data, the end is reported once it enables reading again.
+    if (ended && fd >= 0 && (reading || received == 0))
         end(*ended);
     return (all && !paused) || ended;
 }
@@ -163,14 +165,14 @@
 
 // ---- Writing
 
-void PollLoop::Socket::write_out() {
-    std::size_t announced = 0;  // bytes that the owner has been told of
+void PollLoop::Socket::write_pending() {
+    std::size_t announced = 0;  // bytes announced by on_sending()
     while (fd >= 0 && !out.empty()) {
         if (announced == 0) {
             announced = kWriteSize;
             if (owner)
                 owner->on_sending(announced);
-            continue;  // it may have taken back all of it
+            continue;  // the owner may have cancelled all of it
         }
         const auto bytes = out.view().substr(0, announced);
         const ssize_t n = ::send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL);
@@ -185,60 +187,60 @@
         if (error == TransferError::not_ready)
             break;
         if (error == TransferError::lacks_memory)
-            return write_again_later();
+            return retry_write_later();
         return end_after_reading();
     }
     if (fd < 0)
         return;
-    if (finishing && out.empty() && !std::exchange(shut, true))
+    if (finishing && out.empty() && !std::exchange(write_shut_down, true))
         ::shutdown(fd, SHUT_WR);
     update_wanted();
     if (out.empty() && owner)
         owner->on_sent();
 }
 
-// Reading goes on meanwhile: a request must not wait unread, nor an answer lose against its time-out.
-void PollLoop::Socket::write_again_later() {
+// Reading continues meanwhile: a request must not wait unread, nor a response lose to its time-out.
+void PollLoop::Socket::retry_write_later() {
     if (write_timer == 0) {
         const std::weak_ptr<Watched> weak = weak_from_this();
-        write_timer = loop.after(kNoBuffers, [this, weak] {
-            const auto kept = weak.lock();
-            if (!kept)
+        write_timer = loop.after(kNoBufferPause, [this, weak] {
+            const auto self = weak.lock();
+            if (!self)
                 return;
             write_timer = 0;
-            if (may_write())
-                write_soon();
+            if (can_write())
+                schedule_write();
         });
     }
     update_wanted();
 }
 
-void PollLoop::Socket::send_later(std::string bytes) {
-    pieces.push_back({++last_send, bytes.size(), false});
+void PollLoop::Socket::enqueue(std::string bytes) {
+    pending.push_back({++last_send, bytes.size(), false});
     out.append(std::move(bytes));
-    write_soon();
+    schedule_write();
 }
 
-// Never in the middle of a turn: what else has come in it may still take back what waits here.
-void PollLoop::Socket::write_soon() {
-    if (std::exchange(flushing, true))
+// Never writes in the middle of a turn: other input of the same turn may still cancel pending bytes.
+void PollLoop::Socket::schedule_write() {
+    if (std::exchange(flush_scheduled, true))
         return;
     loop.to_flush_.push_back(std::static_pointer_cast<Socket>(shared_from_this()));
 }
 
-// Nothing more goes out. What the peer said before it closed may still be there to be read: it may be the
-// answer. The kernel need not tell of the end once more, so that it is looked for here.
+// Stops sending and reads the rest: bytes that the peer sent before it closed may include the response. The
+// kernel may not report the end again, so a read is scheduled here.
 void PollLoop::Socket::end_after_reading() {
     discard_unsent();
     send_failed = true;
     const std::weak_ptr<Watched> weak = weak_from_this();
     connect_timer = loop.after(0, [this, weak] {
-        const auto kept = weak.lock();
-        if (!kept || fd < 0 || !owner)
+        const auto self = weak.lock();
+        if (!self || fd < 0 || !owner)
             return;
         connect_timer = 0;
         if (reading)
-            read_in();
+            receive();
     });
 }
 
@@ -250,24 +252,24 @@
 
 void PollLoop::Socket::discard() {
     discard_unsent();
-    const linger at_once{
-        1, 0};  // close() resets the connection, and the kernel sends nothing more of what it holds
+    // close() resets the connection and discards the kernel's unsent bytes.
+    const linger reset_on_close{1, 0};
     if (fd >= 0)
-        setsockopt(fd, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+        setsockopt(fd, SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
 }
 
 void PollLoop::Socket::count_written(std::size_t n) {
     out.consume(n);
-    auto at = pieces.begin();
-    for (; at != pieces.end() && n >= at->left; ++at)
-        n -= at->left;
-    pieces.erase(pieces.begin(), at);
+    auto at = pending.begin();
+    for (; at != pending.end() && n >= at->remaining; ++at)
+        n -= at->remaining;
+    pending.erase(pending.begin(), at);
     if (n > 0)
-        pieces.front().left -= n, pieces.front().begun = true;
+        pending.front().remaining -= n, pending.front().started = true;
 }
 
-std::vector<PollLoop::Socket::Piece>::const_iterator PollLoop::Socket::piece(SendId id) const {
-    return std::find_if(pieces.begin(), pieces.end(), [&](const Piece& p) {
+std::vector<PollLoop::Socket::PendingSend>::const_iterator PollLoop::Socket::find_pending(SendId id) const {
+    return std::find_if(pending.begin(), pending.end(), [&](const PendingSend& p) {
         return p.id == id;
     });
 }
@@ -275,10 +277,10 @@
 Written PollLoop::Socket::written(SendId id) const {
     if (id == 0)
         return Written::none;
-    const auto at = piece(id);
-    if (at == pieces.end())
+    const auto at = find_pending(id);
+    if (at == pending.end())
         return Written::all;
-    return at->begun ? Written::partial : Written::none;
+    return at->started ? Written::partial : Written::none;
 }
 
 std::optional<std::size_t> PollLoop::Socket::unacknowledged() const {
@@ -293,27 +295,27 @@
         return false;
     if (id == 0)
         return true;
-    const auto at = piece(id);
+    const auto at = find_pending(id);
     if (!broken)
-        out.erase(bytes_ahead(at), at->left);
-    pieces.erase(at);
+        out.erase(bytes_before(at), at->remaining);
+    pending.erase(at);
     return true;
 }
 
 bool PollLoop::Socket::replace(SendId id, const std::string& bytes) {
     if (id == 0 || broken || bytes.empty() || written(id) != Written::none)
         return false;
-    const auto at = piece(id);
-    out.replace(bytes_ahead(at), at->left, bytes);
-    pieces[static_cast<std::size_t>(at - pieces.cbegin())].left = bytes.size();
+    const auto at = find_pending(id);
+    out.replace(bytes_before(at), at->remaining, bytes);
+    pending[static_cast<std::size_t>(at - pending.cbegin())].remaining = bytes.size();
     return true;
 }
 
-std::size_t PollLoop::Socket::bytes_ahead(std::vector<Piece>::const_iterator of) const {
-    std::size_t ahead = 0;
-    for (auto before = pieces.cbegin(); before != of; ++before)
-        ahead += before->left;
-    return ahead;
+std::size_t PollLoop::Socket::bytes_before(std::vector<PendingSend>::const_iterator position) const {
+    std::size_t bytes = 0;
+    for (auto at = pending.cbegin(); at != position; ++at)
+        bytes += at->remaining;
+    return bytes;
 }
 
 void PollLoop::Socket::finish() {
@@ -321,31 +323,31 @@
         return;
     reading = true;
     in.clear();
-    write_out();
+    write_pending();
 }
 
-// ---- Both
+// ---- State
 
 short PollLoop::Socket::wanted() const {
     if (connecting)
         return POLLOUT;
-    const bool in_room = reading && in.size() < loop.limits_.input;
+    const bool reads = reading && in.size() < loop.limits_.input;
     const bool writes = !out.empty() && write_timer == 0;
-    return static_cast<short>((in_room ? POLLIN : 0) | (writes ? POLLOUT : 0));
+    return static_cast<short>((reads ? POLLIN : 0) | (writes ? POLLOUT : 0));
 }
 
 void PollLoop::Socket::on_resumed() {
     if (send_failed && reading)
-        read_in();
-    else if (may_write())
-        write_soon();
+        receive();
+    else if (can_write())
+        schedule_write();
 }
 
 void PollLoop::Socket::end(Closed how) {
     cancel_timers();
     close();
-    if (StreamEvents* told = std::exchange(owner, nullptr))
-        told->on_closed(how);
+    if (StreamEvents* receiver = std::exchange(owner, nullptr))
+        receiver->on_closed(how);
 }
 
 void PollLoop::Socket::cancel_timers() {
@@ -356,33 +358,33 @@
 void PollLoop::Socket::end_later(Micros delay, Closed how) {
     const std::weak_ptr<Watched> weak = weak_from_this();
     connect_timer = loop.after(delay, [this, weak, how] {
-        if (const auto kept = weak.lock(); kept && owner)
+        if (const auto self = weak.lock(); self && owner)
             end(how);
     });
 }
 
 PollLoop::SocketStream::~SocketStream() {
     socket_->owner = nullptr;
-    // What was given to send() in this turn goes out as far as the kernel takes it.
-    if (socket_->may_write())
-        socket_->write_out();
+    // Writes the bytes of this turn as far as the kernel accepts them.
+    if (socket_->can_write())
+        socket_->write_pending();
     socket_->cancel_timers();
     socket_->close();
 }
 
 SendId PollLoop::SocketStream::send(std::string bytes) {
-    const bool over = socket_->fd < 0 && !socket_->connecting;
-    if (over || socket_->broken || socket_->finishing || bytes.empty())
+    const bool ended = socket_->fd < 0 && !socket_->connecting;
+    if (ended || socket_->broken || socket_->finishing || bytes.empty())
         return 0;
-    socket_->send_later(std::move(bytes));
+    socket_->enqueue(std::move(bytes));
     return socket_->last_send;
 }
 
 bool PollLoop::SocketStream::read_now() {
-    const auto kept = socket_;  // the owner may destroy this stream in what it hears
-    if (kept->fd < 0 || kept->connecting || !kept->reading)
+    const auto socket = socket_;  // the owner may destroy this stream in a callback
+    if (socket->fd < 0 || socket->connecting || !socket->reading)
         return true;
-    return kept->read_in();
+    return socket->receive();
 }
 
 void PollLoop::SocketStream::read(bool on) {
@@ -395,13 +397,13 @@
 }
 
 Micros PollLoop::SocketStream::resource_delay() const {
-    return socket_->starved_since > 0 ? socket_->loop.now() - socket_->starved_since : 0;
+    return socket_->lacking_resources_since > 0 ? socket_->loop.now() - socket_->lacking_resources_since : 0;
 }
 
 void PollLoop::SocketStream::schedule_delivery() {
-    if (socket_->in.empty() || std::exchange(socket_->offering, true))
+    if (socket_->in.empty() || std::exchange(socket_->delivery_scheduled, true))
         return;
-    socket_->loop.to_offer_.push_back(socket_);
+    socket_->loop.to_deliver_.push_back(socket_);
 }
 
 }  // namespace gatetiller::net
--- a/src/net/poll_watched.hpp
+++ b/src/net/poll_watched.hpp
@@ -1,4 +1,4 @@
-// What PollLoop polls: sockets of streams, listeners, datagram sockets and the descriptor of signals.
+// The descriptors polled by PollLoop: stream sockets, listeners, datagram sockets and the signal descriptor.
 // Internal to src/net.
 #pragma once
 
@@ -12,32 +12,34 @@
 
 namespace gatetiller::net {
 
-// A descriptor with what it is polled for. It leaves the poll set when it is closed.
+// A polled descriptor and the events it is polled for. close() removes it from the poll set.
 struct PollLoop::Watched : std::enable_shared_from_this<Watched> {
     Watched(PollLoop& l, int descriptor) : loop(l), fd(descriptor) {}
     virtual ~Watched() = default;
     Watched(const Watched&) = delete;
     Watched& operator=(const Watched&) = delete;
     virtual void on_ready(short events) = 0;
+    // Returns the events that the descriptor is polled for.
     virtual short wanted() const {
         return POLLIN;
-    }  // the events that it is polled for
-    // Whether it is heard before all else that came up in the same poll: what it tells may forbid what others
-    // do next.
-    virtual bool heard_first() const {
+    }
+    // Returns whether it is processed before the other descriptors of the same poll, because its input may
+    // forbid what they would do next.
+    virtual bool has_priority() const {
         return false;
     }
-    virtual void on_resumed() {}  // a pause is over
+    virtual void on_resumed() {}  // called when a pause ends
 
     void watch() {
         loop.watch(shared_from_this(), wanted());
     }
     void update_wanted() {
         if (fd >= 0 && pause_timer == 0)
-            loop.want(*this, wanted());
+            loop.set_events(*this, wanted());
     }
-    // The kernel lacks something and yet says that the descriptor is ready: it is not polled for so long.
-    void pause(Micros span);
+    // Stops polling for `duration`, for when the kernel lacks a resource and still reports the descriptor as
+    // ready.
+    void pause(Micros duration);
     void close();
 
     PollLoop& loop;
@@ -49,10 +51,10 @@
 // A TCP or Unix connection.
 struct PollLoop::Socket final : Watched {
     using Watched::Watched;
-    struct Piece {  // what one call of send() gave, as far as the kernel has not taken it
+    struct PendingSend {  // the bytes of one call of send() that the kernel has not accepted yet
         SendId id;
-        std::size_t left;
-        bool begun;
+        std::size_t remaining;
+        bool started;
     };
 
     // Connecting
@@ -62,14 +64,14 @@
 
     // Reading
     void on_ready(short ready) override;
-    bool read_in();  // whether all that had come was read
+    bool receive();  // returns whether everything available was read
     void deliver();
 
     // Writing
-    void write_out();
-    void write_soon();  // at the beginning of the next turn, as everything is written
-    void write_again_later();
-    void send_later(std::string bytes);
+    void write_pending();
+    void schedule_write();  // schedules a write for the beginning of the next turn, like all writes
+    void retry_write_later();
+    void enqueue(std::string bytes);
     Written written(SendId id) const;
     std::optional<std::size_t> unacknowledged() const;
     bool cancel_send(SendId id);
@@ -84,54 +86,57 @@
     void end(Closed how);
     void end_later(Micros delay, Closed how);
     void cancel_timers();
-    bool may_write() const {
+    bool can_write() const {
         return fd >= 0 && !connecting && !out.empty();
     }
 
     StreamEvents* owner = nullptr;
     Buffer in, out;
-    std::vector<Piece> pieces;  // of `out`, in order; also of what was dropped where the stream broke
+    // The parts of `out`, in order; includes dropped ones after the stream broke.
+    std::vector<PendingSend> pending;
     SendId last_send = 0;
     std::string peer;
     Address destination;
     Micros connect_until = 0;
-    Micros starved_since = 0;  // reading has failed since then for want of something here; 0: it has not
-    bool connecting = false, reading = true, flushing = false, offering = false, broken = false;
-    bool was_reset = false, finishing = false, shut = false;
-    bool send_failed = false;   // for good: the connection is over once what has come is read
-    TimerId connect_timer = 0;  // of connecting, or of its end
-    TimerId write_timer = 0;    // until it the kernel lacks memory for what is written
+    // Since when reading has failed for lack of a local resource; 0: not failing.
+    Micros lacking_resources_since = 0;
+    bool connecting = false, reading = true, flush_scheduled = false, delivery_scheduled = false,
+         broken = false;
+    bool was_reset = false, finishing = false, write_shut_down = false;
+    bool send_failed = false;   // permanently: the stream ends once the received bytes are read
+    TimerId connect_timer = 0;  // time limit of connecting, or delayed end of the stream
+    TimerId write_timer = 0;    // next write attempt after the kernel lacked memory
 
 private:
     void count_written(std::size_t n);
-    std::vector<Piece>::const_iterator piece(SendId id) const;
-    std::size_t bytes_ahead(std::vector<Piece>::const_iterator of) const;
+    std::vector<PendingSend>::const_iterator find_pending(SendId id) const;
+    std::size_t bytes_before(std::vector<PendingSend>::const_iterator position) const;
 };
 
 struct PollLoop::ListeningSocket final : Watched {
     using Watched::Watched;
-    enum class Took {
-        one,
-        none,
-        not_now
-    };  // not_now: descriptors or memory are lacking
+    enum class AcceptResult {
+        accepted,
+        none_pending,
+        lacks_resources  // descriptors or memory
+    };
     void on_ready(short) override;
-    Took accept_one();
-    bool somebody_waits() const;
+    AcceptResult accept_one();
+    bool has_pending_connections() const;
     short wanted() const override {
         return accepting ? POLLIN : 0;
     }
 
     Address address;
     std::function<void(std::unique_ptr<Stream>)> accepted;
-    Micros starved_since = 0;  // accepting has failed since then; 0: it has not
+    Micros lacking_resources_since = 0;  // since when accepting has failed; 0: not failing
     bool accepting = true;
 };
 
 struct PollLoop::DatagramSocket final : Watched {
     using Watched::Watched;
     void on_ready(short) override;
-    bool heard_first() const override {
+    bool has_priority() const override {
         return true;
     }
 
@@ -144,10 +149,10 @@
 struct PollLoop::SignalDescriptor final : Watched {
     using Watched::Watched;
     void on_ready(short) override;
-    bool heard_first() const override {
+    bool has_priority() const override {
         return true;
     }
-    std::function<void(int)> then;
+    std::function<void(int)> handler;
 };
 
 class PollLoop::SocketStream final : public Stream {
--- a/src/net/system_error.cpp
+++ b/src/net/system_error.cpp
@@ -44,7 +44,7 @@
 AcceptError accept_error(int error) {
     switch (error) {
         case EAGAIN:
-            return AcceptError::none_waits;
+            return AcceptError::none_pending;
         case EMFILE:
         case ENFILE:
         case ENOBUFS:
@@ -54,8 +54,8 @@
         case EINVAL:
         case ENOTSOCK:
             return AcceptError::listener_broken;
-        // Linux passes errors pending on the new socket on as errors of accept, and they are to be treated
-        // like a connection that isn't there any more (accept(2)).
+        // Linux reports errors pending on the new socket as errors of accept; they are treated like a
+        // connection that no longer exists (accept(2)).
         default:
             return AcceptError::of_one_connection;
     }
--- a/src/net/system_error.hpp
+++ b/src/net/system_error.hpp
@@ -1,33 +1,36 @@
-// What a failed system call proves, by its errno: whether it passes, whether this machine or the peer is the
-// cause, and whether a connection is over. Pure functions of the numbers that Linux documents.
+// Classification of failed system calls by errno: whether the failure is transient, whether this machine or
+// the peer is the cause, and whether a connection has ended. Pure functions of the values documented by
+// Linux.
 #pragma once
 
 namespace gatetiller::net {
 
-enum class TransferError {  // of send and recv
-    interrupted,            // nothing was transferred: at once again
-    not_ready,              // when the descriptor is ready
-    lacks_memory,           // the kernel has no buffers: after a pause, since poll says that it is ready
+enum class TransferError {  // errors of send and recv
+    interrupted,            // nothing was transferred: retry immediately
+    not_ready,              // retry when the descriptor is ready
+    lacks_memory,  // no kernel buffers: retry after a pause, since poll reports the descriptor as ready
     connection_over,
 };
 TransferError transfer_error(int error);
 
 enum class ConnectError {
-    in_progress,  // the kernel goes on by itself, also where a signal interrupted the call
-    local,    // this machine lacks something (descriptors, memory, ports, a route): says nothing of the peer
-    refused,  // the peer, or the way to it
+    in_progress,  // the kernel continues in the background, also after an interruption by a signal
+    local,        // this machine lacks a resource (descriptors, memory, ports, a route); the peer's state is
+                  // unknown
+    refused,      // by the peer, or the network path to it
 };
 ConnectError connect_error(int error);
 
 enum class AcceptError {
-    none_waits,
-    of_one_connection,  // the one accepted had failed already, or a signal interrupted the call: the next one
-    lacks_resources,    // descriptors or memory: after a pause
+    none_pending,
+    of_one_connection,  // the connection had already failed, or a signal interrupted the call: try the next
+                        // one
+    lacks_resources,    // descriptors or memory: retry after a pause
     listener_broken,
 };
 AcceptError accept_error(int error);
 
-// Whether opening, reading, binding or listening may succeed a moment later.
+// Returns whether opening, reading, binding or listening may succeed shortly after this error.
 bool is_transient_startup_error(int error);
 
 }  // namespace gatetiller::net
--- a/src/net/tap.cpp
+++ b/src/net/tap.cpp
@@ -6,9 +6,9 @@
 public:
     Tapped(TapLoop& loop, std::uint64_t number) : loop_(loop), number_(number) {}
     ~Tapped() override {
-        tell_closed();
+        report_closed();
     }
-    void take(std::unique_ptr<Stream> below) {
+    void attach(std::unique_ptr<Stream> below) {
         below_ = std::move(below);
         peer_ = below_->peer();
     }
@@ -18,7 +18,7 @@
         below_->events(*this);
     }
     SendId send(std::string bytes) override {
-        loop_.tell(number_, TapEvent::What::sent, peer_, bytes);
+        loop_.report(number_, TapEvent::What::sent, peer_, bytes);
         return below_->send(std::move(bytes));
     }
     std::size_t unsent() const override {
@@ -30,7 +30,8 @@
     std::optional<std::size_t> unacknowledged() const override {
         return below_->unacknowledged();
     }
-    // What was told as sent stays so: the sink hears of no retreat.
+    // Never cancels: bytes are reported as sent when send() is called, and the sink has no event for a
+    // cancellation.
     bool cancel_send(SendId) override {
         return false;
     }
@@ -63,32 +64,32 @@
     }
 
     void on_connected() override {
-        loop_.tell(number_, TapEvent::What::connected, peer_);
+        loop_.report(number_, TapEvent::What::connected, peer_);
         owner_->on_connected();
     }
     void on_data(Buffer& in) override {
-        if (in.size() > seen_)
-            loop_.tell(number_, TapEvent::What::received, peer_, in.view().substr(seen_));
+        if (in.size() > reported_size_)
+            loop_.report(number_, TapEvent::What::received, peer_, in.view().substr(reported_size_));
         const std::weak_ptr<char> alive = alive_;
         owner_->on_data(in);
         if (!alive.expired())
-            seen_ = in.size();  // what its owner left is not new when it comes again
+            reported_size_ = in.size();  // unconsumed bytes are passed again and must not be reported twice
     }
-    void on_sending(std::size_t most) override {
-        owner_->on_sending(most);
+    void on_sending(std::size_t size) override {
+        owner_->on_sending(size);
     }
     void on_sent() override {
         owner_->on_sent();
     }
     void on_closed(Closed how) override {
-        tell_closed();
+        report_closed();
         owner_->on_closed(how);
     }
 
 private:
-    void tell_closed() {
+    void report_closed() {
         if (!std::exchange(closed_, true))
-            loop_.tell(number_, TapEvent::What::closed, peer_);
+            loop_.report(number_, TapEvent::What::closed, peer_);
     }
 
     TapLoop& loop_;
@@ -96,7 +97,7 @@
     std::unique_ptr<Stream> below_;
     StreamEvents* owner_ = nullptr;
     std::string peer_;
-    std::size_t seen_ = 0;
+    std::size_t reported_size_ = 0;
     bool closed_ = false;
     std::shared_ptr<char> alive_ = std::make_shared<char>();
 
@@ -107,8 +108,8 @@
                                                   std::function<void(std::unique_ptr<Stream>)> accepted) {
     return below_.listen(at, [this, accepted = std::move(accepted)](std::unique_ptr<Stream> stream) {
         auto tapped = std::make_unique<Tapped>(*this, ++last_);
-        tapped->take(std::move(stream));
-        tell(last_, TapEvent::What::accepted, tapped->peer());
+        tapped->attach(std::move(stream));
+        report(last_, TapEvent::What::accepted, tapped->peer());
         accepted(std::move(tapped));
     });
 }
@@ -116,8 +117,8 @@
 std::unique_ptr<Stream> TapLoop::connect(const Address& to, StreamEvents& events, Micros time_out) {
     auto tapped = std::make_unique<Tapped>(*this, ++last_);
     tapped->owner_ = &events;
-    tell(last_, TapEvent::What::connecting, to.text());
-    tapped->take(below_.connect(to, *tapped, time_out));
+    report(last_, TapEvent::What::connecting, to.text());
+    tapped->attach(below_.connect(to, *tapped, time_out));
     return tapped;
 }
 
--- a/src/net/tap.hpp
+++ b/src/net/tap.hpp
@@ -1,6 +1,5 @@
-// A loop that passes everything on to another and tells a sink what really went over its sockets: the records
-// that the rule checker reads. It sits below every protocol, so that no code above it can claim what did not
-// happen.
+// A Loop wrapper that reports the traffic on its sockets to a sink: the records read by the rule checker. It
+// sits below every protocol, so that code above it cannot report traffic that did not happen.
 #pragma once
 
 #include "net/loop.hpp"
@@ -17,10 +16,10 @@
         closed
     };
     Micros at = 0;
-    std::uint64_t stream = 0;  // a number for each
+    std::uint64_t stream = 0;  // unique number of the stream
     What what = What::sent;
     std::string_view peer;
-    std::string_view bytes;  // sent or received: all of them, as handed over at once
+    std::string_view bytes;  // for sent and received: all bytes of one call
 };
 
 class TapLoop final : public Loop {
@@ -49,14 +48,15 @@
     Result<std::unique_ptr<Listener>> listen(const Address& at,
                                              std::function<void(std::unique_ptr<Stream>)> accepted) override;
     std::unique_ptr<Stream> connect(const Address& to, StreamEvents& events, Micros time_out) override;
-    // Datagrams carry no statement: they are not told to the sink.
+    // Datagrams carry no statements and are not reported to the sink.
     Result<std::unique_ptr<Datagrams>> datagrams(const Address& at, Datagrams::Received received) override {
         return below_.datagrams(at, std::move(received));
     }
 
 private:
     class Tapped;
-    void tell(std::uint64_t stream, TapEvent::What what, std::string_view peer, std::string_view bytes = {}) {
+    void report(std::uint64_t stream, TapEvent::What what, std::string_view peer,
+                std::string_view bytes = {}) {
         sink_({now(), stream, what, peer, bytes});
     }
 
--- a/src/resp/resp.cpp
+++ b/src/resp/resp.cpp
@@ -5,12 +5,12 @@
 namespace gatetiller::resp {
 namespace {
 
-constexpr std::size_t kLine = 16;  // a marker, digits and the line's end: no bound needs more
+constexpr std::size_t kMaxNumberLine = 16;  // a marker, digits and CR LF; sufficient for all limits
 
-// A line "<marker><digits>\r\n" at `at`.
-ParseStatus read_number(std::string_view bytes, std::size_t& at, char marker, std::size_t most,
+// Reads a line "<marker><digits>\r\n" at `at`.
+ParseStatus read_number(std::string_view bytes, std::size_t& at, char marker, std::size_t max_value,
                         std::size_t& value) {
-    const auto line = bytes.substr(at, kLine);
+    const auto line = bytes.substr(at, kMaxNumberLine);
     if (line.empty())
         return ParseStatus::incomplete;
     if (line.front() != marker)
@@ -18,22 +18,22 @@
     const std::size_t end = line.find('\r');
     const auto digits = line.substr(1, end == std::string_view::npos ? end : end - 1);
     if (end == std::string_view::npos) {
-        if (line.size() == kLine || digits.find_first_not_of("0123456789") != std::string_view::npos)
+        if (line.size() == kMaxNumberLine || digits.find_first_not_of("0123456789") != std::string_view::npos)
             return ParseStatus::malformed;
         return ParseStatus::incomplete;
     }
     const auto [stop, error] = std::from_chars(digits.data(), digits.data() + digits.size(), value);
-    if (digits.empty() || error != std::errc() || stop != digits.data() + digits.size() || value > most)
+    if (digits.empty() || error != std::errc() || stop != digits.data() + digits.size() || value > max_value)
         return ParseStatus::malformed;
     if (end + 1 >= line.size())
-        return line.size() == kLine ? ParseStatus::malformed : ParseStatus::incomplete;
+        return line.size() == kMaxNumberLine ? ParseStatus::malformed : ParseStatus::incomplete;
     if (line[end + 1] != '\n')
         return ParseStatus::malformed;
     at += end + 2;
     return ParseStatus::complete;
 }
 
-void put(std::string& to, char marker, std::size_t value) {
+void append_number(std::string& to, char marker, std::size_t value) {
     to.push_back(marker);
     to.append(std::to_string(value)).append("\r\n");
 }
@@ -66,9 +66,9 @@
 
 std::string array(std::initializer_list<std::string_view> words) {
     std::string out;
-    put(out, '*', words.size());
+    append_number(out, '*', words.size());
     for (const auto word : words) {
-        put(out, '$', word.size());
+        append_number(out, '$', word.size());
         out.append(word).append("\r\n");
     }
     return out;
--- a/src/resp/resp.hpp
+++ b/src/resp/resp.hpp
@@ -1,5 +1,5 @@
-// resp: arrays of bulk strings of the Redis serialization protocol (RESP2), as its specification has them: a
-// reader of a stream that trusts no length, and a writer.
+// resp: arrays of bulk strings of the Redis serialization protocol (RESP2) according to its specification: a
+// stream reader that validates every length, and a writer.
 #pragma once
 
 #include <cstddef>
@@ -19,8 +19,9 @@
     complete,
     malformed
 };
-// The next array at the front of `bytes`: its words and how many bytes it takes. `none`: not all there yet.
-// `spoilt`: no array within the limits will ever stand here; nothing after it on the stream can be trusted.
+// Reads the array at the front of `bytes` into its words and its size in bytes. `incomplete`: more bytes are
+// needed. `malformed`: the bytes cannot become an array within the limits, and the rest of the stream cannot
+// be trusted.
 ParseStatus read_array(std::string_view bytes, const Limits& limits, std::vector<std::string_view>& words,
                        std::size_t& size);
 
--- a/src/thrift/binary.cpp
+++ b/src/thrift/binary.cpp
@@ -6,16 +6,16 @@
 namespace {
 
 constexpr std::uint32_t kVersion = 0x80010000;
-constexpr int kDepth = 8;  // of structs and containers within each other
+constexpr int kMaxDepth = 8;  // nesting of structs and containers
 
 }  // namespace
 
 std::string_view Reader::raw(std::size_t n) {
     if (n > rest_.size())
         return fail(), std::string_view();
-    const auto got = rest_.substr(0, n);
+    const auto bytes = rest_.substr(0, n);
     rest_.remove_prefix(n);
-    return got;
+    return bytes;
 }
 
 std::uint8_t Reader::byte() {
@@ -43,12 +43,12 @@
     return ok_ ? type : Type::stop;
 }
 
-Fields Reader::fields(std::size_t most) {
+Fields Reader::fields(std::size_t max_count) {
     Fields map;
     const auto key = static_cast<Type>(byte()), value = static_cast<Type>(byte());
     const std::int32_t count = i32();
     const bool strings = (key == Type::string && value == Type::string) || count == 0;
-    if (!strings || count < 0 || static_cast<std::size_t>(count) > most)
+    if (!strings || count < 0 || static_cast<std::size_t>(count) > max_count)
         return fail(), map;
     for (std::int32_t i = 0; i < count && ok_; ++i) {
         std::string name(string());
@@ -59,7 +59,7 @@
 }
 
 void Reader::skip(Type type, int depth) {
-    if (depth > kDepth)
+    if (depth > kMaxDepth)
         return fail();
     switch (type) {
         case Type::boolean:
@@ -93,7 +93,7 @@
             const std::int32_t count = i32();
             if (count < 0)
                 return fail();
-            // Each element takes a byte at least, so that a huge count ends where the frame does.
+            // Each element takes at least one byte, so a huge count fails at the end of the frame.
             for (std::int32_t i = 0; i < count && ok_; ++i) {
                 skip(first, depth + 1);
                 if (type == Type::map)
@@ -142,12 +142,12 @@
     return std::move(bytes_);
 }
 
-FrameStatus next_frame(const Buffer& in, std::size_t most, std::string_view& frame) {
+FrameStatus next_frame(const Buffer& in, std::size_t max_size, std::string_view& frame) {
     const auto bytes = in.view();
     if (bytes.size() < kFrameHead)
         return FrameStatus::incomplete;
     const std::uint32_t size = read_big_endian(bytes.substr(0, kFrameHead));
-    if (size > most)
+    if (size > max_size)
         return FrameStatus::too_long;
     if (bytes.size() - kFrameHead < size)
         return FrameStatus::incomplete;
--- a/src/thrift/binary.hpp
+++ b/src/thrift/binary.hpp
@@ -1,5 +1,5 @@
-// thrift: the strict binary protocol over the framed transport, as published for Apache Thrift. A reader of
-// one message that trusts no length, and a writer. Nothing here knows a service; service.hpp does.
+// thrift: the strict binary protocol over the framed transport, as published for Apache Thrift: a reader of
+// one message that validates every length, and a writer. Independent of any service; see service.hpp.
 #pragma once
 
 #include <cstddef>
@@ -36,8 +36,8 @@
 
 using Fields = std::map<std::string, std::string>;
 
-// One frame's bytes, read from the front. Once something can't be read, ok() is false for good and every
-// further call returns nothing of use.
+// Reads the bytes of one frame from the front. After the first error, ok() stays false and results of further
+// calls are meaningless.
 class Reader {
 public:
     explicit Reader(std::string_view bytes) : rest_(bytes) {}
@@ -51,10 +51,10 @@
     std::int16_t i16();
     std::int32_t i32();
     std::string_view string();
-    // The next field of a struct; its type is `stop` at the end.
+    // Reads the header of a struct's next field and returns its type, `stop` at the end.
     Type field(std::int16_t& id);
-    // A map of strings with at most `most` entries; a key that comes twice can't be read.
-    Fields fields(std::size_t most);
+    // Reads a map of strings with at most `max_count` entries. A duplicate key is an error.
+    Fields fields(std::size_t max_count);
     void skip(Type type, int depth = 0);
     void fail() {
         ok_ = false, rest_ = {};
@@ -69,7 +69,7 @@
 
 class Writer {
 public:
-    // Begins a frame; its length is set by frame().
+    // Starts a frame; its length is set by frame().
     Writer(MessageType type, std::string_view method, std::int32_t seq);
     void field(Type type, std::int16_t id);
     void stop() {
@@ -81,20 +81,21 @@
     void i32(std::int32_t value);
     void string(std::string_view text);
     void fields(const Fields& map);
-    std::string frame();  // the whole frame, to be taken once
+    std::string frame();  // returns the complete frame; to be called once
 
 private:
     void i16(std::int16_t value);
     std::string bytes_;
 };
 
-// The next frame of a stream, without its length; it stays in `in` until taken. `none`: not all there yet.
+// Returns in `frame` the next frame of a stream without its length prefix. It stays in `in` until consumed by
+// the caller. `incomplete`: more bytes are needed.
 enum class FrameStatus {
     incomplete,
     complete,
     too_long
 };
-FrameStatus next_frame(const Buffer& in, std::size_t most, std::string_view& frame);
+FrameStatus next_frame(const Buffer& in, std::size_t max_size, std::string_view& frame);
 inline constexpr std::size_t kFrameHead = 4;
 
 }  // namespace gatetiller::thrift
--- a/src/thrift/service.cpp
+++ b/src/thrift/service.cpp
@@ -4,9 +4,9 @@
 namespace {
 
 constexpr std::uint32_t kVersionMask = 0xffffff00, kVersion = 0x80010000;
-constexpr std::size_t kFieldsMost = 64, kMethodMost = 64;
+constexpr std::size_t kMaxFields = 64, kMaxMethodSize = 64;
 
-std::string declared(std::int32_t seq, std::int16_t id, const Fields& fields) {
+std::string declared_exception(std::int32_t seq, std::int16_t id, const Fields& fields) {
     Writer w(MessageType::reply, "process", seq);
     w.field(Type::structure, id);
     w.field(Type::map, 1), w.fields(fields), w.stop();
@@ -22,33 +22,33 @@
     const auto head = static_cast<std::uint32_t>(r.i32());
     const auto type = static_cast<MessageType>(head & 0xff);
     if (!r.ok() || (head & kVersionMask) != kVersion)
-        return Error{"not a strict binary message"};
+        return Error{"not a strict binary protocol message"};
     if (type != MessageType::call && type != MessageType::oneway)
-        return Error{"not a call"};
+        return Error{"message type is not call or oneway"};
     call.method = r.string();
     call.seq = r.i32();
-    if (!r.ok() || call.method.size() > kMethodMost)
-        return Error{"a message head that can't be read"};
+    if (!r.ok() || call.method.size() > kMaxMethodSize)
+        return Error{"malformed message header"};
     call.what = call.method == "process"  ? Call::What::process
                 : call.method == "giveUp" ? Call::What::give_up
                 : call.method == "probe"  ? Call::What::probe
                                           : Call::What::unknown;
     std::int16_t id = 0;
-    bool number = false;
+    bool has_number = false;
     for (Type t = r.field(id); r.ok() && t != Type::stop; t = r.field(id)) {
         if (call.what == Call::What::process && id == 1 && t == Type::map)
-            call.fields = r.fields(kFieldsMost);
+            call.fields = r.fields(kMaxFields);
         else if (call.what == Call::What::process && id == 2 && t == Type::string)
             call.body = r.string();
         else if (call.what == Call::What::give_up && id == 1 && t == Type::i32)
-            call.given_up = r.i32(), number = true;
+            call.given_up = r.i32(), has_number = true;
         else
             r.skip(t);
     }
     if (!r.ok() || !r.at_end())
-        return Error{"arguments of " + call.method + " that can't be read"};
-    if (call.what == Call::What::give_up && !number)
-        return Error{"giveUp without a number"};
+        return Error{"malformed arguments of " + call.method};
+    if (call.what == Call::What::give_up && !has_number)
+        return Error{"giveUp without a request number"};
     return call;
 }
 
@@ -82,10 +82,10 @@
 }
 
 std::string rejected(std::int32_t seq, const Fields& fields) {
-    return declared(seq, 1, fields);
+    return declared_exception(seq, 1, fields);
 }
 std::string crashed(std::int32_t seq, const Fields& fields) {
-    return declared(seq, 2, fields);
+    return declared_exception(seq, 2, fields);
 }
 
 std::string exception(std::string_view method, std::int32_t seq, Fault fault, std::string_view text) {
--- a/src/thrift/service.hpp
+++ b/src/thrift/service.hpp
@@ -1,4 +1,4 @@
-// The platform's `Front` service on the server side: what a client asks, and the answers.
+// The messages of the platform's `Front` service: calls of clients and the responses to them.
 #pragma once
 
 #include "thrift/binary.hpp"
@@ -17,23 +17,22 @@
     std::int32_t seq = 0;
     Fields fields;              // process
     std::string body;           // process
-    std::int32_t given_up = 0;  // give_up: the number of the request
+    std::int32_t given_up = 0;  // give_up: sequence number of the abandoned request
 };
 
-// One frame. An error says what can't be read; the connection is of no further use then.
+// Parses one frame. After an error the connection cannot be used any more.
 Result<Call> read_call(std::string_view frame);
 
-// What a client sends, as whole frames.
+// Calls sent by a client, as complete frames.
 std::string process_call(std::int32_t seq, const Fields& fields, std::string_view body);
 std::string give_up_call(std::int32_t seq, std::int32_t given_up);
 std::string probe_call(std::int32_t seq);
 
-// What it is answered, as whole frames.
-// Served (`process`), or ready (`probe`).
+// Responses, as complete frames. `answer`: success of `process`, or readiness for `probe`.
 std::string answer(std::string_view method, std::int32_t seq, std::string_view body);
 std::string rejected(std::int32_t seq, const Fields& fields);
 std::string crashed(std::int32_t seq, const Fields& fields);
-// An application exception, for what is not this service's.
+// Application exceptions, for calls that are not part of this service.
 enum class Fault : std::int32_t {
     unknown_method = 1,
     invalid_type = 2,
--- a/tests/http/parser_test.cpp
+++ b/tests/http/parser_test.cpp
@@ -12,29 +12,30 @@
     int status = 0;
     Request request;
     Response response;
-    std::size_t rest = 0;
-    bool keep = false;
+    std::size_t unread = 0;
+    bool keep_alive = false;
     friend bool operator==(const Outcome& a, const Outcome& b) {
         return a.state == b.state && (a.state != Parser::State::failed || a.status == b.status) &&
                (a.state != Parser::State::done ||
-                (a.rest == b.rest && a.keep == b.keep && a.request.method == b.request.method &&
-                 a.request.target == b.request.target && a.request.headers == b.request.headers &&
-                 a.request.body == b.request.body && a.response.status == b.response.status &&
-                 a.response.headers == b.response.headers && a.response.body == b.response.body));
+                (a.unread == b.unread && a.keep_alive == b.keep_alive &&
+                 a.request.method == b.request.method && a.request.target == b.request.target &&
+                 a.request.headers == b.request.headers && a.request.body == b.request.body &&
+                 a.response.status == b.response.status && a.response.headers == b.response.headers &&
+                 a.response.body == b.response.body));
     }
 };
 
 constexpr Limits kSmall{.start_line = 200, .header_bytes = 400, .header_count = 8, .body = 300};
 
-// Feeds the text in pieces of at most `most` bytes; 0: all at once.
-Outcome parse(Parser::Kind kind, const std::string& text, std::size_t most, Random* random = nullptr) {
+// Feeds the text in pieces of at most `max_piece` bytes (of random size with `random`); 0: all at once.
+Outcome parse(Parser::Kind kind, const std::string& text, std::size_t max_piece, Random* random = nullptr) {
     Parser p(kind, kSmall);
     Buffer in;
     std::size_t at = 0;
     while (at < text.size()) {
-        std::size_t n = most == 0 ? text.size() : most;
+        std::size_t n = max_piece == 0 ? text.size() : max_piece;
         if (random)
-            n = 1 + random->below(most);
+            n = 1 + random->below(max_piece);
         n = std::min(n, text.size() - at);
         in.append(std::string_view(text).substr(at, n));
         at += n;
@@ -64,7 +65,7 @@
     "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n",
 };
 
-TEST(Parser, BytesInAnyPiecesGiveTheSameResultOverManySeeds) {
+TEST(Parser, ResultDoesNotDependOnHowBytesAreSplitOverManySeeds) {
     constexpr std::string_view kBytes = "\r\n :;,0123456789aZ\t\0\x7f\xffHTTP/1.";
     for (std::uint64_t seed = 1; seed <= 3000; ++seed) {
         Random random(seed);
@@ -90,25 +91,25 @@
             if (text.empty())
                 text = " ";
         }
-        const auto whole = parse(kind, text, 0);
-        EXPECT_EQ(whole, parse(kind, text, 1)) << "seed " << seed << ": " << text;
-        EXPECT_EQ(whole, parse(kind, text, 7, &random)) << "seed " << seed << ": " << text;
+        const auto at_once = parse(kind, text, 0);
+        EXPECT_EQ(at_once, parse(kind, text, 1)) << "seed " << seed << ": " << text;
+        EXPECT_EQ(at_once, parse(kind, text, 7, &random)) << "seed " << seed << ": " << text;
     }
 }
 
-TEST(Parser, ReadsWhatIsWellFormed) {
+TEST(Parser, ParsesWellFormedMessages) {
     for (const auto& text : kRequests)
         EXPECT_EQ(parse(Parser::Kind::request, text, 0).state, Parser::State::done) << text;
     const auto chunked = parse(Parser::Kind::request, kRequests[2], 0);
     EXPECT_EQ(chunked.request.body, "hello...");
     EXPECT_FALSE(chunked.request.headers.find("Trailer"));
-    EXPECT_EQ(parse(Parser::Kind::request, kRequests[1], 0).rest, kRequests[0].size());
-    EXPECT_FALSE(parse(Parser::Kind::request, kRequests[3], 0).keep);
-    EXPECT_TRUE(parse(Parser::Kind::request, kRequests[4], 0).keep);
+    EXPECT_EQ(parse(Parser::Kind::request, kRequests[1], 0).unread, kRequests[0].size());
+    EXPECT_FALSE(parse(Parser::Kind::request, kRequests[3], 0).keep_alive);
+    EXPECT_TRUE(parse(Parser::Kind::request, kRequests[4], 0).keep_alive);
     EXPECT_EQ(parse(Parser::Kind::response, kResponses[3], 0).state, Parser::State::body_to_end);
 }
 
-TEST(Parser, RefusesWhatTwoParsersCouldReadDifferently) {
+TEST(Parser, RejectsAmbiguousMessages) {
     const auto status = [](const std::string& head, const std::string& body = "") {
         const auto o = parse(Parser::Kind::request, head + "\r\n" + body, 0);
         return o.state == Parser::State::failed ? o.status : 0;
--- a/tests/http/server_test.cpp
+++ b/tests/http/server_test.cpp
@@ -1,4 +1,4 @@
-// The server and the client over real sockets.
+// Tests of the HTTP server and client over real sockets.
 #include "http/server.hpp"
 
 #include <gtest/gtest.h>
@@ -10,22 +10,22 @@
 namespace gatetiller::http {
 namespace {
 
-// A peer that says exactly what it is told and keeps all that it hears.
-struct Raw final : net::StreamEvents {
-    Raw(net::Loop& loop, const net::Address& to) : stream(loop.connect(to, *this, kSecondMicros)) {}
+// A client that sends raw bytes and records everything it receives.
+struct RawClient final : net::StreamEvents {
+    RawClient(net::Loop& loop, const net::Address& to) : stream(loop.connect(to, *this, kSecondMicros)) {}
     void on_data(Buffer& in) override {
-        heard += in.view(), in.clear();
+        received += in.view(), in.clear();
     }
     void on_closed(net::Closed how) override {
         closed = how;
     }
-    std::size_t count(const std::string& what) const {
+    std::size_t count(const std::string& text) const {
         std::size_t n = 0;
-        for (std::size_t at = 0; (at = heard.find(what, at)) != std::string::npos; ++at)
+        for (std::size_t at = 0; (at = received.find(text, at)) != std::string::npos; ++at)
             ++n;
         return n;
     }
-    std::string heard;
+    std::string received;
     std::optional<net::Closed> closed;
     std::unique_ptr<net::Stream> stream;
 };
@@ -38,7 +38,7 @@
             last = r;
             if (r.target == "/later")
                 return void(later.push_back(std::move(reply)));
-            reply.send({200, {}, "you said " + r.target + " " + std::to_string(r.body.size())});
+            reply.send({200, {}, "received " + r.target + " " + std::to_string(r.body.size())});
         });
         address = *server->listen(*net::Address::parse(at));
     }
@@ -54,9 +54,9 @@
     std::unique_ptr<Server> server;
 };
 
-TEST_F(ServerTest, PipelinedRequestsAreAnsweredInOrder) {
+TEST_F(ServerTest, RespondsToPipelinedRequestsInOrder) {
     start();
-    Raw raw(loop, address);
+    RawClient raw(loop, address);
     raw.stream->send(
         "GET /later HTTP/1.1\r\nHost: a\r\n\r\nGET /2 HTTP/1.1\r\nHost: a\r\n\r\nHEAD /3 HTTP/1.1\r\nHost: "
         "a\r\nConnection: close\r\n\r\n");
@@ -68,36 +68,36 @@
     ASSERT_TRUE(until([&] {
         return raw.closed.has_value();
     }));
-    EXPECT_LT(raw.heard.find("first"), raw.heard.find("/2"));
+    EXPECT_LT(raw.received.find("first"), raw.received.find("/2"));
     EXPECT_EQ(raw.count("HTTP/1.1 200"), 3u);
-    EXPECT_EQ(raw.heard.find("you said /3"), std::string::npos);  // HEAD has no body
+    EXPECT_EQ(raw.received.find("received /3"), std::string::npos);  // HEAD has no body
 }
 
-TEST_F(ServerTest, ExpectContinueIsAnsweredBeforeTheBodyComes) {
+TEST_F(ServerTest, SendsContinueBeforeTheBodyArrives) {
     start();
-    Raw raw(loop, address);
+    RawClient raw(loop, address);
     raw.stream->send("POST /x HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 5\r\n\r\n");
     ASSERT_TRUE(until([&] {
         return raw.count("100 Continue") == 1;
     }));
     raw.stream->send("hello");
     ASSERT_TRUE(until([&] {
-        return raw.count("you said /x 5") == 1;
+        return raw.count("received /x 5") == 1;
     }));
 }
 
-TEST_F(ServerTest, APostOfAByteAtATimeArrivesWholeAndOneThatIsTooSlowIsEnded) {
+TEST_F(ServerTest, ReceivesABodyByteByByteAndTimesOutSlowRequests) {
     start({.header_time_out = 300 * kMillisecond, .body_time_out = 300 * kMillisecond});
-    Raw quick(loop, address);
+    RawClient quick(loop, address);
     const std::string text = "POST /slow HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc";
     for (const char c : text) {
         quick.stream->send(std::string(1, c));
         loop.turn(kMillisecond);
     }
     ASSERT_TRUE(until([&] {
-        return quick.count("you said /slow 3") == 1;
+        return quick.count("received /slow 3") == 1;
     }));
-    Raw header(loop, address), body(loop, address);
+    RawClient header(loop, address), body(loop, address);
     header.stream->send("POST /never HTT");
     body.stream->send("POST /never HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\na");
     ASSERT_TRUE(until([&] {
@@ -109,9 +109,9 @@
     EXPECT_EQ(server->counts().body_timed_out, 1u);
 }
 
-TEST_F(ServerTest, MalformedRequestsIdleOnesAndTooManyAreEndedAndCounted) {
+TEST_F(ServerTest, ClosesAndCountsMalformedIdleAndExcessConnections) {
     start({.idle_time_out = 200 * kMillisecond, .connections = 3});
-    Raw bad(loop, address), idle(loop, address), used(loop, address);
+    RawClient bad(loop, address), idle(loop, address), used(loop, address);
     bad.stream->send("GET /\n\n");
     used.stream->send("GET /1 HTTP/1.1\r\nHost: a\r\n\r\n");
     ASSERT_TRUE(until([&] {
@@ -124,24 +124,24 @@
     EXPECT_EQ(used.count("200 OK"), 1u);
     EXPECT_EQ(server->counts().malformed, 1u);
     EXPECT_EQ(server->counts().idle_timed_out, 2u);
-    std::vector<std::unique_ptr<Raw>> crowd;
+    std::vector<std::unique_ptr<RawClient>> extra;
     for (int i = 0; i < 5; ++i)
-        crowd.push_back(std::make_unique<Raw>(loop, address));
+        extra.push_back(std::make_unique<RawClient>(loop, address));
     ASSERT_TRUE(until([&] {
         return server->counts().over_limit == 2;
     }));
 }
 
-TEST_F(ServerTest, AClientTellsExactlyHowFarACallCame) {
+TEST_F(ServerTest, ClientReportsTheOutcomeOfEachCall) {
     start();
     Client client(loop, address, {});
     std::vector<Answer> answers;
-    const auto keep = [&](Answer a) {
+    const auto record = [&](Answer a) {
         answers.push_back(std::move(a));
     };
     const auto call = [&](Client& c, const std::string& target, Micros time_out) {
         answers.clear();
-        auto active = c.send({"GET", target, 1, {}, {}, {}}, time_out, keep);
+        auto active = c.send({"GET", target, 1, {}, {}, {}}, time_out, record);
         EXPECT_TRUE(until([&] {
             return !answers.empty();
         }));
@@ -149,10 +149,10 @@
     };
     EXPECT_EQ(call(client, "/1", 0), CallOutcome::answered);
     EXPECT_EQ(call(client, "/2", 0), CallOutcome::answered);
-    EXPECT_EQ(client.open(), 1u);  // the connection was used again
+    EXPECT_EQ(client.open(), 1u);  // the connection was reused
     EXPECT_EQ(call(client, "/later", 50 * kMillisecond), CallOutcome::timed_out);
     answers.clear();
-    auto broken = client.send({"GET", "/later", 1, {}, {}, {}}, 0, keep);
+    auto broken = client.send({"GET", "/later", 1, {}, {}, {}}, 0, record);
     ASSERT_TRUE(until([&] {
         return later.size() == 2;
     }));
@@ -166,7 +166,7 @@
     EXPECT_EQ(call(client, "/3", 0), CallOutcome::never_sent);
 }
 
-TEST_F(ServerTest, ACallThatIsLetGoNeverCallsBackAndHarmsNoLaterOne) {
+TEST_F(ServerTest, CancelledCallNeverCallsBackNorAffectsALaterCall) {
     start();
     Client client(loop, address, {});
     int done = 0;
@@ -176,7 +176,7 @@
     ASSERT_TRUE(until([&] {
         return done == 1;
     }));
-    // Its connection serves another call by now: an old handle must not end that.
+    // The connection is now used by another call, which the old handle must not cancel.
     auto second = client.send({"GET", "/later", 1, {}, {}, {}}, 0, [&](const Answer&) {
         ++done;
     });
@@ -201,21 +201,21 @@
     EXPECT_EQ(done, 2);
 }
 
-TEST_F(ServerTest, ListensOnAllThreeKindsOfAddress) {
+TEST_F(ServerTest, ListensOnEachAddressFamily) {
     const std::string path = "/tmp/gatetiller-test-" + std::to_string(::getpid()) + ".sock";
     for (const std::string& at : {std::string("127.0.0.1:0"), std::string("[::1]:0"), "unix:" + path}) {
         start({}, at.c_str());
         Client client(loop, address, {});
-        bool fine = false;
+        bool ok = false;
         auto call = client.send({"GET", "/", 1, {}, {}, {}}, kSecondMicros, [&](const Answer& a) {
-            fine = a.outcome == CallOutcome::answered;
+            ok = a.outcome == CallOutcome::answered;
         });
         EXPECT_TRUE(until([&] {
-            return fine;
+            return ok;
         })) << at;
     }
     server.reset();
-    EXPECT_NE(::access(path.c_str(), F_OK), 0);  // it cleans up after itself
+    EXPECT_NE(::access(path.c_str(), F_OK), 0);  // the server removes its socket file
 }
 
 }  // namespace
--- a/tests/net/loop_test.cpp
+++ b/tests/net/loop_test.cpp
@@ -9,13 +9,13 @@
 namespace gatetiller::net {
 namespace {
 
-struct End final : StreamEvents {
+struct RecordingEvents final : StreamEvents {
     void on_connected() override {
         connected = true;
     }
     void on_data(Buffer& in) override {
-        if (take)
-            got += in.size(), in.consume(in.size());
+        if (consume)
+            received += in.size(), in.consume(in.size());
     }
     void on_sent() override {
         ++sent;
@@ -23,8 +23,8 @@
     void on_closed(Closed how) override {
         closed = how;
     }
-    bool connected = false, take = true;
-    std::size_t got = 0;
+    bool connected = false, consume = true;
+    std::size_t received = 0;
     int sent = 0;
     std::optional<Closed> closed;
     std::unique_ptr<Stream> stream;
@@ -36,7 +36,7 @@
     bool until(C condition) {
         return gatetiller::testing::await(loop, condition);
     }
-    void join() {
+    void connect_client() {
         auto listening = loop.listen(*Address::parse("127.0.0.1:0"), [this](auto s) {
             server.stream = std::move(s);
             server.stream->events(server);
@@ -48,31 +48,31 @@
         }));
     }
     PollLoop loop{{.input = 64 * 1024}};
-    End client, server;
+    RecordingEvents client, server;
     std::unique_ptr<Listener> listener;
 };
 
-TEST_F(LoopTest, AReaderThatDoesNotTakeHoldsBackItsPeerAndNothingIsLost) {
-    join();
-    server.take = false;
+TEST_F(LoopTest, UnconsumedInputAppliesBackPressureWithoutLoss) {
+    connect_client();
+    server.consume = false;
     const std::size_t size = 32 << 20;
     client.stream->send(std::string(size, 'x'));
     for (int i = 0; i < 200; ++i)
         loop.turn(kMillisecond);
     EXPECT_GT(client.stream->unsent(),
-              size / 2);  // the kernel's buffers are full, and this side holds the rest
+              size / 2);  // the kernel's buffers are full, the rest is buffered in the stream
     EXPECT_EQ(client.sent, 0);
-    server.take = true;
+    server.consume = true;
     server.stream->schedule_delivery();
     ASSERT_TRUE(until([&] {
-        return server.got == size;
+        return server.received == size;
     }));
     EXPECT_EQ(client.sent, 1);
     EXPECT_EQ(client.stream->unsent(), 0u);
 }
 
-TEST_F(LoopTest, AStreamThatIsNotReadHearsOfTheEndOnceItIsReadAgain) {
-    join();
+TEST_F(LoopTest, ReportsCloseAfterReadingIsEnabledAgain) {
+    connect_client();
     server.stream->read(false);
     client.stream->send("last words");
     for (int i = 0; i < 20; ++i)
@@ -80,20 +80,20 @@
     client.stream.reset();
     for (int i = 0; i < 50; ++i)
         loop.turn(kMillisecond);
-    EXPECT_EQ(server.got, 0u);
+    EXPECT_EQ(server.received, 0u);
     server.stream->read(true);
     ASSERT_TRUE(until([&] {
         return server.closed.has_value();
     }));
-    EXPECT_EQ(server.got, 10u);
+    EXPECT_EQ(server.received, 10u);
 }
 
-TEST_F(LoopTest, ConnectingFailsInALaterTurnAndSaysHow) {
-    join();
-    const Address gone = listener->address();
+TEST_F(LoopTest, ReportsRefusedConnectionInALaterTurn) {
+    connect_client();
+    const Address closed_address = listener->address();
     listener.reset();
-    End refused;
-    refused.stream = loop.connect(gone, refused, kSecondMicros);
+    RecordingEvents refused;
+    refused.stream = loop.connect(closed_address, refused, kSecondMicros);
     EXPECT_FALSE(refused.closed);
     ASSERT_TRUE(until([&] {
         return refused.closed.has_value();
@@ -101,8 +101,8 @@
     EXPECT_EQ(*refused.closed, Closed::refused);
 }
 
-TEST_F(LoopTest, TimersRingInOrderAfterWhatHasComeAndOneOfNoDelayDoesNotHoldUpTheLoop) {
-    join();
+TEST_F(LoopTest, RunsTimersInOrderAfterInputAndZeroDelayTimersDoNotBlockTheLoop) {
+    connect_client();
     std::string order;
     loop.after(2 * kMillisecond, [&] {
         order += 'b';
@@ -110,42 +110,42 @@
     loop.after(kMillisecond, [&] {
         order += 'a';
     });
-    const auto never = loop.after(kMillisecond, [&] {
+    const auto cancelled = loop.after(kMillisecond, [&] {
         order += 'x';
     });
-    loop.cancel(never);
+    loop.cancel(cancelled);
     loop.cancel(12345);
     ASSERT_TRUE(until([&] {
         return order.size() == 2;
     }));
     EXPECT_EQ(order, "ab");
-    int again = 0;
+    int runs = 0;
     std::function<void()> self = [&] {
-        ++again, loop.after(0, self);
+        ++runs, loop.after(0, self);
     };
     self();
-    const int before = again;
+    const int before = runs;
     loop.turn(0);
-    EXPECT_LE(again, before + 1);
-    // This process stood still while an answer came: it is heard before the time-out.
+    EXPECT_LE(runs, before + 1);
+    // A response that arrived while this process was stalled is processed before the time-out.
     client.stream->send("answer");
     loop.turn(0);
-    bool late = false;
+    bool timed_out_first = false;
     loop.after(10 * kMillisecond, [&] {
-        late = server.got == 0;
+        timed_out_first = server.received == 0;
     });
     const timespec stall{0, 30'000'000};
     nanosleep(&stall, nullptr);
     loop.turn(0);
-    EXPECT_FALSE(late);
+    EXPECT_FALSE(timed_out_first);
     EXPECT_GE(loop.input_delay(), 25 * kMillisecond);
 }
 
-TEST_F(LoopTest, WhatCameWithNewConnectionsDuringAStallIsKnownToHaveWaited) {
-    // Said before this loop ever saw the connection: whoever reads it must learn that it may be old, however
-    // many came.
-    struct Late final : StreamEvents {
-        Late(PollLoop& l, std::unique_ptr<Stream> s) : loop(l), stream(std::move(s)) {
+TEST_F(LoopTest, InputDelayCoversNewConnectionsAcceptedAfterAStall) {
+    // The bytes arrive before the loop accepts the connection; input_delay() must cover their wait for any
+    // number of connections.
+    struct DelayedStream final : StreamEvents {
+        DelayedStream(PollLoop& l, std::unique_ptr<Stream> s) : loop(l), stream(std::move(s)) {
             stream->events(*this);
         }
         void on_data(Buffer& in) override {
@@ -156,16 +156,16 @@
         std::unique_ptr<Stream> stream;
         std::optional<Micros> waited;
     };
-    std::vector<std::unique_ptr<Late>> late;
-    auto door = loop.listen(*Address::parse("127.0.0.1:0"), [&](auto s) {
-        late.push_back(std::make_unique<Late>(loop, std::move(s)));
+    std::vector<std::unique_ptr<DelayedStream>> delayed;
+    auto accepting = loop.listen(*Address::parse("127.0.0.1:0"), [&](auto s) {
+        delayed.push_back(std::make_unique<DelayedStream>(loop, std::move(s)));
     });
     loop.turn(0);
     PollLoop other;
-    std::vector<std::unique_ptr<End>> ends;
+    std::vector<std::unique_ptr<RecordingEvents>> ends;
     for (int i = 0; i < 150; ++i) {
-        ends.push_back(std::make_unique<End>());
-        ends.back()->stream = other.connect((*door)->address(), *ends.back(), kSecondMicros);
+        ends.push_back(std::make_unique<RecordingEvents>());
+        ends.back()->stream = other.connect((*accepting)->address(), *ends.back(), kSecondMicros);
         ends.back()->stream->send("old");
     }
     for (int i = 0; i < 20; ++i)
@@ -173,16 +173,16 @@
     const timespec stall{0, 40'000'000};
     nanosleep(&stall, nullptr);
     ASSERT_TRUE(until([&] {
-        return late.size() == 150 && std::all_of(late.begin(), late.end(), [](auto& l) {
-                   return l->waited.has_value();
+        return delayed.size() == 150 && std::all_of(delayed.begin(), delayed.end(), [](auto& d) {
+                   return d->waited.has_value();
                });
     }));
-    for (const auto& l : late)
-        EXPECT_GE(*l->waited, 35 * kMillisecond);
+    for (const auto& d : delayed)
+        EXPECT_GE(*d->waited, 35 * kMillisecond);
 }
 
-// What waits for a connection, or for the next turn, can be taken back out of the middle, and never arrives.
-TEST_F(LoopTest, WhatTheKernelHasNotTakenCanBeTakenBack) {
+// Bytes waiting for the connection or for the next turn can be cancelled in the middle and never arrive.
+TEST_F(LoopTest, CancelsBytesNotYetAcceptedByTheKernel) {
     auto listening = loop.listen(*Address::parse("127.0.0.1:0"), [this](auto s) {
         server.stream = std::move(s);
         server.stream->events(server);
@@ -194,7 +194,7 @@
     EXPECT_EQ(client.stream->written(second), Written::none);
     EXPECT_TRUE(client.stream->cancel_send(second));
     ASSERT_TRUE(until([&] {
-        return server.got == 9;
+        return server.received == 9;
     }));
     EXPECT_EQ(client.stream->written(first), Written::all);
     EXPECT_FALSE(client.stream->cancel_send(third));
@@ -202,16 +202,16 @@
     EXPECT_TRUE(client.stream->cancel_send(later));
     client.stream->send("!");
     ASSERT_TRUE(until([&] {
-        return server.got > 9;
+        return server.received > 9;
     }));
     for (int i = 0; i < 5; ++i)
         loop.turn(0);
-    EXPECT_EQ(server.got, 10u);
+    EXPECT_EQ(server.received, 10u);
 }
 
-// Behind a peer that reads nothing: what was begun can't be taken back, what stands behind it can.
-TEST_F(LoopTest, WhatIsPartlyWrittenStaysAndWhatStandsBehindItDoesNot) {
-    join();
+// With a peer that does not read, a partially written send cannot be cancelled, but a later one can.
+TEST_F(LoopTest, CannotCancelAPartiallyWrittenSendButCanCancelTheNextOne) {
+    connect_client();
     server.stream->read(false);
     const auto large = client.stream->send(std::string(32 << 20, 'x'));
     for (int i = 0; i < 50; ++i)
@@ -223,7 +223,7 @@
     const std::size_t unsent = client.stream->unsent();
     EXPECT_TRUE(client.stream->cancel_send(behind));
     EXPECT_EQ(client.stream->unsent(), unsent - 6);
-    // The peer ends over it: known to have been handed over in part, and nothing of what follows.
+    // After the peer closes, the first send is reported as partially written and the next one as not written.
     const auto last = client.stream->send("last");
     server.stream.reset();
     ASSERT_TRUE(until([&] {
@@ -233,30 +233,30 @@
     EXPECT_EQ(client.stream->written(last), Written::none);
 }
 
-// A close over unread bytes would be a reset, and take away what the peer has not read yet.
-TEST_F(LoopTest, AGracefulCloseLosesNothingThatWasSaidBeforeIt) {
-    join();
-    client.take = false;  // does not read for now
+// Closing a socket with unread bytes would reset the connection and discard what the peer has not read yet.
+TEST_F(LoopTest, GracefulCloseDeliversAllBytesSentBefore) {
+    connect_client();
+    client.consume = false;  // does not read yet
     client.stream->read(false);
     const std::size_t size = 16 << 20;
     server.stream->send(std::string(size, 'x'));
     client.stream->send("a request that crosses the close");
     for (int i = 0; i < 20; ++i)
         loop.turn(0);
-    const std::size_t heard = server.got;
+    const std::size_t received_before = server.received;
     server.stream->finish();
     client.stream->send("and another one");
     for (int i = 0; i < 20; ++i)
         loop.turn(0);
-    EXPECT_EQ(server.got, heard);  // read after the shutdown: dropped, nobody hears of it
+    EXPECT_EQ(server.received, received_before);  // input after the shutdown is dropped
     EXPECT_FALSE(server.closed);
-    client.take = true;
+    client.consume = true;
     client.stream->read(true);
     ASSERT_TRUE(until([&] {
         return client.closed.has_value();
     }));
     EXPECT_EQ(*client.closed, Closed::by_peer);
-    EXPECT_EQ(client.got, size);
+    EXPECT_EQ(client.received, size);
     EXPECT_EQ(server.stream->send("too late"), 0u);
     client.stream.reset();
     ASSERT_TRUE(until([&] {
@@ -265,21 +265,21 @@
     EXPECT_EQ(*server.closed, Closed::by_peer);
 }
 
-// A peer that has said something and gone is heard to have done both before anything is done about the first.
-TEST_F(LoopTest, AnEndBehindBytesIsHeardInTheSameTurn) {
-    join();
+// If a peer sends bytes and closes, both are reported before any response to the bytes is sent.
+TEST_F(LoopTest, ReportsBytesAndTheFollowingCloseInTheSameTurn) {
+    connect_client();
     client.stream->send("request");
     client.stream.reset();
     ASSERT_TRUE(until([&] {
-        return server.got == 7;
+        return server.received == 7;
     }));
     EXPECT_TRUE(server.closed.has_value());
 }
 
-TEST_F(LoopTest, WhatHasComeCanBeReadAtOnceAndWhoeverWaitsInTheBacklogTakenIn) {
-    join();
+TEST_F(LoopTest, ReadsAvailableBytesImmediatelyAndAcceptsPendingConnections) {
+    connect_client();
     PollLoop other;
-    End late;
+    RecordingEvents late;
     listener->accept(false);
     late.stream = other.connect(listener->address(), late, kSecondMicros);
     late.stream->send("waits");
@@ -287,32 +287,32 @@
         return late.connected && late.sent == 1;
     }));
     server.stream.reset();
-    client.closed.reset(), server.got = 0;
+    client.closed.reset(), server.received = 0;
     listener->accept_pending(0);
     EXPECT_FALSE(server.stream);
     listener->accept_pending(8);
     ASSERT_TRUE(server.stream);
-    EXPECT_EQ(server.got, 5u);
+    EXPECT_EQ(server.received, 5u);
     late.stream->send("more");
     other.turn(0);
-    while (server.got < 9)
+    while (server.received < 9)
         server.stream->read_now();
     listener.reset();
     EXPECT_FALSE(late.closed);
 }
 
-TEST_F(LoopTest, SignalsComeAsCalls) {
-    int got = 0;
+TEST_F(LoopTest, DeliversSignalsToTheHandler) {
+    int signal = 0;
     ASSERT_TRUE(loop.on_signals({SIGUSR1}, [&](int s) {
-        got = s;
+        signal = s;
     }));
     raise(SIGUSR1);
     EXPECT_TRUE(until([&] {
-        return got == SIGUSR1;
+        return signal == SIGUSR1;
     }));
 }
 
-TEST(Address, ReadsThreeFormsAndSaysWhatIsWrongWithOthers) {
+TEST(Address, ParsesThreeFormsAndReportsErrorsForOthers) {
     for (const char* text : {"127.0.0.1:80", "[::1]:80", "unix:/tmp/x"})
         EXPECT_EQ(Address::parse(text)->text(), text);
     for (const char* text : {"127.0.0.1", "host:80", "127.0.0.1:70000", "[::g]:1", "unix:", ""}) {
--- a/tests/resp/resp_test.cpp
+++ b/tests/resp/resp_test.cpp
@@ -1,4 +1,4 @@
-// RESP arrays: whole, cut at each byte, changed, and with lengths that lie.
+// Tests of RESP arrays: complete, truncated at each byte, corrupt, and with invalid lengths.
 #include "resp/resp.hpp"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
     return read_array(bytes, kLimits, words, size);
 }
 
-TEST(Resp, WholeArraysFollowEachOther) {
+TEST(Resp, ReadsConsecutiveArrays) {
     const std::string one = array({"id", "HIT", "-", std::string_view("a\r\nb\0", 5)}), two = array({"x"});
     std::vector<std::string_view> words;
     std::size_t size = 0;
@@ -26,7 +26,7 @@
     EXPECT_EQ(words, std::vector<std::string_view>{"x"});
 }
 
-TEST(Resp, CutAtAnyByteItWaits) {
+TEST(Resp, ReportsIncompleteForEachTruncation) {
     const std::string one = array({"id", "HIT", "chunks=1", "a\tb\tc\n"});
     std::vector<std::string_view> words;
     std::size_t size = 0;
@@ -34,7 +34,7 @@
         EXPECT_EQ(read(std::string_view(one).substr(0, n), words, size), ParseStatus::incomplete) << n;
 }
 
-TEST(Resp, WhatCanNeverBecomeAnArrayIsSpoiltAtOnce) {
+TEST(Resp, RejectsBytesThatCannotBecomeAnArrayImmediately) {
     std::vector<std::string_view> words;
     std::size_t size = 0;
     for (const char* bytes :
@@ -44,7 +44,7 @@
         EXPECT_EQ(read(bytes, words, size), ParseStatus::malformed) << bytes;
 }
 
-TEST(Resp, ChangedBytesAreReadWholeAsInPieces) {
+TEST(Resp, CorruptBytesGiveTheSameResultAtOnceAndByteByByte) {
     const std::string one = array({"id", "HIT", "chunks=1,spent=4", "a\tb\tc\n"});
     for (std::uint64_t seed = 1; seed <= 20'000; ++seed) {
         Random random(seed);
@@ -53,14 +53,14 @@
             bad[random.below(bad.size())] = static_cast<char>(random.next());
         std::vector<std::string_view> words, again;
         std::size_t size = 0, size_again = 0;
-        const ParseStatus whole = read(bad, words, size);
-        // Byte by byte the first verdict must be the same: a spoilt stream is told no later than when all is
-        // there.
-        ParseStatus pieces = ParseStatus::incomplete;
-        for (std::size_t n = 1; n <= bad.size() && pieces == ParseStatus::incomplete; ++n)
-            pieces = read(std::string_view(bad).substr(0, n), again, size_again);
-        ASSERT_EQ(pieces, whole) << "seed " << seed;
-        if (whole == ParseStatus::complete) {
+        const ParseStatus at_once = read(bad, words, size);
+        // The first result byte by byte must be the same: a malformed stream is reported no later than when
+        // all bytes are available.
+        ParseStatus byte_by_byte = ParseStatus::incomplete;
+        for (std::size_t n = 1; n <= bad.size() && byte_by_byte == ParseStatus::incomplete; ++n)
+            byte_by_byte = read(std::string_view(bad).substr(0, n), again, size_again);
+        ASSERT_EQ(byte_by_byte, at_once) << "seed " << seed;
+        if (at_once == ParseStatus::complete) {
             ASSERT_EQ(size, size_again) << "seed " << seed;
         }
     }
