--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -20,7 +20,7 @@
             timer = client.loop_.after(time_out, [this] {
                 timer = 0;
                 fail(connected ? CallOutcome::timed_out : CallOutcome::connect_timed_out,
-                     "no complete response in time");
+                     "no answer in time");
             });
         sent = stream->send(std::move(bytes));
     }
@@ -35,7 +35,7 @@
         client.loop_.cancel(std::exchange(timer, 0));
         timer = client.loop_.after(0, [this] {
             timer = 0;
-            fail(CallOutcome::withdrawn, "withdrawn before the first byte was sent");
+            fail(CallOutcome::withdrawn, "it might not begin any more");
         });
     }
     void on_data(Buffer& in) override {
@@ -44,7 +44,7 @@
         if (!parser.feed(in))
             return;
         if (parser.failed())
-            return fail(CallOutcome::broken, "malformed response: " + parser.error());
+            return fail(CallOutcome::broken, "an answer that can't be read: " + parser.error());
         if (parser.response().status < 200) {  // informational response, such as 100 Continue
             parser.reset(answers_head);
             if (!in.empty())
@@ -66,10 +66,10 @@
         if (how == net::Closed::refused)
             return fail(CallOutcome::never_sent, "connection refused");
         if (how == net::Closed::local)
-            return fail(CallOutcome::lacks_local_resource, "this machine lacks a resource for a connection");
+            return fail(CallOutcome::lacks_local_resource, "this machine lacks something for a connection");
         if (how == net::Closed::connect_timed_out)
-            return fail(CallOutcome::connect_timed_out, "connecting timed out");
-        fail(CallOutcome::broken, "connection closed before the complete response");
+            return fail(CallOutcome::connect_timed_out, "no connection in time");
+        fail(CallOutcome::broken, "the connection ended before the answer");
     }
     void finish(bool reusable) {
         const auto self = shared_from_this();
--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -51,18 +51,18 @@
     if (end == std::string_view::npos) {
         scanned_ = bytes.size();
         if (bytes.size() > limit + 1)
-            fail(too_long_status, "line exceeds " + std::to_string(limit) + " bytes");
+            fail(too_long_status, "a line of over " + std::to_string(limit) + " bytes");
         return false;
     }
     scanned_ = 0;
     if (end > limit + 1)
-        return fail(too_long_status, "line exceeds " + std::to_string(limit) + " bytes"), false;
+        return fail(too_long_status, "a line of over " + std::to_string(limit) + " bytes"), false;
     if (end == 0 || bytes[end - 1] != '\r')
-        return fail(400, "line ends in LF without CR"), false;
+        return fail(400, "a line that ends in LF without CR"), false;
     line.assign(bytes.substr(0, end - 1));
     in.consume(end + 1);
     if (line.find('\r') != std::string::npos)
-        return fail(400, "CR inside a line"), false;
+        return fail(400, "a CR inside a line"), false;
     return true;
 }
 
@@ -103,7 +103,7 @@
                 break;
             case State::body_to_end:
                 if (body().size() + in.size() > limits_.body) {
-                    fail(413, "body exceeds " + std::to_string(limits_.body) + " bytes");
+                    fail(413, "a body of over " + std::to_string(limits_.body) + " bytes");
                     break;
                 }
                 body().append(in.view());
@@ -120,11 +120,11 @@
             case State::chunk_end:
                 if (in.size() < 2) {
                     if (in.view()[0] != '\r')
-                        fail(400, "chunk does not end at its declared size");
+                        fail(400, "a chunk that does not end where it said");
                     return failed();
                 }
                 if (!in.view().starts_with("\r\n")) {
-                    fail(400, "chunk does not end at its declared size");
+                    fail(400, "a chunk that does not end where it said");
                     break;
                 }
                 in.consume(2);
@@ -151,7 +151,7 @@
     if (state_ == State::body_to_end)
         state_ = State::done;
     else if (state_ != State::done && state_ != State::failed && !idle())
-        fail(400, "connection closed inside a message");
+        fail(400, "the connection ended inside a message");
     return state_ == State::done || state_ == State::failed;
 }
 
@@ -164,19 +164,19 @@
 void Parser::on_request_line(std::string_view line) {
     const std::size_t first = line.find(' '), last = line.rfind(' ');
     if (first == std::string_view::npos || first == last)
-        return fail(400, "request line must have three parts");
+        return fail(400, "a request line without three parts");
     const std::string_view method = line.substr(0, first), target = line.substr(first + 1, last - first - 1),
                            version = line.substr(last + 1);
     if (!is_token(method))
-        return fail(400, "invalid characters in the method");
+        return fail(400, "a method with characters that don't belong");
     if (target.empty() || !is_field_text(target) || target.find_first_of(" \t") != std::string_view::npos)
-        return fail(400, "spaces or control characters in the request target");
+        return fail(400, "a target with spaces or control characters");
     if (target[0] != '/' && target != "*")
-        return fail(400, "request target must be a path or *");
+        return fail(400, "a target that is not a path");
     if (!version.starts_with("HTTP/") || version.size() != 8 || version[6] != '.')
-        return fail(400, "invalid HTTP version");
+        return fail(400, "not HTTP");
     if (version[5] != '1' || (version[7] != '0' && version[7] != '1'))
-        return fail(505, "unsupported HTTP version; supported: HTTP/1.0, HTTP/1.1");
+        return fail(505, "only HTTP/1.0 and HTTP/1.1");
     request_.method = method;
     request_.target = target;
     request_.minor = minor_ = version[7] - '0';
@@ -185,27 +185,27 @@
 void Parser::on_status_line(std::string_view line) {
     if (line.size() < 12 || !line.starts_with("HTTP/1.") || (line[7] != '0' && line[7] != '1') ||
         line[8] != ' ' || !is_digits(line.substr(9, 3)) || (line.size() > 12 && line[12] != ' '))
-        return fail(400, "invalid HTTP/1 status line");
+        return fail(400, "not the status line of HTTP/1");
     minor_ = line[7] - '0';
     response_.status = (line[9] - '0') * 100 + (line[10] - '0') * 10 + (line[11] - '0');
     if (response_.status < 100)
-        fail(400, "status code below 100");
+        fail(400, "a status under 100");
 }
 
 void Parser::on_field(std::string_view line) {
     header_bytes_ += line.size() + 2;
     if (header_bytes_ > limits_.header_bytes)
-        return fail(431, "header fields exceed " + std::to_string(limits_.header_bytes) + " bytes");
+        return fail(431, "header fields of over " + std::to_string(limits_.header_bytes) + " bytes");
     if (++header_count_ > limits_.header_count)
-        return fail(431, "more than " + std::to_string(limits_.header_count) + " header fields");
+        return fail(431, "over " + std::to_string(limits_.header_count) + " header fields");
     if (line[0] == ' ' || line[0] == '\t')
-        return fail(400, "folded header line");
+        return fail(400, "a folded header line");
     const std::size_t colon = line.find(':');
     if (colon == std::string_view::npos)
-        return fail(400, "header line without a colon");
+        return fail(400, "a header line without a colon");
     const std::string_view name = line.substr(0, colon), value = trimmed(line.substr(colon + 1));
     if (!is_token(name))
-        return fail(400, "invalid characters in a header name");
+        return fail(400, "a header name with spaces or characters that don't belong");
     if (!is_field_text(value))
         return fail(400, "control characters in a header value");
     // Trailers are skipped: fields after the body must not change how it is interpreted.
@@ -221,9 +221,9 @@
     if (h.count("Transfer-Encoding") > 1)
         return fail(400, "two Transfer-Encoding fields");
     if (length && coding)
-        return fail(400, "Content-Length together with Transfer-Encoding");
+        return fail(400, "Content-Length along with Transfer-Encoding");
     if (kind_ == Kind::request && minor_ == 1 && h.count("Host") != 1)
-        return fail(400, "exactly one Host field is required");
+        return fail(400, "not exactly one Host field");
     keep_alive_ = minor_ == 1;
     if (const auto connection = h.find("Connection"))
         for (const auto word : split(*connection, ',')) {
@@ -234,7 +234,7 @@
         }
     if (const auto expect = h.find("Expect"); expect && kind_ == Kind::request) {
         if (!equals_ignore_case(*expect, "100-continue"))
-            return fail(417, "unsupported expectation; supported: 100-continue");
+            return fail(417, "an expectation other than 100-continue");
         expects_continue_ = minor_ == 1;
     }
     const int status = response_.status;
@@ -246,16 +246,16 @@
         if (minor_ == 0)
             return fail(400, "Transfer-Encoding in HTTP/1.0");
         if (!equals_ignore_case(*coding, "chunked"))
-            return fail(501, "unsupported transfer coding; supported: chunked");
+            return fail(501, "a transfer coding other than chunked");
         state_ = State::chunk_size;
         return;
     }
     if (length) {
         if (!is_digits(*length) || length->size() > 18)
-            return fail(400, "Content-Length is not a number");
+            return fail(400, "a Content-Length that is not a number");
         remaining_ = *to_number<std::size_t>(*length);
         if (remaining_ > limits_.body)
-            return fail(413, "body exceeds " + std::to_string(limits_.body) + " bytes");
+            return fail(413, "a body of over " + std::to_string(limits_.body) + " bytes");
         body().reserve(std::min(remaining_, kMaxReserve));
         state_ = remaining_ == 0 ? State::done : State::body_by_length;
         return;
@@ -272,15 +272,15 @@
     const std::string_view digits = line.substr(0, line.find_first_of(";"));
     std::size_t size = 0;
     if (digits.empty() || digits.size() > 15)
-        return fail(400, "chunk size is not a number");
+        return fail(400, "a chunk size that is not a number");
     for (const char c : digits) {
         const char l = to_ascii_lower(c);
         if (!((l >= '0' && l <= '9') || (l >= 'a' && l <= 'f')))
-            return fail(400, "chunk size is not a number");
+            return fail(400, "a chunk size that is not a number");
         size = size * 16 + static_cast<std::size_t>(l <= '9' ? l - '0' : l - 'a' + 10);
     }
     if (size > limits_.body - body().size())
-        return fail(413, "body exceeds " + std::to_string(limits_.body) + " bytes");
+        return fail(413, "a body of over " + std::to_string(limits_.body) + " bytes");
     remaining_ = size;
     state_ = size == 0 ? State::trailers : State::chunk;
 }
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -155,8 +155,8 @@
             return end();
         }
         ++(phase == Phase::header ? server.counts_.header_timed_out : server.counts_.body_timed_out);
-        respond_and_close(408, phase == Phase::header ? "time-out while reading the header"
-                                                      : "time-out while reading the body");
+        respond_and_close(408,
+                          phase == Phase::header ? "the header took too long" : "the body took too long");
     }
 
     Server& server;
--- a/src/thrift/service.cpp
+++ b/src/thrift/service.cpp
@@ -22,13 +22,13 @@
     const auto head = static_cast<std::uint32_t>(r.i32());
     const auto type = static_cast<MessageType>(head & 0xff);
     if (!r.ok() || (head & kVersionMask) != kVersion)
-        return Error{"not a strict binary protocol message"};
+        return Error{"not a strict binary message"};
     if (type != MessageType::call && type != MessageType::oneway)
-        return Error{"message type is not call or oneway"};
+        return Error{"not a call"};
     call.method = r.string();
     call.seq = r.i32();
     if (!r.ok() || call.method.size() > kMaxMethodSize)
-        return Error{"malformed message header"};
+        return Error{"a message head that can't be read"};
     call.what = call.method == "process"  ? Call::What::process
                 : call.method == "giveUp" ? Call::What::give_up
                 : call.method == "probe"  ? Call::What::probe
@@ -46,9 +46,9 @@
             r.skip(t);
     }
     if (!r.ok() || !r.at_end())
-        return Error{"malformed arguments of " + call.method};
+        return Error{"arguments of " + call.method + " that can't be read"};
     if (call.what == Call::What::give_up && !has_number)
-        return Error{"giveUp without a request number"};
+        return Error{"giveUp without a number"};
     return call;
 }
 
