--- a/src/front/ledger_recorder.hpp
+++ b/src/front/ledger_recorder.hpp
@@ -17,7 +17,7 @@
         std::function<void(const std::string&)> log;
         // Called once, when the ledger is open. `killed`: whether the previous incarnation was killed.
         std::function<void(bool killed)> on_previous_incarnation;
-        // Called once for each entry of work by earlier incarnations.
+        // Called once for each work sample that earlier incarnations recorded.
         std::function<void(const store::Ledger::WorkSample&)> on_past_work;
     };
 
--- a/src/node/engine_connection.cpp
+++ b/src/node/engine_connection.cpp
@@ -390,9 +390,9 @@
 // Returns whether the kernel holds unacknowledged bytes of this request: more than the bytes written after
 // it.
 bool EngineConnection::has_unacknowledged_bytes(const Exchange& exchange) const {
-    const std::size_t bytes_after = bytes_queued_ - std::min(bytes_queued_, exchange.end_offset_);
-    const std::size_t bytes_after_in_kernel = bytes_after - std::min(bytes_after, unsent_bytes());
-    return stream_ && stream_->unacknowledged().value_or(0) > bytes_after_in_kernel;
+    const std::size_t later_bytes = bytes_queued_ - std::min(bytes_queued_, exchange.end_offset_);
+    const std::size_t later_bytes_in_kernel = later_bytes - std::min(later_bytes, unsent_bytes());
+    return stream_ && stream_->unacknowledged().value_or(0) > later_bytes_in_kernel;
 }
 
 bool EngineConnection::has_unacknowledged_request() const {
--- a/tests/decide/attempt_guard_test.cpp
+++ b/tests/decide/attempt_guard_test.cpp
@@ -113,9 +113,9 @@
     EXPECT_TRUE(AttemptGuard(settings, false).permit(context, cls, std::nullopt));
 }
 
-// The platform's terms: n + 2 * sqrt(n) + 2, below 30 requests n + 3 * sqrt(n) + 3. The budget is for all
-// fronts together, so that the attempts of a fleet stay within it only if each front's share and its random
-// variation do.
+// The platform's limit for a starting engine whose slow-start share is n requests: n + 2 * sqrt(n) + 2, or
+// n + 3 * sqrt(n) + 3 if n < 30. The limit applies to all fronts together, so the budget of each front must
+// leave room for the random variation of the fleet's total.
 TEST(SlowStartBudget, FollowsThePlatformTerms) {
     EXPECT_DOUBLE_EQ(slow_start_budget(100), 122);
     EXPECT_DOUBLE_EQ(slow_start_budget(25), 43);
